--- a/bramleybend/scheduler/core.py
+++ b/bramleybend/scheduler/core.py
@@ -16,20 +16,20 @@
 from bramleybend.identity import Identity, make_identity
 from bramleybend.loop_watch import LoopWatch
 from bramleybend.metrics import Metric, make_metrics
-from bramleybend.scheduler.list_watch import ListWatch
-from bramleybend.scheduler.order_deps import OrderDeps, OrderPort
+from bramleybend.scheduler.list_watch import VmListPoller
+from bramleybend.scheduler.order_deps import OrderDeps, OrderSources
 from bramleybend.scheduler.orders import OrderManager, make_orders
 from bramleybend.scheduler.owner_service import OwnerService
-from bramleybend.scheduler.peer_wire import GrpcPeerWire
+from bramleybend.scheduler.peer_wire import GrpcPeerTransport
 from bramleybend.scheduler.peers import PeerSources, make_peers
-from bramleybend.scheduler.process import SchedulerProcess
+from bramleybend.scheduler.process import SchedulerControl
 from bramleybend.scheduler.shard_task import ShardDeps
 from bramleybend.scheduler.shards import (
     ShardTable,
-    Surroundings,
+    ShardSources,
     make_shards,
 )
-from bramleybend.scheduler.suspects import exported
+from bramleybend.scheduler.suspects import export_suspects
 from bramleybend.scheduler.view_service import ViewService, ViewSources
 from bramleybend.settings import Settings
 from bramleybend.state.terms_follower import FollowerPort, TermsFollower
@@ -43,10 +43,10 @@
 
 # Gateways hear of the leaving owner within one view, 0.5 s; asks that come
 # later are still served, and their runs registered with the next owner.
-LEAVE_S: Final = 2.0
-LEAVE_POLL_S: Final = 0.05
+LEAVE_NOTICE_S: Final = 2.0
+RELEASE_WAIT_S: Final = 0.05
 GAUGE_INTERVAL_S: Final = 1.0
-GRPC_GRACE_S: Final = 0.5
+GRPC_STOP_GRACE_S: Final = 0.5
 
 
 class Scheduler:
@@ -67,7 +67,7 @@
             lambda: self.terms.version,
         )
         self.crashes = CrashBook()
-        self.listed = ListWatch(
+        self.vm_list_poller = VmListPoller(
             make_http_vm_list(cfg.vm_list),
             cfg.list_poll_s,
             clock,
@@ -77,8 +77,10 @@
         self.terms = self._make_terms()
         self.orders = self._make_orders()
         self.shards = self._make_shards()
-        self._wire = GrpcPeerWire(cfg.scheduler_port)
-        self.peers = make_peers(self._peer_sources(), self._wire, clock)
+        self._peer_transport = GrpcPeerTransport(cfg.scheduler_port)
+        self.peers = make_peers(
+            self._peer_sources(), self._peer_transport, clock
+        )
         self._grpc: grpc.aio.Server
 
     async def start(self) -> None:
@@ -86,7 +88,7 @@
         self._grpc = grpc.aio.server(options=SERVER_OPTIONS)
         self._add_services()
         await self._grpc.start()
-        self._spawn_all()
+        self._start_tasks()
         self.events.record('started', vm=self._cfg.vm)
 
     def reload(self) -> None:
@@ -96,20 +98,20 @@
     async def stop(self) -> None:
         """Hand every shard on, then leave."""
         self.events.record('draining')
-        self.peers.leave()
-        await asyncio.sleep(LEAVE_S)
-        self.shards.release()
-        await asyncio.sleep(LEAVE_POLL_S)
+        self.peers.announce_leaving()
+        await asyncio.sleep(LEAVE_NOTICE_S)
+        self.shards.release_all()
+        await asyncio.sleep(RELEASE_WAIT_S)
         for task in self._tasks:
             task.cancel()
-        await self._grpc.stop(GRPC_GRACE_S)
-        await self._wire.close()
+        await self._grpc.stop(GRPC_STOP_GRACE_S)
+        await self._peer_transport.close()
         self.events.record('stopped')
 
-    def known_loads(self) -> list[ShardView]:
+    def list_shard_views(self) -> list[ShardView]:
         """Return the load of every shard: own, heard of, or unknown."""
         own = {(each.service, each.shard): each for each in self.shards.loads()}
-        heard = self.peers.loads()
+        heard = self.peers.get_remote_loads()
         terms = self.terms.terms
         if terms is None:
             return []
@@ -131,21 +133,21 @@
             self._grpc,
         )
         add_ControlServicer_to_server(
-            ControlService(SchedulerProcess(self), self.events),
+            ControlService(SchedulerControl(self), self.events),
             self._grpc,
         )
-        self.peers.serve(self._grpc)
+        self.peers.add_service(self._grpc)
         self._grpc.add_insecure_port(
             f'{self._cfg.address}:{self._cfg.scheduler_port}',
         )
 
-    def _spawn_all(self) -> None:
+    def _start_tasks(self) -> None:
         for work in (
-            self.listed.watch(),
+            self.vm_list_poller.run(),
             self.terms.follow(),
-            self.peers.follow(),
-            self.shards.watch(),
-            self.orders.follow(),
+            self.peers.run(),
+            self.shards.run(),
+            self.orders.run(),
             self._send_gauges(),
             LoopWatch(self.events, self._clock).work(),
         ):
@@ -156,7 +158,7 @@
             FollowerPort(
                 make_http_log(self._cfg.log_service),
                 lambda: self.peers.fetch_terms(),
-                self._is_renewer,
+                self._is_terms_renewer,
             ),
             self._clock,
             self.events,
@@ -165,12 +167,12 @@
 
     def _make_shards(self) -> ShardTable:
         return make_shards(
-            Surroundings(
+            ShardSources(
                 lambda: self.terms.terms,
-                lambda: self.listed.runners,
-                lambda: self.peers.alive(),
+                lambda: self.vm_list_poller.runners,
+                lambda: self.peers.list_owner_candidates(),
                 self.identity.vm,
-                self.orders.is_fit,
+                self.orders.is_schedulable,
             ),
             ShardDeps(
                 self._clock,
@@ -182,12 +184,12 @@
 
     def _make_orders(self) -> OrderManager:
         return make_orders(
-            OrderPort(
+            OrderSources(
                 lambda: self.terms.terms,
                 lambda: (
                     self.peers.terms_age_s() <= self._cfg.terms_stale_after_s
                 ),
-                lambda: self.listed.runners,
+                lambda: self.vm_list_poller.runners,
                 lambda: self.shards.owned,
                 lambda *runner: self.shards.is_drained(*runner),
             ),
@@ -205,29 +207,31 @@
             self.identity,
             self.terms,
             self.crashes,
-            lambda: self.listed.entries,
+            lambda: self.vm_list_poller.entries,
             lambda: self.shards.loads(),
         )
 
     def _view_sources(self) -> ViewSources:
         return ViewSources(
             self.terms,
-            lambda: self.peers.met(),
-            lambda: self.listed.runners,
-            self.known_loads,
-            lambda: exported(self.crashes),
+            lambda: self.peers.list_contacts(),
+            lambda: self.vm_list_poller.runners,
+            self.list_shard_views,
+            lambda: export_suspects(self.crashes),
             self.peers.terms_age_s,
         )
 
-    def _is_renewer(self) -> bool:
-        ranked = owners_of('terms', 0, self.peers.alive())
+    def _is_terms_renewer(self) -> bool:
+        ranked = owners_of('terms', 0, self.peers.list_owner_candidates())
         return bool(ranked) and (ranked[0].vm == self.identity.vm)
 
     async def _send_gauges(self) -> None:
         while True:
             await asyncio.sleep(GAUGE_INTERVAL_S)
             self._metrics.gauge(Metric.TERMS_VERSION, self.terms.version)
-            self._metrics.gauge(Metric.MEMBERS, len(self.peers.alive()))
+            self._metrics.gauge(
+                Metric.MEMBERS, len(self.peers.list_owner_candidates())
+            )
             self._metrics.gauge(Metric.TERMS_AGE, self.peers.terms_age_s())
 
 
--- a/bramleybend/scheduler/crash_watch.py
+++ b/bramleybend/scheduler/crash_watch.py
@@ -8,18 +8,18 @@
 
 # The gateways whose runs a crash took report it each on its own, after their
 # tries to resume, which take 0.6 s at most.
-SAME_CRASH_S: Final = 0.8
+SAME_CRASH_WINDOW_S: Final = 0.8
 
 
-class CrashWatch:
+class CrashTracker:
     """Tells crashes apart and keeps suspects from what they crashed."""
 
     def __init__(self, book: CrashBook) -> None:
         """Write into the process's book."""
         self._book = book
-        self._counts: dict[str, tuple[int, float]] = {}
+        self._last_crashes: dict[str, tuple[int, float]] = {}
 
-    def kept_from(
+    def get_excluded_runners(
         self,
         fingerprint: str,
         runners: Collection[str],
@@ -34,7 +34,7 @@
         others = [name for name in runners if name not in crashed]
         return crashed if others else frozenset()
 
-    def crashed(
+    def record_crash(
         self,
         runner: str,
         fingerprints: Iterable[str],
@@ -45,15 +45,15 @@
 
         With too `few` runners to condemn by, each crash counts for itself.
         """
-        number, at = self._counts.get(runner, (0, -inf))
-        if now - at > SAME_CRASH_S:
+        number, at = self._last_crashes.get(runner, (0, -inf))
+        if now - at > SAME_CRASH_WINDOW_S:
             number += 1
-        self._counts[runner] = (number, now)
+        self._last_crashes[runner] = (number, now)
         name = f'{runner}#{number}' if few else runner
         known = [each for each in fingerprints if each]
         self._book.crashed(name, known, now)
 
-    def finished(self, fingerprint: str, now: float) -> None:
+    def record_finish(self, fingerprint: str, now: float) -> None:
         """Clear content that ran to its end, and by nothing less.
 
         A try that a restarting runner refused shows nothing; cleared by it, a
--- a/bramleybend/scheduler/gossip.py
+++ b/bramleybend/scheduler/gossip.py
@@ -12,9 +12,9 @@
 
 from bramleybend.clock import Clock
 from bramleybend.models import Vm
-from bramleybend.scheduler.gossip_records import read_members, write_members
-from bramleybend.scheduler.heard_shards import HeardShards
-from bramleybend.scheduler.peer_wire import PeerWire
+from bramleybend.scheduler.gossip_records import decode_members, encode_members
+from bramleybend.scheduler.heard_shards import RemoteLoads
+from bramleybend.scheduler.peer_wire import PeerTransport
 from bramleybend.state.member import Member
 from bramleybend.state.membership import PERIOD_S, Members, Outgoing
 from bramleybend.wire.bramleybend_pb2 import (
@@ -26,32 +26,32 @@
 
 PROBE_TIMEOUT_S: Final = 0.3
 # A helper's own probe takes up to the first; the rest is the way there.
-HELPER_TIMEOUT_S: Final = 0.4
+INDIRECT_PROBE_TIMEOUT_S: Final = 0.4
 # An answer that took this much longer than its limit was held up here: the
 # process was paused, and the silence says nothing of the peer.
-HELD_UP_S: Final = 0.5
-LIST_POLLS: Final = 20
+MIN_PAUSE_S: Final = 0.5
+MAX_LIST_POLLS: Final = 20
 
 
-class News(Protocol):
+class GossipDelegate(Protocol):
     """What rides on the probes besides membership; all of it bounded."""
 
-    def header(self) -> Header:
+    def make_header(self) -> Header:
         """Return the header, with the version of the terms in force."""
 
-    def listed(self) -> Sequence[Vm]:
+    def get_listed_vms(self) -> Sequence[Vm]:
         """Return the entry VMs on the VM list."""
 
-    def own_shards(self) -> Iterable[ShardRecord]:
+    def sample_owned_shards(self) -> Iterable[ShardRecord]:
         """Return the loads of the shards owned here."""
 
-    def suspects(self) -> Iterable[SuspectRecord]:
+    def sample_suspects(self) -> Iterable[SuspectRecord]:
         """Return some records of requests that crashed runners."""
 
-    def take_suspects(self, records: Iterable[SuspectRecord]) -> None:
+    def merge_suspects(self, records: Iterable[SuspectRecord]) -> None:
         """Take in such records of a peer."""
 
-    def heard_from(self, peer: Member, terms_version: int) -> None:
+    def on_peer_heard(self, peer: Member, terms_version: int) -> None:
         """Note that a peer spoke and which terms it has."""
 
 
@@ -60,8 +60,8 @@
     """What the task works with."""
 
     members: Members
-    wire: PeerWire
-    news: News
+    transport: PeerTransport
+    delegate: GossipDelegate
     clock: Clock
 
 
@@ -70,39 +70,39 @@
 
     def __init__(self, deps: GossipDeps, rng: Random) -> None:
         """Send nothing until run."""
-        self.shards = HeardShards(rng)
+        self.remote_loads = RemoteLoads(rng)
         self._members = deps.members
-        self._wire = deps.wire
-        self._news = deps.news
+        self._transport = deps.transport
+        self._delegate = deps.delegate
         self._clock = deps.clock
-        self._probes: set[asyncio.Task[None]] = set()
+        self._probe_tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
         """Probe once a period until cancelled."""
         await self._wait_for_list()
         while True:
-            self.probe_now()
+            self.send_probes()
             await asyncio.sleep(PERIOD_S)
 
-    def probe_now(self) -> None:
+    def send_probes(self) -> None:
         """Begin a period's probes; also used to announce leaving at once."""
         now = self._clock.monotonic()
-        self._members.learn_listed(self._news.listed(), now)
+        self._members.learn_listed(self._delegate.get_listed_vms(), now)
         for outgoing in self._members.tick(now):
-            self._spawn(self.probe(outgoing))
+            self._start_task(self.probe(outgoing))
 
-    async def answer(self, message: GossipMessage) -> GossipMessage:
+    async def handle_message(self, message: GossipMessage) -> GossipMessage:
         """Take in a peer's message, probe for it if asked, and reply."""
         answered = False
         if message.probe:
             answered = await self._probe_for_peer(message.probe)
-        members = read_members(message.members)
+        members = decode_members(message.members)
         if not members:
-            return self._message(())
-        self._take_news(members[0], message)
+            return self._build_message(())
+        self._process_payload(members[0], message)
         now = self._clock.monotonic()
         reply = self._members.on_message(members[0], members[1:], now)
-        return self._message(reply, answered=answered)
+        return self._build_message(reply, answered=answered)
 
     async def probe(self, outgoing: Outgoing) -> None:
         """Probe a peer, by helpers if it doesn't answer."""
@@ -115,7 +115,7 @@
         if not asks:
             return
         reached = await asyncio.gather(
-            *(self._exchange(ask, HELPER_TIMEOUT_S) for ask in asks),
+            *(self._exchange(ask, INDIRECT_PROBE_TIMEOUT_S) for ask in asks),
         )
         if None in reached:
             return
@@ -132,20 +132,22 @@
         timeout_s: float,
     ) -> bool | None:
         """Whether the answer wanted came; None if that can't be said."""
-        message = self._message(outgoing.records, outgoing.probe)
+        message = self._build_message(outgoing.records, outgoing.probe)
         began = self._clock.monotonic()
-        reply = await self._wire.gossip(outgoing.target, message, timeout_s)
+        reply = await self._transport.gossip(
+            outgoing.target, message, timeout_s
+        )
         now = self._clock.monotonic()
         if reply is None:
-            held_up = now - began > timeout_s + HELD_UP_S
+            held_up = now - began > timeout_s + MIN_PAUSE_S
             return None if held_up else False
-        members = read_members(reply.members)
+        members = decode_members(reply.members)
         if members:
-            self._take_news(members[0], reply)
+            self._process_payload(members[0], reply)
             self._members.on_records(members, now)
         return reply.probe_answered if outgoing.probe else True
 
-    def _message(
+    def _build_message(
         self,
         records: Iterable[Member],
         probe: str = '',
@@ -153,31 +155,36 @@
         answered: bool = False,
     ) -> GossipMessage:
         now = self._clock.monotonic()
-        shards = [*self._news.own_shards(), *self.shards.to_relay(now)]
+        shards = [
+            *self._delegate.sample_owned_shards(),
+            *self.remote_loads.sample_for_relay(now),
+        ]
         return GossipMessage(
-            header=self._news.header(),
-            members=write_members(records),
-            suspects=self._news.suspects(),
+            header=self._delegate.make_header(),
+            members=encode_members(records),
+            suspects=self._delegate.sample_suspects(),
             shards=shards,
             probe=probe,
             probe_answered=answered,
         )
 
-    def _take_news(self, sender: Member, message: GossipMessage) -> None:
+    def _process_payload(self, sender: Member, message: GossipMessage) -> None:
         now = self._clock.monotonic()
-        self.shards.take(message.header.incarnation, message.shards, now)
-        self._news.take_suspects(message.suspects)
-        self._news.heard_from(sender, message.header.terms_version)
+        self.remote_loads.add_records(
+            message.header.incarnation, message.shards, now
+        )
+        self._delegate.merge_suspects(message.suspects)
+        self._delegate.on_peer_heard(sender, message.header.terms_version)
 
     async def _wait_for_list(self) -> None:
         # The list is read while this starts; without it the first period
         # would pass with nobody to probe.
-        for _ in range(LIST_POLLS):
-            if self._news.listed():
+        for _ in range(MAX_LIST_POLLS):
+            if self._delegate.get_listed_vms():
                 return
-            await asyncio.sleep(PERIOD_S / LIST_POLLS)
+            await asyncio.sleep(PERIOD_S / MAX_LIST_POLLS)
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
-        self._probes.add(task)
-        task.add_done_callback(self._probes.discard)
+        self._probe_tasks.add(task)
+        task.add_done_callback(self._probe_tasks.discard)
--- a/bramleybend/scheduler/gossip_records.py
+++ b/bramleybend/scheduler/gossip_records.py
@@ -5,10 +5,10 @@
 from bramleybend.state.member import Member, MemberState
 from bramleybend.wire.bramleybend_pb2 import MemberRecord
 
-STATES = frozenset(MemberState)
+KNOWN_STATES = frozenset(MemberState)
 
 
-def write_members(members: Iterable[Member]) -> list[MemberRecord]:
+def encode_members(members: Iterable[Member]) -> list[MemberRecord]:
     """Put members on the wire."""
     return [
         MemberRecord(
@@ -23,7 +23,7 @@
     ]
 
 
-def read_members(records: Iterable[MemberRecord]) -> list[Member]:
+def decode_members(records: Iterable[MemberRecord]) -> list[Member]:
     """Read members, without those in a state this release doesn't know."""
     return [
         Member(
@@ -35,5 +35,5 @@
             state=MemberState(record.state),
         )
         for record in records
-        if record.state in STATES
+        if record.state in KNOWN_STATES
     ]
--- a/bramleybend/scheduler/heard_shards.py
+++ b/bramleybend/scheduler/heard_shards.py
@@ -13,29 +13,29 @@
 from bramleybend.decisions.actions import ShardView
 from bramleybend.wire.bramleybend_pb2 import ShardRecord
 
-RELAY_S: Final = 3.0  # how long a record from its owner is passed on
-KEEP_S: Final = 30.0
+RELAY_WINDOW_S: Final = 3.0  # how long a record from its owner is passed on
+MAX_AGE_S: Final = 30.0
 MAX_RELAYED: Final = 16
 
 
 @dataclass(frozen=True)
-class Heard:
+class RemoteLoad:
     """One record, when it came, and whether from the owner itself."""
 
     record: ShardRecord
-    at: float
-    direct: bool
+    received_at: float
+    is_from_owner: bool
 
 
-class HeardShards:
+class RemoteLoads:
     """The newest record of each shard that this VM does not own."""
 
     def __init__(self, rng: Random) -> None:
         """Know no loads."""
         self._rng = rng
-        self._heard: dict[tuple[str, int], Heard] = {}
+        self._loads: dict[tuple[str, int], RemoteLoad] = {}
 
-    def take(
+    def add_records(
         self,
         sender: str,
         records: Iterable[ShardRecord],
@@ -45,33 +45,37 @@
         for record in records:
             direct = record.owner == sender
             key = (record.service, record.shard)
-            known = self._heard.get(key)
-            if direct or known is None or now - known.at > RELAY_S:
-                self._heard[key] = Heard(record, now, direct)
+            known = self._loads.get(key)
+            if (
+                direct
+                or known is None
+                or now - known.received_at > RELAY_WINDOW_S
+            ):
+                self._loads[key] = RemoteLoad(record, now, direct)
 
-    def to_relay(self, now: float) -> list[ShardRecord]:
+    def sample_for_relay(self, now: float) -> list[ShardRecord]:
         """Return a bounded random few that came from their owners lately."""
         fresh = [
             heard.record
-            for heard in self._heard.values()
-            if heard.direct and now - heard.at <= RELAY_S
+            for heard in self._loads.values()
+            if heard.is_from_owner and now - heard.received_at <= RELAY_WINDOW_S
         ]
         return self._rng.sample(fresh, min(MAX_RELAYED, len(fresh)))
 
-    def views(self, now: float) -> dict[tuple[str, int], ShardView]:
+    def get_views(self, now: float) -> dict[tuple[str, int], ShardView]:
         """Return what is known and not too old, by service and shard."""
-        self._heard = {
+        self._loads = {
             key: heard
-            for key, heard in self._heard.items()
-            if now - heard.at <= KEEP_S
+            for key, heard in self._loads.items()
+            if now - heard.received_at <= MAX_AGE_S
         }
         return {
-            key: _view(heard.record, now - heard.at)
-            for key, heard in self._heard.items()
+            key: _make_view(heard.record, now - heard.received_at)
+            for key, heard in self._loads.items()
         }
 
 
-def _view(record: ShardRecord, age_s: float) -> ShardView:
+def _make_view(record: ShardRecord, age_s: float) -> ShardView:
     return ShardView(
         service=record.service,
         shard=record.shard,
--- a/bramleybend/scheduler/list_watch.py
+++ b/bramleybend/scheduler/list_watch.py
@@ -17,7 +17,7 @@
 LEAVING_HOLD_S: Final = 30.0
 
 
-class ListWatch:
+class VmListPoller:
     """Polls the list and keeps what it last said."""
 
     def __init__(
@@ -30,14 +30,14 @@
     ) -> None:
         """Know no VM yet."""
         self.vms: tuple[Vm, ...] = ()
-        self.ok = False
-        self.heard_at = float('-inf')
-        self._list = vms
+        self.is_available = False
+        self.last_read_at = float('-inf')
+        self._client = vms
         self._poll_s = poll_s
         self._clock = clock
         self._events = events
         self._metrics = metrics
-        self._leaving: dict[str, float] = {}
+        self._leaving_seen_at: dict[str, float] = {}
 
     @property
     def runners(self) -> tuple[Vm, ...]:
@@ -49,7 +49,7 @@
         """The system's own VMs."""
         return tuple(vm for vm in self.vms if vm.service == ENTRY_SERVICE)
 
-    async def watch(self) -> None:
+    async def run(self) -> None:
         """Poll until cancelled."""
         while True:
             await self.poll()
@@ -57,26 +57,26 @@
 
     async def poll(self) -> None:
         """Read the list once."""
-        match await self._list.fetch():
+        match await self._client.fetch():
             case Ok(()) if self.vms:
                 # A list service that has just started has nothing yet; taken
                 # at its word it would end all service at once.
-                self._distrust('the VM list is empty')
+                self._mark_unavailable('the VM list is empty')
             case Ok(vms):
-                self._take(vms)
+                self._apply_list(vms)
             case Err(problem):
-                self._distrust(problem.detail)
+                self._mark_unavailable(problem.detail)
 
-    def _distrust(self, detail: str) -> None:
+    def _mark_unavailable(self, detail: str) -> None:
         self._metrics.count(Metric.LIST_ERRORS)
-        if self.ok:
+        if self.is_available:
             self._events.record('list_down', detail=detail)
-        self.ok = False
+        self.is_available = False
 
-    def _take(self, vms: tuple[Vm, ...]) -> None:
+    def _apply_list(self, vms: tuple[Vm, ...]) -> None:
         now = self._clock.monotonic()
         before = {vm.name: vm for vm in self.vms}
-        vms = tuple(self._steadied(vm, now) for vm in vms)
+        vms = tuple(self._keep_leaving(vm, now) for vm in vms)
         for vm in vms:
             if before.get(vm.name) != vm:
                 self._events.record(
@@ -86,17 +86,17 @@
                     state=vm.state,
                 )
         self.vms = vms
-        self.ok = True
-        self.heard_at = now
+        self.is_available = True
+        self.last_read_at = now
 
-    def _steadied(self, vm: Vm, now: float) -> Vm:
+    def _keep_leaving(self, vm: Vm, now: float) -> Vm:
         """Keep a VM leaving that an older copy of the list shows live."""
         key = f'{vm.name}@{vm.endpoint}'
         if vm.state is RunnerState.LEAVING:
-            self._leaving[key] = now
+            self._leaving_seen_at[key] = now
             return vm
-        seen_at = self._leaving.get(key)
+        seen_at = self._leaving_seen_at.get(key)
         if seen_at is None or now - seen_at > LEAVING_HOLD_S:
-            self._leaving.pop(key, None)
+            self._leaving_seen_at.pop(key, None)
             return vm
         return replace(vm, state=RunnerState.LEAVING)
--- a/bramleybend/scheduler/load_permits.py
+++ b/bramleybend/scheduler/load_permits.py
@@ -17,11 +17,11 @@
 
 
 @dataclass(frozen=True)
-class Permit:
+class LoadPermit:
     """One load may begin, soon."""
 
     load_id: str
-    asked_at: float
+    requested_at: float
 
     def is_fresh(self, now: float) -> bool:
         """Whether it may still be used.
@@ -29,7 +29,7 @@
         Others count a load from when they read it, which is after it was
         asked for. One that begins late would outlive their patience.
         """
-        return now - self.asked_at < PERMIT_USE_S
+        return now - self.requested_at < PERMIT_USE_S
 
 
 class LoadPermits:
@@ -39,43 +39,45 @@
         """Know of no load."""
         self._deps = deps
         self._loads = WeightLoads()
-        self._to_end: set[str] = set()
-        self._readable = False
+        self._unwritten_ends: set[str] = set()
+        self._is_log_readable = False
 
     async def refresh(self, store: WeightStore) -> bool:
         """Read to the tail; whether the log let us."""
-        self._readable = await read_to_tail(
+        self._is_log_readable = await read_to_tail(
             self._deps.log,
             LOADS_STREAM,
             self._loads,
             self._apply,
         )
-        if not self._readable:
+        if not self._is_log_readable:
             return False
         self._expire(store)
-        await self._write_ends()
+        await self._append_ends()
         return True
 
-    def room(self, store: WeightStore) -> int:
+    def count_available(self, store: WeightStore) -> int:
         """Return how many loads might begin now; none with the log down.
 
         An engine that is drained for a load that can't begin serves nobody
         for nothing.
         """
-        if not self._readable:
+        if not self._is_log_readable:
             return 0
         return self._loads.room(store.loads_at_once)
 
-    def open_of(self, runner: str) -> list[str]:
+    def list_open_loads(self, runner: str) -> list[str]:
         """Return the ids of a runner's loads, whoever began them."""
         return [load.load_id for load in self._loads.of_runner(runner)]
 
-    async def acquire(self, runner: str, store: WeightStore) -> Permit | None:
+    async def acquire(
+        self, runner: str, store: WeightStore
+    ) -> LoadPermit | None:
         """Ask for a permit; nothing if others were first or the log is down."""
-        if not self.room(store):
+        if not self.count_available(store):
             return None
         load_id = uuid.uuid4().hex
-        permit = Permit(load_id, self._deps.clock.monotonic())
+        permit = LoadPermit(load_id, self._deps.clock.monotonic())
         begun = LoadBegunRecord(load_id=load_id, runner=runner)
         # Whatever became of the append, the stream tells.
         await self._deps.log.append(LOADS_STREAM, [begun.encode()])
@@ -88,22 +90,22 @@
 
     async def release(self, load_id: str) -> None:
         """Say that a load is over; written later if the log is down."""
-        await self.end_all([load_id])
+        await self.release_all([load_id])
 
-    async def end_all(self, load_ids: Iterable[str]) -> None:
+    async def release_all(self, load_ids: Iterable[str]) -> None:
         """Say that several loads are over."""
-        self._to_end.update(load_ids)
-        await self._write_ends()
+        self._unwritten_ends.update(load_ids)
+        await self._append_ends()
 
-    async def _write_ends(self) -> None:
-        ending = sorted(self._to_end)
+    async def _append_ends(self) -> None:
+        ending = sorted(self._unwritten_ends)
         if not ending:
             return
         records = [LoadEndedRecord(load_id=each).encode() for each in ending]
         # After a lost reply they are written again; a second end is harmless.
         reply = await self._deps.log.append(LOADS_STREAM, records)
         if reply.is_ok():
-            self._to_end.difference_update(ending)
+            self._unwritten_ends.difference_update(ending)
             for load_id in ending:
                 self._deps.events.record('load_ended', load=load_id)
 
--- a/bramleybend/scheduler/messages.py
+++ b/bramleybend/scheduler/messages.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class Asked:
+class SlotRequested:
     """A gateway wants a slot."""
 
     hold: HoldChannel
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class Adopted:
+class RunAdopted:
     """A gateway registers a run whose owner was lost."""
 
     hold: HoldChannel
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True)
-class FloorAsked:
+class FloorRequested:
     """A gateway wants to shed and asks what runs below its tier."""
 
     tier: Tier
@@ -88,12 +88,12 @@
 
 
 ShardMessage = (
-    Asked
-    | Adopted
+    SlotRequested
+    | RunAdopted
     | FirstTokenSeen
     | RunEnded
     | HoldLost
     | RunnersListed
     | OwnershipMoved
-    | FloorAsked
+    | FloorRequested
 )
--- a/bramleybend/scheduler/order_changes.py
+++ b/bramleybend/scheduler/order_changes.py
@@ -12,16 +12,16 @@
     next_order,
 )
 from bramleybend.models import EngineTarget, Vm
-from bramleybend.scheduler.load_permits import Permit
+from bramleybend.scheduler.load_permits import LoadPermit
 
 # An order whose reply was lost may still be on its way; engines begin to load
 # within a round trip, so what isn't seen by then was not taken.
 ORDER_SETTLE_S: Final = 2.0
 # A version that can't be loaded would else be fetched again without pause.
-RETRY_S: Final = 30.0
+RETRY_DELAY_S: Final = 30.0
 
 
-class Phase(StrEnum):
+class ChangePhase(StrEnum):
     """How far the change of one engine has come."""
 
     DRAINING = 'draining'
@@ -30,61 +30,68 @@
 
 
 @dataclass
-class Change:
+class EngineChange:
     """One engine on its way to what is declared."""
 
     vm: Vm
-    phase: Phase
-    since: float
+    phase: ChangePhase
+    entered_at: float
     drained_at: float | None = None
     order: Order | None = None
-    permit: Permit | None = None
+    permit: LoadPermit | None = None
 
-    def enter(self, phase: Phase, now: float) -> None:
+    def enter_phase(self, phase: ChangePhase, now: float) -> None:
         """Begin the next phase."""
         self.phase = phase
-        self.since = now
+        self.entered_at = now
 
-    def is_settled(self, now: float) -> bool:
+    def is_past_settle_time(self, now: float) -> bool:
         """Whether the order, if it was taken, must show by now."""
-        return now - self.since >= ORDER_SETTLE_S
+        return now - self.entered_at >= ORDER_SETTLE_S
 
-    def is_forgotten(self, now: float) -> bool:
+    def is_retry_due(self, now: float) -> bool:
         """Whether a failure is long enough ago to try again."""
-        return self.phase is Phase.FAILED and now - self.since >= RETRY_S
+        return (
+            self.phase is ChangePhase.FAILED
+            and now - self.entered_at >= RETRY_DELAY_S
+        )
 
 
-def views_of(
+def make_engine_views(
     vms: Sequence[Vm],
     states: Mapping[str, EngineState],
-    changes: Mapping[str, Change],
+    changes: Mapping[str, EngineChange],
 ) -> list[EngineView]:
     """Return the engines as the decisions see them."""
     return [
         EngineView(
             vm.name,
             states.get(vm.name),
-            _in_phase(changes, vm, Phase.DRAINING, Phase.ORDERED),
-            _in_phase(changes, vm, Phase.FAILED),
+            _is_in_phase(
+                changes, vm, ChangePhase.DRAINING, ChangePhase.ORDERED
+            ),
+            _is_in_phase(changes, vm, ChangePhase.FAILED),
         )
         for vm in vms
     ]
 
 
-def count_draining(changes: Mapping[str, Change]) -> int:
+def count_draining(changes: Mapping[str, EngineChange]) -> int:
     """Return how many engines may ask for a permit soon."""
-    return sum(change.phase is Phase.DRAINING for change in changes.values())
+    return sum(
+        change.phase is ChangePhase.DRAINING for change in changes.values()
+    )
 
 
-def loads_of(changes: Iterable[Change]) -> frozenset[str]:
+def collect_load_ids(changes: Iterable[EngineChange]) -> frozenset[str]:
     """Return the ids of the loads that these changes began."""
     return frozenset(
         change.permit.load_id for change in changes if change.permit
     )
 
 
-def is_taken(
-    change: Change,
+def is_order_finished(
+    change: EngineChange,
     state: EngineState | None,
     target: EngineTarget,
     now: float,
@@ -94,13 +101,13 @@
         return False
     if next_order(state, target) != change.order:
         return True
-    return change.is_settled(now)
+    return change.is_past_settle_time(now)
 
 
-def _in_phase(
-    changes: Mapping[str, Change],
+def _is_in_phase(
+    changes: Mapping[str, EngineChange],
     vm: Vm,
-    *phases: Phase,
+    *phases: ChangePhase,
 ) -> bool:
     change = changes.get(vm.name)
     return change is not None and change.phase in phases
--- a/bramleybend/scheduler/order_deps.py
+++ b/bramleybend/scheduler/order_deps.py
@@ -17,7 +17,7 @@
 from bramleybend.models import EngineTarget, Terms, Vm, WeightStore
 
 
-Owned: TypeAlias = tuple[str, int]  # service and shard
+OwnedShard: TypeAlias = tuple[str, int]  # service and shard
 
 
 @dataclass(frozen=True)
@@ -26,7 +26,7 @@
 
     service: str
     shard: int
-    shards: int
+    shard_count: int
 
 
 @dataclass(frozen=True)
@@ -41,27 +41,27 @@
 
 
 @dataclass(frozen=True)
-class OrderPort:
+class OrderSources:
     """What issuers need to know of the scheduler around them."""
 
     terms: Callable[[], Terms | None]
-    is_fresh: Callable[[], bool]  # the terms may be acted on
+    are_terms_fresh: Callable[[], bool]  # the terms may be acted on
     runners: Callable[[], Sequence[Vm]]
-    owned: Callable[[], Sequence[Owned]]
+    owned_shards: Callable[[], Sequence[OwnedShard]]
     is_drained: Callable[[str, int, str], bool]  # service, shard, runner
 
 
 @dataclass(frozen=True)
-class Plan:
+class EnginePlan:
     """What one round of an issuer works towards."""
 
     target: EngineTarget
     checks_fence: bool
-    store: WeightStore
+    weight_store: WeightStore
     vms: Sequence[Vm]
 
 
-class Book(Protocol):
+class StreamState(Protocol):
     """Rules that are fed a stream's records in order."""
 
     @property
@@ -75,7 +75,7 @@
 async def read_to_tail(
     log: LogService,
     stream: str,
-    book: Book,
+    book: StreamState,
     apply: Callable[[LogRecord], None],
 ) -> bool:
     """Apply all records up to the tail; return whether the log let us."""
--- a/bramleybend/scheduler/order_issuer.py
+++ b/bramleybend/scheduler/order_issuer.py
@@ -24,73 +24,73 @@
 from bramleybend.models import EngineTarget, Vm
 from bramleybend.scheduler.load_permits import LoadPermits
 from bramleybend.scheduler.order_changes import (
-    Change,
-    Phase,
+    EngineChange,
+    ChangePhase,
     count_draining,
-    is_taken,
-    loads_of,
-    views_of,
+    is_order_finished,
+    collect_load_ids,
+    make_engine_views,
 )
 from bramleybend.scheduler.order_deps import (
     OrderDeps,
-    OrderPort,
-    Plan,
+    OrderSources,
+    EnginePlan,
     ShardKey,
 )
 from bramleybend.scheduler.order_sender import OrderSender
 
 
-class ShardIssuer:
+class OrderIssuer:
     """The one that orders a shard's engines, while its claim holds."""
 
     def __init__(
         self,
         key: ShardKey,
-        port: OrderPort,
+        sources: OrderSources,
         deps: OrderDeps,
         permits: LoadPermits,
         engines: EngineOrders,
     ) -> None:
         """Know nothing of the engines yet."""
-        self.unfit: frozenset[str] = frozenset()
-        self.wrong = 0
+        self.unschedulable: frozenset[str] = frozenset()
+        self.mismatch_count = 0
         self._key = key
-        self._port = port
+        self._sources = sources
         self._deps = deps
         self._permits = permits
         self._engines = engines
-        self._sender = OrderSender(key, port, deps, engines)
+        self._sender = OrderSender(key, sources, deps, engines)
         self._states: dict[str, EngineState] = {}
-        self._changes: dict[str, Change] = {}
+        self._changes: dict[str, EngineChange] = {}
         self._target: EngineTarget | None = None
 
-    async def round(self, plan: Plan) -> None:
+    async def run_round(self, plan: EnginePlan) -> None:
         """Look at every engine and give what orders are due."""
-        self._forget(plan)
+        self._drop_stale_changes(plan)
         await self._read_states(plan.vms)
-        self._judge(plan)
-        lost_loads = self._lost_loads(plan)
-        if await self._sender.may_issue(plan):
-            if self._sender.planted:
-                await self._permits.end_all(lost_loads)
-            await self._sender.plant(plan, self._states)
-            self._take_out(plan)
+        self._update_status(plan)
+        lost_loads = self._list_orphaned_loads(plan)
+        if await self._sender.acquire_claim(plan):
+            if self._sender.fenced_engines:
+                await self._permits.release_all(lost_loads)
+            await self._sender.install_fence(plan, self._states)
+            self._start_draining(plan)
         else:
-            self._put_back()
+            self._cancel_draining()
         for change in tuple(self._changes.values()):
-            await self._advance(change, plan)
-        self._judge(plan)
+            await self._advance_change(change, plan)
+        self._update_status(plan)
 
     # ---- what the engines hold
 
-    def _forget(self, plan: Plan) -> None:
+    def _drop_stale_changes(self, plan: EnginePlan) -> None:
         now = self._deps.clock.monotonic()
         listed = {vm.name for vm in plan.vms}
         renewed = plan.target != self._target
         self._target = plan.target
         for name, change in tuple(self._changes.items()):
-            failed = change.phase is Phase.FAILED
-            over = change.is_forgotten(now) or (renewed and failed)
+            failed = change.phase is ChangePhase.FAILED
+            over = change.is_retry_due(now) or (renewed and failed)
             if over or name not in listed:
                 self._changes.pop(name)
 
@@ -102,14 +102,14 @@
             if isinstance(reply, Ok)
         }
 
-    def _judge(self, plan: Plan) -> None:
-        views = views_of(plan.vms, self._states, self._changes)
-        self.unfit = unfit_engines(views, plan.target)
-        self.wrong = sum(
+    def _update_status(self, plan: EnginePlan) -> None:
+        views = make_engine_views(plan.vms, self._states, self._changes)
+        self.unschedulable = unfit_engines(views, plan.target)
+        self.mismatch_count = sum(
             not is_right(view.state, plan.target) for view in views
         )
 
-    def _lost_loads(self, plan: Plan) -> list[str]:
+    def _list_orphaned_loads(self, plan: EnginePlan) -> list[str]:
         """Return loads of issuers before this one that must be over.
 
         The engine has refused them since this one's fence was planted, and it
@@ -118,30 +118,32 @@
         """
         if not plan.checks_fence:
             return []
-        own = loads_of(self._changes.values())
+        own = collect_load_ids(self._changes.values())
         return [
             load_id
             for name, state in self._states.items()
-            if not state.loading and name in self._sender.planted
-            for load_id in self._permits.open_of(name)
+            if not state.loading and name in self._sender.fenced_engines
+            for load_id in self._permits.list_open_loads(name)
             if load_id not in own
         ]
 
     # ---- one engine's change
 
-    def _put_back(self) -> None:
+    def _cancel_draining(self) -> None:
         """Return what waits for an order to service; ordered ones go on."""
         self._changes = {
             name: change
             for name, change in self._changes.items()
-            if change.phase is not Phase.DRAINING
+            if change.phase is not ChangePhase.DRAINING
         }
 
-    def _take_out(self, plan: Plan) -> None:
-        views = views_of(plan.vms, self._states, self._changes)
-        room = self._permits.room(plan.store) - count_draining(self._changes)
+    def _start_draining(self, plan: EnginePlan) -> None:
+        views = make_engine_views(plan.vms, self._states, self._changes)
+        room = self._permits.count_available(
+            plan.weight_store
+        ) - count_draining(self._changes)
         by_name = {vm.name: vm for vm in plan.vms}
-        most = plan.store.loads_at_once
+        most = plan.weight_store.loads_at_once
         for name in engines_to_change(views, plan.target, most):
             order = next_order(self._states[name], plan.target)
             needed = order is not None and needs_weights(order)
@@ -149,22 +151,26 @@
                 continue
             room -= needed
             now = self._deps.clock.monotonic()
-            self._changes[name] = Change(by_name[name], Phase.DRAINING, now)
+            self._changes[name] = EngineChange(
+                by_name[name], ChangePhase.DRAINING, now
+            )
 
-    async def _advance(self, change: Change, plan: Plan) -> None:
+    async def _advance_change(
+        self, change: EngineChange, plan: EnginePlan
+    ) -> None:
         match change.phase:
-            case Phase.DRAINING:
+            case ChangePhase.DRAINING:
                 if await self._is_drained(change):
-                    await self._order(change, plan)
-            case Phase.ORDERED:
-                await self._follow_up(change, plan)
+                    await self._issue_order(change, plan)
+            case ChangePhase.ORDERED:
+                await self._check_order(change, plan)
 
-    async def _is_drained(self, change: Change) -> bool:
+    async def _is_drained(self, change: EngineChange) -> bool:
         # Gateways may have been granted the engine by another VM, or have
         # vanished over a run, so the engine's own word is asked for too. It
         # is late; what it saw before the last grant ended proves nothing.
         key, name = self._key, change.vm.name
-        if not self._port.is_drained(key.service, key.shard, name):
+        if not self._sources.is_drained(key.service, key.shard, name):
             change.drained_at = None
             return False
         now = self._deps.clock.monotonic()
@@ -175,17 +181,19 @@
             return False
         return now - change.drained_at > work.age_s
 
-    async def _order(self, change: Change, plan: Plan) -> None:
+    async def _issue_order(
+        self, change: EngineChange, plan: EnginePlan
+    ) -> None:
         state = self._states.get(change.vm.name)
         if state is None or state.loading:
             return
         order = next_order(state, plan.target)
-        if order is None or not await self._prepare(change, order, plan):
+        if order is None or not await self._prepare_order(change, order, plan):
             await self._end_load(change)
             self._changes.pop(change.vm.name)
             return
         change.order = order
-        change.enter(Phase.ORDERED, self._deps.clock.monotonic())
+        change.enter_phase(ChangePhase.ORDERED, self._deps.clock.monotonic())
         problem = await self._sender.send(change.vm, order)
         if problem is None:
             return
@@ -193,13 +201,13 @@
             await self._end_load(change)
             self._changes.pop(change.vm.name)
         elif problem.kind is ErrorKind.RUNNER_REFUSED:
-            await self._fail(change)
+            await self._fail_change(change)
 
-    async def _prepare(
+    async def _prepare_order(
         self,
-        change: Change,
+        change: EngineChange,
         order: Order,
-        plan: Plan,
+        plan: EnginePlan,
     ) -> bool:
         """Do what must come before an order; whether it still is to be given.
 
@@ -209,11 +217,11 @@
         if needs_weights(order):
             change.permit = await self._permits.acquire(
                 change.vm.name,
-                plan.store,
+                plan.weight_store,
             )
             if change.permit is None:
                 return False
-        if not await self._sender.may_issue(plan):
+        if not await self._sender.acquire_claim(plan):
             return False
         state = (await self._engines.state(change.vm)).ok()
         if state is None or state.loading:
@@ -222,26 +230,28 @@
         may_load = change.permit is None or change.permit.is_fresh(now)
         return may_load and next_order(state, plan.target) == order
 
-    async def _follow_up(self, change: Change, plan: Plan) -> None:
+    async def _check_order(
+        self, change: EngineChange, plan: EnginePlan
+    ) -> None:
         state = self._states.get(change.vm.name)
         now = self._deps.clock.monotonic()
-        if not is_taken(change, state, plan.target, now):
+        if not is_order_finished(change, state, plan.target, now):
             return
         await self._end_load(change)
         if is_right(state, plan.target):
             self._changes.pop(change.vm.name)
-            self._sender.note('engine_ready', change.vm)
+            self._sender.record_event('engine_ready', change.vm)
         elif state and next_order(state, plan.target) == change.order:
-            await self._fail(change)
+            await self._fail_change(change)
         else:
-            await self._order(change, plan)
+            await self._issue_order(change, plan)
 
-    async def _fail(self, change: Change) -> None:
+    async def _fail_change(self, change: EngineChange) -> None:
         await self._end_load(change)
-        change.enter(Phase.FAILED, self._deps.clock.monotonic())
-        self._sender.note('order_failed', change.vm)
+        change.enter_phase(ChangePhase.FAILED, self._deps.clock.monotonic())
+        self._sender.record_event('order_failed', change.vm)
 
-    async def _end_load(self, change: Change) -> None:
+    async def _end_load(self, change: EngineChange) -> None:
         if change.permit is not None:
             await self._permits.release(change.permit.load_id)
             change.permit = None
--- a/bramleybend/scheduler/order_sender.py
+++ b/bramleybend/scheduler/order_sender.py
@@ -8,11 +8,11 @@
 from bramleybend.errors import ErrorKind, Problem
 from bramleybend.metrics import Metric
 from bramleybend.models import Vm
-from bramleybend.scheduler.order_claims import ClaimKeeper
+from bramleybend.scheduler.order_claims import ClaimHolder
 from bramleybend.scheduler.order_deps import (
     OrderDeps,
-    OrderPort,
-    Plan,
+    OrderSources,
+    EnginePlan,
     ShardKey,
 )
 
@@ -23,31 +23,33 @@
     def __init__(
         self,
         key: ShardKey,
-        port: OrderPort,
+        sources: OrderSources,
         deps: OrderDeps,
         engines: EngineOrders,
     ) -> None:
         """Claim nothing yet."""
-        self.planted: set[str] = set()  # engines that know the present fence
+        self.fenced_engines: set[str] = (
+            set()
+        )  # engines that know the present fence
         self._key = key
-        self._port = port
+        self._sources = sources
         self._deps = deps
         self._engines = engines
-        self._claims = ClaimKeeper(key, deps)
+        self._claims = ClaimHolder(key, deps)
 
-    async def may_issue(self, plan: Plan) -> bool:
+    async def acquire_claim(self, plan: EnginePlan) -> bool:
         """Read the claims again, and say whether orders may go out now."""
-        if not self._port.is_fresh():
+        if not self._sources.are_terms_fresh():
             return False
         held = self._claims.fence
-        may = await self._claims.may_issue(checks_fence=plan.checks_fence)
+        may = await self._claims.acquire(checks_fence=plan.checks_fence)
         if self._claims.fence != held:
-            self.planted.clear()
+            self.fenced_engines.clear()
         return may
 
-    async def plant(
+    async def install_fence(
         self,
-        plan: Plan,
+        plan: EnginePlan,
         states: Mapping[str, EngineState],
     ) -> None:
         """Make every engine know this issuer before any other order.
@@ -60,10 +62,10 @@
             return
         for vm in plan.vms:
             state = states.get(vm.name)
-            if state is None or vm.name in self.planted:
+            if state is None or vm.name in self.fenced_engines:
                 continue
             if await self.send(vm, SetRole(state.role)) is None:
-                self.planted.add(vm.name)
+                self.fenced_engines.add(vm.name)
 
     async def send(self, vm: Vm, order: Order) -> Problem | None:
         """Give one order; a higher fence at the engine ends the claim."""
@@ -75,17 +77,19 @@
                 'its next holder goes on',
             )
         kind = order_fields(order)['kind']
-        self.note('order_sent', vm, kind=kind, fence=fence)
+        self.record_event('order_sent', vm, kind=kind, fence=fence)
         problem = (await self._engines.send(vm, fence, order)).err()
         outcome = problem.kind if problem else 'accepted'
         self._deps.metrics.count(Metric.ORDERS, kind=kind, outcome=outcome)
         if problem is not None:
-            self.note('order_refused', vm, kind=problem.kind, fence=fence)
+            self.record_event(
+                'order_refused', vm, kind=problem.kind, fence=fence
+            )
             if problem.kind is ErrorKind.CONFLICT:
-                self._claims.drop()
+                self._claims.abandon()
         return problem
 
-    def note(self, event: str, vm: Vm, **fields: Any) -> None:
+    def record_event(self, event: str, vm: Vm, **fields: Any) -> None:
         """Record an event about one engine of the shard."""
         self._deps.events.record(
             event,
--- a/bramleybend/scheduler/orders.py
+++ b/bramleybend/scheduler/orders.py
@@ -13,13 +13,13 @@
 from bramleybend.scheduler.load_permits import LoadPermits
 from bramleybend.scheduler.order_deps import (
     OrderDeps,
-    OrderPort,
-    Plan,
+    OrderSources,
+    EnginePlan,
     ShardKey,
 )
-from bramleybend.scheduler.order_issuer import ShardIssuer
+from bramleybend.scheduler.order_issuer import OrderIssuer
 
-ROUND_S: Final = 0.5
+ROUND_INTERVAL_S: Final = 0.5
 
 
 class OrderManager:
@@ -27,74 +27,78 @@
 
     def __init__(
         self,
-        port: OrderPort,
+        sources: OrderSources,
         deps: OrderDeps,
         engines: EngineOrders,
     ) -> None:
         """Order nothing yet."""
-        self._port = port
+        self._sources = sources
         self._deps = deps
         self._engines = engines
         self._permits = LoadPermits(deps)
-        self._issuers: dict[ShardKey, ShardIssuer] = {}
-        self._working: dict[ShardKey, asyncio.Task[None]] = {}
-        self._gauged: frozenset[str] = frozenset()
+        self._issuers: dict[ShardKey, OrderIssuer] = {}
+        self._issuer_tasks: dict[ShardKey, asyncio.Task[None]] = {}
+        self._gauged_services: frozenset[str] = frozenset()
 
-    def is_fit(self, runner: str) -> bool:
+    def is_schedulable(self, runner: str) -> bool:
         """Whether a runner may get work, as far as orders go."""
         return not any(
-            runner in issuer.unfit for issuer in self._issuers.values()
+            runner in issuer.unschedulable for issuer in self._issuers.values()
         )
 
-    async def follow(self) -> None:
+    async def run(self) -> None:
         """Follow ownership and terms until cancelled."""
         try:
             while True:
-                await self._look()
-                await asyncio.sleep(ROUND_S)
+                await self._update_issuers()
+                await asyncio.sleep(ROUND_INTERVAL_S)
         finally:
-            for key in tuple(self._working):
-                self._end(key)
+            for key in tuple(self._issuer_tasks):
+                self._stop_issuer(key)
 
-    async def _look(self) -> None:
-        terms = self._port.terms()
-        wanted = _keys(terms, self._port) if terms else set()
+    async def _update_issuers(self) -> None:
+        terms = self._sources.terms()
+        wanted = _list_keys(terms, self._sources) if terms else set()
         for key in self._issuers.keys() - wanted:
-            self._end(key)
+            self._stop_issuer(key)
         for key in wanted - self._issuers.keys():
-            self._begin(key)
+            self._start_issuer(key)
         if terms and wanted:
             await self._permits.refresh(terms.weight_store)
         self._send_gauges()
 
-    def _begin(self, key: ShardKey) -> None:
-        issuer = ShardIssuer(
+    def _start_issuer(self, key: ShardKey) -> None:
+        issuer = OrderIssuer(
             key,
-            self._port,
+            self._sources,
             self._deps,
             self._permits,
             self._engines,
         )
         self._issuers[key] = issuer
-        self._working[key] = asyncio.create_task(self._work(key, issuer))
+        self._issuer_tasks[key] = asyncio.create_task(
+            self._run_issuer(key, issuer)
+        )
 
-    def _end(self, key: ShardKey) -> None:
+    def _stop_issuer(self, key: ShardKey) -> None:
         self._issuers.pop(key)
-        self._working.pop(key).cancel()
+        self._issuer_tasks.pop(key).cancel()
 
-    async def _work(self, key: ShardKey, issuer: ShardIssuer) -> None:
+    async def _run_issuer(self, key: ShardKey, issuer: OrderIssuer) -> None:
         while True:
-            plan = _plan(key, self._port)
+            plan = _make_plan(key, self._sources)
             if plan is not None:
-                await issuer.round(plan)
-            await asyncio.sleep(ROUND_S)
+                await issuer.run_round(plan)
+            await asyncio.sleep(ROUND_INTERVAL_S)
 
     def _send_gauges(self) -> None:
         # A gauge keeps its last level, so services that moved on are told too.
-        wrong = dict.fromkeys(self._gauged, 0)
+        wrong = dict.fromkeys(self._gauged_services, 0)
         for key, issuer in self._issuers.items():
-            wrong[key.service] = wrong.get(key.service, 0) + issuer.wrong
-        self._gauged = frozenset(wrong)
+            wrong[key.service] = (
+                wrong.get(key.service, 0) + issuer.mismatch_count
+            )
+        self._gauged_services = frozenset(wrong)
         for service, count in wrong.items():
             self._deps.metrics.gauge(
                 Metric.ENGINES_WRONG,
@@ -103,34 +107,36 @@
             )
 
 
-def make_orders(port: OrderPort, deps: OrderDeps) -> OrderManager:
+def make_orders(sources: OrderSources, deps: OrderDeps) -> OrderManager:
     """Build the manager of orders over HTTP."""
-    return OrderManager(port, deps, HttpEngineOrders())
+    return OrderManager(sources, deps, HttpEngineOrders())
 
 
-def _keys(terms: Terms, port: OrderPort) -> set[ShardKey]:
+def _list_keys(terms: Terms, sources: OrderSources) -> set[ShardKey]:
     keys: set[ShardKey] = set()
-    for name, shard in port.owned():
+    for name, shard in sources.owned_shards():
         service = terms.services.get(name)
         if service and service.engines and shard < service.shards:
             keys.add(ShardKey(name, shard, service.shards))
     return keys
 
 
-def _plan(key: ShardKey, port: OrderPort) -> Plan | None:
-    terms = port.terms()
+def _make_plan(key: ShardKey, sources: OrderSources) -> EnginePlan | None:
+    terms = sources.terms()
     service = terms.services.get(key.service) if terms else None
     if terms is None or service is None or service.engines is None:
         return None
     vms = tuple(
         vm
-        for vm in port.runners()
-        if vm.state is RunnerState.LIVE and _is_of(key, vm)
+        for vm in sources.runners()
+        if vm.state is RunnerState.LIVE and _is_in_shard(key, vm)
+    )
+    return EnginePlan(
+        service.engines, service.checks_fence, terms.weight_store, vms
     )
-    return Plan(service.engines, service.checks_fence, terms.weight_store, vms)
 
 
-def _is_of(key: ShardKey, vm: Vm) -> bool:
+def _is_in_shard(key: ShardKey, vm: Vm) -> bool:
     if vm.service != key.service:
         return False
-    return shard_of(vm.name, key.shards) == key.shard
+    return shard_of(vm.name, key.shard_count) == key.shard
--- a/bramleybend/scheduler/owner_service.py
+++ b/bramleybend/scheduler/owner_service.py
@@ -11,10 +11,10 @@
 from bramleybend.decisions.quarantine import Verdict
 from bramleybend.models import Ask, Tier
 from bramleybend.scheduler.messages import (
-    Adopted,
-    Asked,
+    RunAdopted,
+    SlotRequested,
     FirstTokenSeen,
-    FloorAsked,
+    FloorRequested,
     HoldChannel,
     HoldLost,
     RunEnded,
@@ -48,7 +48,7 @@
         self._headers = headers
         self._shards = shards
         self._clock = clock
-        self._numbers = count()
+        self._hold_numbers = count()
 
     async def Hold(
         self,
@@ -66,9 +66,11 @@
                 f'no service {ask.service}; publish terms that name it',
             )
             return
-        hold = self._hold(ask)
-        self._begin(shard, hold, first)
-        reading = asyncio.create_task(_read(request_iterator, shard, hold))
+        hold = self._make_hold(ask)
+        self._post_first_request(shard, hold, first)
+        reading = asyncio.create_task(
+            _post_requests(request_iterator, shard, hold)
+        )
         try:
             while (reply := await hold.outbox.get()) is not None:
                 reply.header.CopyFrom(self._headers.make())
@@ -88,27 +90,27 @@
         if shard is None:
             return FloorReply(settled=False)
         reply: asyncio.Future[int] = asyncio.Future()
-        shard.post(FloorAsked(Tier(request.tier), request.hold_s, reply))
+        shard.post(FloorRequested(Tier(request.tier), request.hold_s, reply))
         lower = await reply
         # A run may have left while the question was in the queue: then it is
         # neither counted here nor, perhaps, known to the next owner yet.
         return FloorReply(
             header=self._headers.make(),
-            settled=self._shards.settled(shard),
+            settled=self._shards.is_settled(shard),
             lower_running=lower,
         )
 
-    def _hold(self, ask: AskMessage) -> HoldChannel:
+    def _make_hold(self, ask: AskMessage) -> HoldChannel:
         # The same request may ask twice, after a reply was lost, so the
         # stream and not the request is what holds a slot.
         return HoldChannel(
-            f'{ask.request_id}#{next(self._numbers)}',
+            f'{ask.request_id}#{next(self._hold_numbers)}',
             ask.request_id,
             Tier(ask.tier),
             ask.fingerprint,
         )
 
-    def _begin(
+    def _post_first_request(
         self,
         shard: ShardTask,
         hold: HoldChannel,
@@ -116,26 +118,26 @@
     ) -> None:
         now = self._clock.monotonic()
         if first.HasField('adopt'):
-            ask = _ask_of(first.adopt.ask, now)
-            shard.post(Adopted(hold, ask, first.adopt.runner))
+            ask = _parse_ask(first.adopt.ask, now)
+            shard.post(RunAdopted(hold, ask, first.adopt.runner))
             return
-        verdict = self._shards.verdict(hold.fingerprint)
+        verdict = self._shards.get_verdict(hold.fingerprint)
         if verdict is Verdict.REFUSED:
-            _refuse_content(hold)
+            _refuse_quarantined(hold)
             return
         suspect = verdict is Verdict.SUSPECT
-        ask = _ask_of(first.ask, now, suspect=suspect)
-        shard.post(Asked(hold, ask, first.ask.urgent))
+        ask = _parse_ask(first.ask, now, suspect=suspect)
+        shard.post(SlotRequested(hold, ask, first.ask.urgent))
 
 
-def _refuse_content(hold: HoldChannel) -> None:
+def _refuse_quarantined(hold: HoldChannel) -> None:
     refused = Refused(reason='quarantined', quarantined=True)
     hold.outbox.put_nowait(HoldReply(queued=Queued()))
     hold.outbox.put_nowait(HoldReply(refused=refused))
     hold.outbox.put_nowait(None)
 
 
-async def _read(
+async def _post_requests(
     requests: AsyncIterator[HoldRequest],
     shard: ShardTask,
     hold: HoldChannel,
@@ -150,10 +152,12 @@
                 ),
             )
         elif request.HasField('ended'):
-            shard.post(RunEnded(hold, _report_of(request)))
+            shard.post(RunEnded(hold, _parse_report(request)))
 
 
-def _ask_of(message: AskMessage, now: float, *, suspect: bool = False) -> Ask:
+def _parse_ask(
+    message: AskMessage, now: float, *, suspect: bool = False
+) -> Ask:
     return Ask(
         request_id=message.request_id,
         service=message.service,
@@ -170,7 +174,7 @@
     )
 
 
-def _report_of(request: HoldRequest) -> RunReport:
+def _parse_report(request: HoldRequest) -> RunReport:
     ended = request.ended
     return RunReport(
         outcome=ended.outcome,
--- a/bramleybend/scheduler/pause_watch.py
+++ b/bramleybend/scheduler/pause_watch.py
@@ -3,7 +3,7 @@
 from bramleybend.clock import Clock
 
 
-class PauseWatch:
+class PauseDetector:
     """Goes by when the process last noted that it runs.
 
     What lies between two notes counts as part of a pause, so that none is
@@ -13,14 +13,16 @@
     def __init__(self, clock: Clock, long_s: float) -> None:
         """Take `long_s` seconds and more for a long pause."""
         self._clock = clock
-        self._long_s = long_s
-        self._ran_at = clock.monotonic()
+        self._min_pause_s = long_s
+        self._last_running_at = clock.monotonic()
 
     @property
     def was_paused(self) -> bool:
         """Whether a long pause has ended since the last note."""
-        return self._clock.monotonic() - self._ran_at >= self._long_s
+        return (
+            self._clock.monotonic() - self._last_running_at >= self._min_pause_s
+        )
 
-    def note_running(self) -> None:
+    def mark_running(self) -> None:
         """Note that the process runs."""
-        self._ran_at = self._clock.monotonic()
+        self._last_running_at = self._clock.monotonic()
--- a/bramleybend/scheduler/peer_service.py
+++ b/bramleybend/scheduler/peer_service.py
@@ -35,7 +35,7 @@
     ) -> GossipMessage:
         """Exchange news with a peer."""
         await refuse_other_protocol(request.header, context)
-        return await self._gossip.answer(request)
+        return await self._gossip.handle_message(request)
 
     async def FetchTerms(
         self,
--- a/bramleybend/scheduler/peer_wire.py
+++ b/bramleybend/scheduler/peer_wire.py
@@ -20,21 +20,21 @@
 
 MAX_CHANNELS: Final = 32
 FETCH_TIMEOUT_S: Final = 2.0
-MAX_TERMS: Final = 33_554_432  # bytes; any document of terms fits
+MAX_TERMS_BYTES: Final = 33_554_432  # bytes; any document of terms fits
 # Over a probe's own limit, or a peer that isn't run for a moment looks lost.
 CONNECT_TIMEOUT_MS: Final = 1000
 # A peer that comes back must be met by the next probe, not after a backoff.
-OPTIONS: Final = (
+CHANNEL_OPTIONS: Final = (
     ('grpc.initial_reconnect_backoff_ms', 100),
     ('grpc.min_reconnect_backoff_ms', CONNECT_TIMEOUT_MS),
     ('grpc.max_reconnect_backoff_ms', 500),
     ('grpc.use_local_subchannel_pool', 1),
     ('grpc.enable_http_proxy', 0),
-    ('grpc.max_receive_message_length', MAX_TERMS),
+    ('grpc.max_receive_message_length', MAX_TERMS_BYTES),
 )
 
 
-class PeerWire(Protocol):
+class PeerTransport(Protocol):
     """How messages reach a peer; None stands for no answer in time."""
 
     async def gossip(
@@ -53,7 +53,7 @@
         """Ask a peer for its terms."""
 
 
-class GrpcPeerWire:
+class GrpcPeerTransport:
     """Keeps the channels used last; the others are closed."""
 
     def __init__(self, port: int) -> None:
@@ -104,14 +104,14 @@
         if channel is None:
             channel = grpc.aio.insecure_channel(
                 f'{address}:{self._port}',
-                options=OPTIONS,
+                options=CHANNEL_OPTIONS,
             )
         self._channels[address] = channel
         if len(self._channels) > MAX_CHANNELS:
-            self._close_oldest()
+            self._evict_oldest()
         return PeerStub(channel)
 
-    def _close_oldest(self) -> None:
+    def _evict_oldest(self) -> None:
         oldest = self._channels.popitem(last=False)[1]
         task = asyncio.create_task(oldest.close(FETCH_TIMEOUT_S))
         self._closing.add(task)
--- a/bramleybend/scheduler/peers.py
+++ b/bramleybend/scheduler/peers.py
@@ -16,8 +16,8 @@
 from bramleybend.models import RunnerState, Vm
 from bramleybend.scheduler.gossip import Gossip, GossipDeps
 from bramleybend.scheduler.peer_service import PeerService
-from bramleybend.scheduler.peer_wire import PeerWire
-from bramleybend.scheduler.suspects import merge, sampled
+from bramleybend.scheduler.peer_wire import PeerTransport
+from bramleybend.scheduler.suspects import merge_suspects, sample_suspects
 from bramleybend.state.member import Member, MemberState
 from bramleybend.state.membership import Members
 from bramleybend.state.terms_follower import PeerTerms, TermsFollower
@@ -30,13 +30,13 @@
 from bramleybend.wire.bramleybend_pb2_grpc import add_PeerServicer_to_server
 from bramleybend.wire.channels import PROTOCOL
 
-MILLISECONDS: Final = 1000
-MAX_SHARDS: Final = 64
-MAX_SUSPECTS: Final = 16
+MS_PER_S: Final = 1000
+MAX_SENT_SHARDS: Final = 64
+MAX_SENT_SUSPECTS: Final = 16
 # A new process knows nobody and would own every shard beside the true owners,
 # or name no owner to its gateway. Until gossip has brought the table it counts
 # whom the VM list shows and nobody has contradicted.
-JOIN_S: Final = 10.0
+JOIN_PERIOD_S: Final = 10.0
 
 
 @dataclass(frozen=True)
@@ -46,22 +46,22 @@
     identity: Identity
     terms: TermsFollower
     crashes: CrashBook
-    listed: Callable[[], Sequence[Vm]]
-    shards: Callable[[], Iterable[ShardView]]
+    listed_vms: Callable[[], Sequence[Vm]]
+    owned_shards: Callable[[], Iterable[ShardView]]
 
 
-class PeerNews:
+class SchedulerGossipDelegate:
     """Reads this scheduler's parts for peers and tells them the news."""
 
     def __init__(self, sources: PeerSources, clock: Clock, rng: Random) -> None:
         """Send what the sources hold."""
-        self.ahead: str = ''  # address of a peer with newer terms
+        self.newer_terms_address: str = ''  # address of a peer with newer terms
         self._sources = sources
         self._clock = clock
         self._rng = rng
-        self._learning: asyncio.Task[None] | None = None
+        self._fetch_task: asyncio.Task[None] | None = None
 
-    def header(self) -> Header:
+    def make_header(self) -> Header:
         """Return the header, with the version of the terms in force."""
         return Header(
             protocol=PROTOCOL,
@@ -70,14 +70,14 @@
             terms_version=self._sources.terms.version,
         )
 
-    def listed(self) -> Sequence[Vm]:
+    def get_listed_vms(self) -> Sequence[Vm]:
         """Return the entry VMs on the VM list."""
-        return self._sources.listed()
+        return self._sources.listed_vms()
 
-    def own_shards(self) -> list[ShardRecord]:
+    def sample_owned_shards(self) -> list[ShardRecord]:
         """Return the loads of the shards owned here, or a random part."""
-        views = list(self._sources.shards())
-        picked = self._rng.sample(views, min(MAX_SHARDS, len(views)))
+        views = list(self._sources.owned_shards())
+        picked = self._rng.sample(views, min(MAX_SENT_SHARDS, len(views)))
         return [
             ShardRecord(
                 service=view.service,
@@ -90,24 +90,26 @@
             for view in picked
         ]
 
-    def suspects(self) -> list[SuspectRecord]:
+    def sample_suspects(self) -> list[SuspectRecord]:
         """Return a random part of the records of crashes."""
-        return sampled(self._sources.crashes, self._rng, MAX_SUSPECTS)
+        return sample_suspects(
+            self._sources.crashes, self._rng, MAX_SENT_SUSPECTS
+        )
 
-    def take_suspects(self, records: Iterable[SuspectRecord]) -> None:
+    def merge_suspects(self, records: Iterable[SuspectRecord]) -> None:
         """Take in records of crashes that a peer knows."""
-        merge(self._sources.crashes, records, self._clock.monotonic())
+        merge_suspects(self._sources.crashes, records, self._clock.monotonic())
 
-    def heard_from(self, peer: Member, terms_version: int) -> None:
+    def on_peer_heard(self, peer: Member, terms_version: int) -> None:
         """Fetch newer terms; the same ones are a sign that none are missed."""
         terms = self._sources.terms
         if terms_version == terms.version:
             terms.heard_peer()
         if terms_version <= terms.version:
             return
-        self.ahead = peer.address
-        if self._learning is None or self._learning.done():
-            self._learning = asyncio.create_task(terms.learn_from_peer())
+        self.newer_terms_address = peer.address
+        if self._fetch_task is None or self._fetch_task.done():
+            self._fetch_task = asyncio.create_task(terms.learn_from_peer())
 
 
 class Peers:
@@ -116,7 +118,7 @@
     def __init__(
         self,
         sources: PeerSources,
-        wire: PeerWire,
+        transport: PeerTransport,
         clock: Clock,
         rng: Random,
     ) -> None:
@@ -127,49 +129,49 @@
             address=identity.address,
             domain=identity.domain,
             incarnation=identity.incarnation,
-            heartbeat=int(clock.now().timestamp() * MILLISECONDS),
+            heartbeat=int(clock.now().timestamp() * MS_PER_S),
         )
-        self._started = clock.monotonic()
-        self.members = Members(own, rng, self._started)
-        self.news = PeerNews(sources, clock, rng)
+        self._started_at = clock.monotonic()
+        self.members = Members(own, rng, self._started_at)
+        self.delegate = SchedulerGossipDelegate(sources, clock, rng)
         self._gossip = Gossip(
-            GossipDeps(self.members, wire, self.news, clock),
+            GossipDeps(self.members, transport, self.delegate, clock),
             rng,
         )
         self._sources = sources
-        self._wire = wire
+        self._transport = transport
         self._clock = clock
         self._rng = rng
 
     # ---- queries
 
-    def alive(self) -> tuple[Member, ...]:
+    def list_owner_candidates(self) -> tuple[Member, ...]:
         """Return who may own shards."""
-        return tuple(each for each in self.met() if each.may_own)
+        return tuple(each for each in self.list_contacts() if each.may_own)
 
-    def met(self) -> tuple[Member, ...]:
+    def list_contacts(self) -> tuple[Member, ...]:
         """Return every member, for forwarding also to those leaving."""
-        known = self.known()
-        if self._clock.monotonic() - self._started > JOIN_S:
+        known = self.list_known()
+        if self._clock.monotonic() - self._started_at > JOIN_PERIOD_S:
             return known
         met = {member.address for member in known}
         return known + tuple(
             Member(vm.name, vm.address, vm.domain, vm.name)
-            for vm in self._sources.listed()
+            for vm in self._sources.listed_vms()
             if vm.state is RunnerState.LIVE and vm.address not in met
         )
 
-    def known(self) -> tuple[Member, ...]:
+    def list_known(self) -> tuple[Member, ...]:
         """Return every member, also those leaving or dead."""
         return self.members.known(self._clock.monotonic())
 
-    def loads(self) -> dict[tuple[str, int], ShardView]:
+    def get_remote_loads(self) -> dict[tuple[str, int], ShardView]:
         """Return the loads heard of from other owners."""
-        return self._gossip.shards.views(self._clock.monotonic())
+        return self._gossip.remote_loads.get_views(self._clock.monotonic())
 
     def terms_age_s(self) -> float:
         """Return how old the word is that the terms are still in force."""
-        members = self.met()
+        members = self.list_contacts()
         return terms_age_s(
             self._sources.terms.log_age_s,
             self._sources.terms.peer_age_s,
@@ -179,44 +181,44 @@
 
     async def fetch_terms(self) -> PeerTerms | None:
         """Ask a peer for its terms, one that is ahead if there is one."""
-        address = self.news.ahead or self._any_address()
-        self.news.ahead = ''
+        address = self.delegate.newer_terms_address or self._pick_live_address()
+        self.delegate.newer_terms_address = ''
         if not address:
             return None
-        request = TermsRequest(header=self.news.header())
-        reply = await self._wire.fetch_terms(address, request)
+        request = TermsRequest(header=self.delegate.make_header())
+        reply = await self._transport.fetch_terms(address, request)
         if reply is None or not reply.version:
             return None
         return PeerTerms(reply.version, reply.offset, reply.document)
 
     # ---- commands
 
-    def serve(self, server: grpc.aio.Server) -> None:
+    def add_service(self, server: grpc.aio.Server) -> None:
         """Answer peers."""
         service = PeerService(
             self._gossip,
-            self.news.header,
+            self.delegate.make_header,
             self._sources.terms.for_peer,
         )
         add_PeerServicer_to_server(service, server)
 
-    def leave(self) -> None:
+    def announce_leaving(self) -> None:
         """Say that this VM leaves, at once."""
         self.members.leave()
-        self._gossip.probe_now()
+        self._gossip.send_probes()
 
     def on_unreachable(self, vm: str) -> None:
         """Suspect a VM that refused a connection."""
         self.members.on_unreachable(vm, self._clock.monotonic())
 
-    async def follow(self) -> None:
+    async def run(self) -> None:
         """Exchange news until cancelled."""
         await self._gossip.run()
 
-    def _any_address(self) -> str:
+    def _pick_live_address(self) -> str:
         others = [
             member.address
-            for member in self.known()[1:]
+            for member in self.list_known()[1:]
             if member.state is not MemberState.DEAD
         ]
         return self._rng.choice(others) if others else ''
@@ -224,8 +226,8 @@
 
 def make_peers(
     sources: PeerSources,
-    wire: PeerWire,
+    transport: PeerTransport,
     clock: Clock,
 ) -> Peers:
     """Build a scheduler's peers."""
-    return Peers(sources, wire, clock, Random())
+    return Peers(sources, transport, clock, Random())
--- a/bramleybend/scheduler/process.py
+++ b/bramleybend/scheduler/process.py
@@ -8,7 +8,7 @@
     from bramleybend.scheduler.core import Scheduler
 
 
-class SchedulerProcess:
+class SchedulerControl:
     """What operators may ask of a scheduler."""
 
     def __init__(self, scheduler: 'Scheduler') -> None:
@@ -26,7 +26,7 @@
             'terms_version': scheduler.terms.version,
             'terms_age_s': scheduler.peers.terms_age_s(),
             'log_ok': scheduler.terms.log_ok,
-            'list_ok': scheduler.listed.ok,
+            'list_ok': scheduler.vm_list_poller.is_available,
             'draining': scheduler.stopping.is_set(),
             'members': [
                 {
@@ -35,7 +35,7 @@
                     'domain': member.domain,
                     'state': member.state,
                 }
-                for member in scheduler.peers.known()
+                for member in scheduler.peers.list_known()
             ],
             'shards': [
                 {
@@ -55,9 +55,9 @@
                     'service': vm.service,
                     'state': vm.state,
                 }
-                for vm in scheduler.listed.runners
+                for vm in scheduler.vm_list_poller.runners
             ],
-            'queues': self._queues(),
+            'queues': self._count_waiting_by_tier(),
             'in_flight': sum(
                 len(task.holds) for task in scheduler.shards.tasks
             ),
@@ -67,9 +67,9 @@
         """Begin a planned stop."""
         self._scheduler.stopping.set()
 
-    def _queues(self) -> dict[str, int]:
+    def _count_waiting_by_tier(self) -> dict[str, int]:
         waiting = dict.fromkeys((str(int(tier)) for tier in Tier), 0)
         for task in self._scheduler.shards.tasks:
-            for hold in task.waiting():
+            for hold in task.list_waiting():
                 waiting[str(int(hold.tier))] += 1
         return waiting
--- a/bramleybend/scheduler/replies.py
+++ b/bramleybend/scheduler/replies.py
@@ -14,7 +14,7 @@
 )
 
 
-class Replies:
+class ReplySender:
     """Answers holds of one shard; every answer leaves an event."""
 
     def __init__(
@@ -30,23 +30,23 @@
         self._events = events
         self._metrics = metrics
 
-    def queued(self, hold: HoldChannel) -> None:
+    def send_queued(self, hold: HoldChannel) -> None:
         """Say at once that the ask was heard."""
         hold.outbox.put_nowait(HoldReply(queued=Queued()))
 
-    def granted(self, hold: HoldChannel, runner: Vm) -> None:
+    def send_grant(self, hold: HoldChannel, runner: Vm) -> None:
         """Give a slot."""
         grant = Granted(runner=runner.name, endpoint=runner.endpoint)
         hold.outbox.put_nowait(HoldReply(granted=grant))
-        self.note('grant', hold, runner=runner.name)
+        self.record_event('grant', hold, runner=runner.name)
 
-    def preempted(self, hold: HoldChannel, for_tier: Tier) -> None:
+    def send_preemption(self, hold: HoldChannel, for_tier: Tier) -> None:
         """Ask for a slot back."""
         preempted = Preempted(for_tier=for_tier)
         hold.outbox.put_nowait(HoldReply(preempted=preempted))
-        self.note('preempt', hold, for_tier=int(for_tier))
+        self.record_event('preempt', hold, for_tier=int(for_tier))
 
-    def refused(self, hold: HoldChannel, refusal: Refuse) -> None:
+    def send_refusal(self, hold: HoldChannel, refusal: Refuse) -> None:
         """Turn an ask away and end its stream."""
         refused = Refused(
             reason=refusal.reason,
@@ -60,9 +60,11 @@
             reason=refusal.reason,
             tier=int(hold.tier),
         )
-        self.note('refuse', hold, reason=refusal.reason)
+        self.record_event('refuse', hold, reason=refusal.reason)
 
-    def note(self, event: str, hold: HoldChannel, **fields: object) -> None:
+    def record_event(
+        self, event: str, hold: HoldChannel, **fields: object
+    ) -> None:
         """Record an event of one hold."""
         self._events.record(
             event,
--- a/bramleybend/scheduler/shard_task.py
+++ b/bramleybend/scheduler/shard_task.py
@@ -25,12 +25,12 @@
 from bramleybend.events import EventLog
 from bramleybend.metrics import Metric, Metrics
 from bramleybend.models import RunnerState, Tier, Vm
-from bramleybend.scheduler.crash_watch import CrashWatch
+from bramleybend.scheduler.crash_watch import CrashTracker
 from bramleybend.scheduler.messages import (
-    Adopted,
-    Asked,
+    RunAdopted,
+    SlotRequested,
     FirstTokenSeen,
-    FloorAsked,
+    FloorRequested,
     HoldChannel,
     HoldLost,
     OwnershipMoved,
@@ -38,9 +38,9 @@
     RunnersListed,
     ShardMessage,
 )
-from bramleybend.scheduler.replies import Replies
+from bramleybend.scheduler.replies import ReplySender
 
-IDLE_TICK_S: Final = 0.5
+MAX_IDLE_S: Final = 0.5
 
 
 @dataclass(frozen=True)
@@ -71,11 +71,11 @@
         self._deps = deps
         self._inbox: asyncio.Queue[ShardMessage] = asyncio.Queue()
         self.runners: dict[str, Vm] = {}
-        self.where: dict[str, str] = {}
+        self.runner_by_hold: dict[str, str] = {}
         self._is_owner = False
         self._settling = Settling()
-        self._crashes = CrashWatch(deps.crashes)
-        self._replies = Replies(service, shard, deps.events, deps.metrics)
+        self._crash_tracker = CrashTracker(deps.crashes)
+        self._replies = ReplySender(service, shard, deps.events, deps.metrics)
 
     def post(self, message: ShardMessage) -> None:
         """Hand a message over; it is taken in order."""
@@ -94,38 +94,42 @@
         """Whether every run of the shard must be known here by now."""
         return self._is_owner and self._settling.settled(now)
 
-    def waiting(self) -> list[HoldChannel]:
+    def list_waiting(self) -> list[HoldChannel]:
         """Return the holds that have no runner yet."""
         return [
-            hold for key, hold in self.holds.items() if key not in self.where
+            hold
+            for key, hold in self.holds.items()
+            if key not in self.runner_by_hold
         ]
 
-    async def work(self) -> None:
+    async def run(self) -> None:
         """Take messages until cancelled."""
         while True:
             message = await self._next_message()
             now = self._deps.clock.monotonic()
             if message is not None:
-                self._perform(self._handle(message, now))
-            self._perform(self.policy.tick(now))
+                self._apply_actions(self._handle_message(message, now))
+            self._apply_actions(self.policy.tick(now))
 
     async def _next_message(self) -> ShardMessage | None:
         now = self._deps.clock.monotonic()
         wake = self.policy.next_wake(now)
-        wait_s = IDLE_TICK_S if wake is None else max(wake - now, 0)
+        wait_s = MAX_IDLE_S if wake is None else max(wake - now, 0)
         try:
-            async with asyncio.timeout(min(wait_s, IDLE_TICK_S)):
+            async with asyncio.timeout(min(wait_s, MAX_IDLE_S)):
                 return await self._inbox.get()
         except TimeoutError:
             return None
 
-    def _handle(self, message: ShardMessage, now: float) -> list[Action]:
+    def _handle_message(
+        self, message: ShardMessage, now: float
+    ) -> list[Action]:
         match message:
-            case Asked():
-                return self._ask(message, now)
-            case Adopted(hold, ask, runner):
-                self._open(hold)
-                self.where[hold.key] = runner
+            case SlotRequested():
+                return self._handle_slot_request(message, now)
+            case RunAdopted(hold, ask, runner):
+                self._add_hold(hold)
+                self.runner_by_hold[hold.key] = runner
                 return self.policy.adopt(
                     replace(ask, request_id=hold.key),
                     runner,
@@ -139,29 +143,31 @@
                     now,
                 )
             case RunEnded():
-                return self._ended(message, now)
+                return self._handle_run_ended(message, now)
             case HoldLost(hold):
-                return self._lost(hold, now)
+                return self._handle_hold_lost(hold, now)
             case RunnersListed(runners):
-                return self._listed(runners, now)
+                return self._handle_runners_listed(runners, now)
         return self._handle_ownership(message, now)
 
     def _handle_ownership(
         self,
-        message: OwnershipMoved | FloorAsked,
+        message: OwnershipMoved | FloorRequested,
         now: float,
     ) -> list[Action]:
         match message:
             case OwnershipMoved():
-                return self._moved(now)
-            case FloorAsked():
-                return self._floor(message, now)
+                return self._handle_ownership_moved(now)
+            case FloorRequested():
+                return self._handle_floor_request(message, now)
         assert_never(message)
 
     # What happened
 
-    def _ask(self, asked: Asked, now: float) -> list[Action]:
-        self._open(asked.hold)
+    def _handle_slot_request(
+        self, asked: SlotRequested, now: float
+    ) -> list[Action]:
+        self._add_hold(asked.hold)
         if not self._is_owner:
             # Some gateway can't reach the owner. Two VMs that both start
             # lower work would break the owner's floor, so this one starts
@@ -172,7 +178,9 @@
             asked.ask,
             request_id=asked.hold.key,
             excluded=asked.ask.excluded
-            | self._crashes.kept_from(asked.ask.fingerprint, self.runners),
+            | self._crash_tracker.get_excluded_runners(
+                asked.ask.fingerprint, self.runners
+            ),
         )
         if asked.urgent:
             # The gateway will shed this request unless something lower
@@ -180,43 +188,45 @@
             self.policy.set_floor(ask.tier, 1, now)
         return self.policy.ask(ask, now)
 
-    def _open(self, hold: HoldChannel) -> None:
+    def _add_hold(self, hold: HoldChannel) -> None:
         self.holds[hold.key] = hold
-        self._replies.queued(hold)
+        self._replies.send_queued(hold)
 
-    def _ended(self, ended: RunEnded, now: float) -> list[Action]:
+    def _handle_run_ended(self, ended: RunEnded, now: float) -> list[Action]:
         hold = ended.hold
         if self.holds.pop(hold.key, None) is None:
             return []
-        runner = self.where.pop(hold.key, '')
+        runner = self.runner_by_hold.pop(hold.key, '')
         hold.outbox.put_nowait(None)
         if ended.report.crashed:
             company = [
                 other.fingerprint
                 for key, other in self.holds.items()
-                if self.where.get(key) == runner
+                if self.runner_by_hold.get(key) == runner
             ]
             few = len(self.runners) < CONDEMNED
-            self._crashes.crashed(
+            self._crash_tracker.record_crash(
                 runner, [hold.fingerprint, *company], few, now
             )
-            self._replies.note('runner_crashed', hold, runner=runner)
+            self._replies.record_event('runner_crashed', hold, runner=runner)
             self._deps.metrics.count(
                 Metric.RUNNER_CRASHES,
                 service=self.service,
             )
         elif ended.report.outcome == Outcome.DONE:
-            self._crashes.finished(hold.fingerprint, now)
+            self._crash_tracker.record_finish(hold.fingerprint, now)
         return self.policy.ended(hold.key, ended.report, now)
 
-    def _lost(self, hold: HoldChannel, now: float) -> list[Action]:
+    def _handle_hold_lost(self, hold: HoldChannel, now: float) -> list[Action]:
         if self.holds.pop(hold.key, None) is None:
             return []
-        if self.where.pop(hold.key, None) is not None:
+        if self.runner_by_hold.pop(hold.key, None) is not None:
             self._settling.lose_run(now)
         return self.policy.withdraw(hold.key, now)
 
-    def _listed(self, runners: tuple[Vm, ...], now: float) -> list[Action]:
+    def _handle_runners_listed(
+        self, runners: tuple[Vm, ...], now: float
+    ) -> list[Action]:
         self.runners = {vm.name: vm for vm in runners}
         return self.policy.runners(
             [
@@ -226,13 +236,15 @@
             now,
         )
 
-    def _floor(self, asked: FloorAsked, now: float) -> list[Action]:
+    def _handle_floor_request(
+        self, asked: FloorRequested, now: float
+    ) -> list[Action]:
         lower = self.policy.set_floor(asked.tier, asked.hold_s, now)
         if not asked.reply.done():
             asked.reply.set_result(lower)
         return []
 
-    def _moved(self, now: float) -> list[Action]:
+    def _handle_ownership_moved(self, now: float) -> list[Action]:
         """Close every stream; the gateways go to the new owner."""
         # Runs go on meanwhile. Kept here, they would be unknown to the new
         # owner, which then might say that nothing lower is being served.
@@ -240,24 +252,24 @@
         actions: list[Action] = []
         for hold in tuple(self.holds.values()):
             hold.outbox.put_nowait(None)
-            actions += self._lost(hold, now)
+            actions += self._handle_hold_lost(hold, now)
         return actions
 
     # What was decided
 
-    def _perform(self, actions: list[Action]) -> None:
+    def _apply_actions(self, actions: list[Action]) -> None:
         for action in actions:
             hold = self.holds.get(action.request_id)
             if hold is not None:
-                self._carry_out(action, hold)
+                self._apply_action(action, hold)
 
-    def _carry_out(self, action: Action, hold: HoldChannel) -> None:
+    def _apply_action(self, action: Action, hold: HoldChannel) -> None:
         match action:
             case Grant(_, runner):
-                self.where[hold.key] = runner
-                self._replies.granted(hold, self.runners[runner])
+                self.runner_by_hold[hold.key] = runner
+                self._replies.send_grant(hold, self.runners[runner])
             case Refuse():
                 self.holds.pop(hold.key, None)
-                self._replies.refused(hold, action)
+                self._replies.send_refusal(hold, action)
             case Preempt(_, for_tier):
-                self._replies.preempted(hold, for_tier)
+                self._replies.send_preemption(hold, for_tier)
--- a/bramleybend/scheduler/shards.py
+++ b/bramleybend/scheduler/shards.py
@@ -16,28 +16,28 @@
     OwnershipMoved,
     RunnersListed,
 )
-from bramleybend.scheduler.pause_watch import PauseWatch
+from bramleybend.scheduler.pause_watch import PauseDetector
 from bramleybend.scheduler.shard_task import ShardDeps, ShardTask
 from bramleybend.state.member import Member
 
 # A shard whose owner has just moved here is asked about by gateways before
 # the next look at the list; it must not refuse them for want of runners.
-LOOK_INTERVAL_S: Final = 0.5
-NOTES_A_LOOK: Final = 10
+UPDATE_INTERVAL_S: Final = 0.5
+PAUSE_CHECKS_PER_UPDATE: Final = 10
 
 
 @dataclass(frozen=True)
-class Surroundings:
+class ShardSources:
     """What decides about ownership, as it is known now."""
 
     terms: Callable[[], Terms | None]
     runners: Callable[[], Sequence[Vm]]
     members: Callable[[], Sequence[Member]]
     own_vm: str
-    is_fit: Callable[[str], bool] = lambda _runner: True
+    is_schedulable: Callable[[str], bool] = lambda _runner: True
 
 
-class OwnerRanks:
+class OwnershipCache:
     """Remembers who owns what among the same members."""
 
     def __init__(
@@ -48,7 +48,7 @@
         """Have ranked nothing yet."""
         self._members = members
         self._own_vm = own_vm
-        self._ranked_for: tuple[Member, ...] = ()
+        self._cached_members: tuple[Member, ...] = ()
         self._owners: dict[tuple[str, int], str] = {}
 
     def is_owned(self, service: str, shard: int) -> bool:
@@ -57,8 +57,8 @@
         # shards, done at each look, that alone would cost a node more than
         # its share of a core, so it is done again only for new members.
         members = tuple(self._members())
-        if members != self._ranked_for:
-            self._ranked_for = members
+        if members != self._cached_members:
+            self._cached_members = members
             self._owners.clear()
         key = (service, shard)
         if key not in self._owners:
@@ -72,22 +72,22 @@
 
     def __init__(
         self,
-        around: Surroundings,
+        sources: ShardSources,
         deps: ShardDeps,
         rng: Random,
     ) -> None:
         """Serve nothing yet."""
-        self._around = around
+        self._sources = sources
         self._deps = deps
         self._rng = rng
         self._tasks: dict[tuple[str, int], ShardTask] = {}
-        self._working: dict[tuple[str, int], asyncio.Task[None]] = {}
+        self._worker_tasks: dict[tuple[str, int], asyncio.Task[None]] = {}
         self._owned_since: dict[tuple[str, int], float] = {}
-        self._pauses = PauseWatch(deps.clock, DEFAULT_TIMES.fresh_s)
-        self._owners = OwnerRanks(around.members, around.own_vm)
+        self._pause_detector = PauseDetector(deps.clock, DEFAULT_TIMES.fresh_s)
+        self._owners = OwnershipCache(sources.members, sources.own_vm)
         self._weights: dict[str, float] = {}
-        self._weighed = 0  # the terms' version
-        self._handed: dict[tuple[str, int], tuple[Vm, ...]] = {}
+        self._weights_version = 0  # the terms' version
+        self._posted_runners: dict[tuple[str, int], tuple[Vm, ...]] = {}
 
     def get(self, service: str, shard: int) -> ShardTask | None:
         """Return a shard's task, or None for one that no terms name.
@@ -98,14 +98,14 @@
         task = self._tasks.get((service, shard))
         if task is not None:
             return task
-        terms = self._around.terms()
+        terms = self._sources.terms()
         named = terms.services.get(service) if terms else None
         if terms is None or named is None or shard >= named.shards:
             return None
-        self._note_weights(terms)
-        return self._create(named, shard)
+        self._update_weights(terms)
+        return self._create_task(named, shard)
 
-    def settled(self, task: ShardTask) -> bool:
+    def is_settled(self, task: ShardTask) -> bool:
         """Whether every run of the shard must be known here by now.
 
         After a takeover the gateways register their runs anew. Until the
@@ -114,46 +114,48 @@
         """
         if (task.service, task.shard) not in self._owned_since:
             return False
-        return not self._pauses.was_paused and task.is_settled(self._now())
+        return not self._pause_detector.was_paused and task.is_settled(
+            self._now()
+        )
 
-    def verdict(self, fingerprint: str) -> Verdict:
+    def get_verdict(self, fingerprint: str) -> Verdict:
         """Whether this content was in flight when runners crashed."""
         now = self._deps.clock.monotonic()
         return self._deps.crashes.verdict(fingerprint, now)
 
-    async def watch(self) -> None:
+    async def run(self) -> None:
         """Follow list, terms and members until cancelled."""
         notes = 0
         while True:
-            if notes % NOTES_A_LOOK == 0:
-                self.look()
-            await asyncio.sleep(LOOK_INTERVAL_S / NOTES_A_LOOK)
-            self.note_running()
+            if notes % PAUSE_CHECKS_PER_UPDATE == 0:
+                self.update()
+            await asyncio.sleep(UPDATE_INTERVAL_S / PAUSE_CHECKS_PER_UPDATE)
+            self.mark_running()
             notes += 1
 
-    def note_running(self) -> None:
+    def mark_running(self) -> None:
         """Note that this process runs; after a long pause, look at once."""
-        if self._pauses.was_paused:
-            self.look()
-        self._pauses.note_running()
+        if self._pause_detector.was_paused:
+            self.update()
+        self._pause_detector.mark_running()
 
-    def look(self) -> None:
+    def update(self) -> None:
         """Create what is owned now, hand runners out, move what is not."""
-        paused = self._pauses.was_paused
-        self._pauses.note_running()
-        terms = self._around.terms()
+        paused = self._pause_detector.was_paused
+        self._pause_detector.mark_running()
+        terms = self._sources.terms()
         if terms is None:
             return
-        self._note_weights(terms)
+        self._update_weights(terms)
         named = {
             (service.name, shard): service
             for service in terms.services.values()
             for shard in range(service.shards)
         }
         for key in self._owned_since.keys() - named.keys():
-            self._disown(key)
+            self._end_ownership(key)
         for (_, shard), service in named.items():
-            self._look_at(service, shard, paused=paused)
+            self._update_shard(service, shard, paused=paused)
 
     def loads(self) -> list[ShardView]:
         """Return the load of the shards owned here."""
@@ -190,19 +192,19 @@
             return True
         listed = task.runners.get(runner)
         closed = listed is None or listed.state is RunnerState.LEAVING
-        return closed and runner not in task.where.values()
+        return closed and runner not in task.runner_by_hold.values()
 
-    def release(self) -> None:
+    def release_all(self) -> None:
         """Send every hold on to the next owner, before a planned stop."""
         self._owned_since.clear()
         for task in self._tasks.values():
             task.post(OwnershipMoved())
 
-    def _note_weights(self, terms: Terms) -> None:
+    def _update_weights(self, terms: Terms) -> None:
         # One mapping, changed in place, so that new weights hold for the
         # queues that stand already.
-        if terms.version != self._weighed:
-            self._weighed = terms.version
+        if terms.version != self._weights_version:
+            self._weights_version = terms.version
             self._weights.clear()
             for workspace in terms.workspaces.values():
                 self._weights[workspace.name] = workspace.weight
@@ -210,31 +212,33 @@
     def _now(self) -> float:
         return self._deps.clock.monotonic()
 
-    def _look_at(self, service: Service, shard: int, *, paused: bool) -> None:
+    def _update_shard(
+        self, service: Service, shard: int, *, paused: bool
+    ) -> None:
         key = (service.name, shard)
         if self._owners.is_owned(service.name, shard):
             if paused:
                 # Another may have owned the shard meanwhile. Its runs come
                 # here one by one, as after any takeover.
                 self._owned_since.pop(key, None)
-            self._own(service, shard)
+            self._begin_ownership(service, shard)
         elif key in self._owned_since:
-            self._disown(key)
+            self._end_ownership(key)
         task = self._tasks.get(key)
         if task is not None:
-            self._hand_out(task, service)
+            self._post_runners(task, service)
 
-    def _disown(self, key: tuple[str, int]) -> None:
+    def _end_ownership(self, key: tuple[str, int]) -> None:
         self._owned_since.pop(key)
         self._tasks[key].post(OwnershipMoved())
         self._deps.events.record('shard_moved', service=key[0], shard=key[1])
 
-    def _own(self, service: Service, shard: int) -> None:
+    def _begin_ownership(self, service: Service, shard: int) -> None:
         key = (service.name, shard)
         if key in self._owned_since:
             return
         if key not in self._tasks:
-            self._create(service, shard)
+            self._create_task(service, shard)
         self._owned_since[key] = self._now()
         self._tasks[key].begin_ownership(self._owned_since[key])
         self._deps.events.record(
@@ -243,35 +247,35 @@
             shard=shard,
         )
 
-    def _create(self, service: Service, shard: int) -> ShardTask:
+    def _create_task(self, service: Service, shard: int) -> ShardTask:
         key = (service.name, shard)
         policy = make_shard_policy(service, self._rng, self._weights)
         task = ShardTask(service.name, shard, policy, self._deps)
         self._tasks[key] = task
-        self._hand_out(task, service)
-        self._working[key] = asyncio.create_task(task.work())
+        self._post_runners(task, service)
+        self._worker_tasks[key] = asyncio.create_task(task.run())
         return task
 
-    def _hand_out(self, task: ShardTask, service: Service) -> None:
+    def _post_runners(self, task: ShardTask, service: Service) -> None:
         runners = tuple(
-            self._as_fit(vm)
-            for vm in self._around.runners()
+            self._with_schedulable_state(vm)
+            for vm in self._sources.runners()
             if vm.service == service.name
             and shard_of(vm.name, service.shards) == task.shard
         )
         key = (service.name, task.shard)
-        if self._handed.get(key) != runners:
-            self._handed[key] = runners
+        if self._posted_runners.get(key) != runners:
+            self._posted_runners[key] = runners
             task.post(RunnersListed(runners))
 
-    def _as_fit(self, vm: Vm) -> Vm:
+    def _with_schedulable_state(self, vm: Vm) -> Vm:
         # Out of the list, its runs would be forgotten while they go on; as
         # one that leaves, it ends them and gets no more.
-        if self._around.is_fit(vm.name):
+        if self._sources.is_schedulable(vm.name):
             return vm
         return replace(vm, state=RunnerState.LEAVING)
 
 
-def make_shards(around: Surroundings, deps: ShardDeps) -> ShardTable:
+def make_shards(sources: ShardSources, deps: ShardDeps) -> ShardTable:
     """Build a scheduler's table of shards."""
-    return ShardTable(around, deps, Random())
+    return ShardTable(sources, deps, Random())
--- a/bramleybend/scheduler/suspects.py
+++ b/bramleybend/scheduler/suspects.py
@@ -7,12 +7,12 @@
 from bramleybend.wire.bramleybend_pb2 import SuspectRecord
 
 
-def exported(book: CrashBook) -> list[SuspectRecord]:
+def export_suspects(book: CrashBook) -> list[SuspectRecord]:
     """Put every record on the wire."""
-    return _on_wire(book.export())
+    return _encode_suspects(book.export())
 
 
-def merge(
+def merge_suspects(
     book: CrashBook,
     records: Iterable[SuspectRecord],
     now: float,
@@ -32,13 +32,15 @@
     )
 
 
-def sampled(book: CrashBook, rng: Random, limit: int) -> list[SuspectRecord]:
+def sample_suspects(
+    book: CrashBook, rng: Random, limit: int
+) -> list[SuspectRecord]:
     """Put a random part of the records on the wire, so messages are bounded."""
     records = book.export()
-    return _on_wire(rng.sample(records, min(limit, len(records))))
+    return _encode_suspects(rng.sample(records, min(limit, len(records))))
 
 
-def _on_wire(records: Iterable[CrashRecord]) -> list[SuspectRecord]:
+def _encode_suspects(records: Iterable[CrashRecord]) -> list[SuspectRecord]:
     return [
         SuspectRecord(
             fingerprint=record.fingerprint,
--- a/bramleybend/scheduler/view_service.py
+++ b/bramleybend/scheduler/view_service.py
@@ -30,7 +30,7 @@
     runners: Callable[[], Iterable[Vm]]
     shards: Callable[[], Iterable[ShardView]]
     suspects: Callable[[], Iterable[SuspectRecord]]
-    age_s: Callable[[], float]
+    terms_age_s: Callable[[], float]
 
 
 class ViewService(LocalServicer):
@@ -50,20 +50,20 @@
         await self._headers.accept(request.header, context)
         terms = self._sources.terms
         if terms.version <= request.known_version:
-            await self._wait_for_news(request.wait_s)
+            await self._wait_for_newer_terms(request.wait_s)
         news = terms.version > request.known_version
         return ViewReply(
             version=terms.version,
             offset=max(terms.offset, 0),
             document=terms.document if news else '',
             members=[member_record(each) for each in self._sources.members()],
-            runners=[_runner(vm) for vm in self._sources.runners()],
+            runners=[runner_record(vm) for vm in self._sources.runners()],
             shards=[shard_record(each) for each in self._sources.shards()],
             suspects=self._sources.suspects(),
-            age_s=self._sources.age_s(),
+            age_s=self._sources.terms_age_s(),
         )
 
-    async def _wait_for_news(self, wait_s: float) -> None:
+    async def _wait_for_newer_terms(self, wait_s: float) -> None:
         try:
             async with asyncio.timeout(wait_s):
                 await self._sources.terms.changed()
@@ -95,7 +95,7 @@
     )
 
 
-def _runner(vm: Vm) -> RunnerRecord:
+def runner_record(vm: Vm) -> RunnerRecord:
     return RunnerRecord(
         name=vm.name,
         endpoint=vm.endpoint,
--- a/tests/benchmarks/capacity_control.py
+++ b/tests/benchmarks/capacity_control.py
@@ -32,9 +32,9 @@
     Vm,
 )
 from bramleybend.scheduler.shard_task import ShardDeps
-from bramleybend.scheduler.shards import ShardTable, Surroundings
+from bramleybend.scheduler.shards import ShardTable, ShardSources
 from bramleybend.scheduler.view_service import (
-    _runner,
+    runner_record,
     member_record,
     shard_record,
 )
@@ -156,8 +156,8 @@
             (nodes, _spent(partial(owners_of, 'model-1', 1, members))),
         )
         table = asyncio.run(_table(nodes))
-        change.append((nodes, _spent(table.look, repeats=1)))
-        look.append((nodes, 2 * _spent(table.look)))
+        change.append((nodes, _spent(table.update, repeats=1)))
+        look.append((nodes, 2 * _spent(table.update)))
     yield Series('ownership: rank one shard', 'nodes', 'ms', tuple(rank), 350)
     title = 'ownership: one look at 72 shards after a change of members'
     yield Series(title, 'nodes', 'ms', tuple(change), 350)
@@ -171,7 +171,7 @@
     runners = _runners(nodes)
     clock = SystemClock()
     return ShardTable(
-        Surroundings(
+        ShardSources(
             lambda: found,
             lambda: runners,
             lambda: members,
@@ -235,7 +235,7 @@
     return ViewReply(
         version=1,
         members=[member_record(each) for each in make_members(nodes)],
-        runners=[_runner(vm) for vm in _runners(nodes)],
+        runners=[runner_record(vm) for vm in _runners(nodes)],
         shards=[shard_record(each) for each in shards],
     )
 
--- a/tests/benchmarks/capacity_gossip.py
+++ b/tests/benchmarks/capacity_gossip.py
@@ -10,9 +10,9 @@
 
 from bramleybend.clock import SystemClock
 from bramleybend.scheduler.gossip import Gossip, GossipDeps
-from bramleybend.scheduler.gossip_records import read_members, write_members
+from bramleybend.scheduler.gossip_records import decode_members, encode_members
 from bramleybend.scheduler.peer_service import PeerService
-from bramleybend.scheduler.peer_wire import GrpcPeerWire
+from bramleybend.scheduler.peer_wire import GrpcPeerTransport
 from bramleybend.state.member import Member, MemberState
 from bramleybend.state.membership import Members
 from bramleybend.wire.bramleybend_pb2 import (
@@ -23,7 +23,7 @@
 )
 from bramleybend.wire.bramleybend_pb2_grpc import add_PeerServicer_to_server
 from tests.benchmarks.slopes import Series
-from tests.test_gossip import PORT, FakeNews
+from tests.test_gossip import PORT, FakeDelegate
 from tests.utils.cluster import free_prefix
 from tests.utils.membership_play import Play
 
@@ -55,7 +55,7 @@
         incarnation='0' * 16,
         terms_version=4800,
     )
-    return GossipMessage(header=header, members=write_members(records))
+    return GossipMessage(header=header, members=encode_members(records))
 
 
 class Meter:
@@ -69,7 +69,7 @@
     def __call__(self, records: Sequence[Member]) -> None:
         """Encode one message and decode it again."""
         text = _message(records).SerializeToString()
-        read_members(GossipMessage.FromString(text).members)
+        decode_members(GossipMessage.FromString(text).members)
         self.messages += 1
         self.sent_bytes += len(text)
 
@@ -180,11 +180,11 @@
     own = Member(address, address, 'walton', 'a', heartbeat=1)
     clock = SystemClock()
     members = Members(own, Random(1), clock.monotonic())
-    news = FakeNews(address, [])
-    wire = GrpcPeerWire(PORT)
+    news = FakeDelegate(address, [])
+    wire = GrpcPeerTransport(PORT)
     gossip = Gossip(GossipDeps(members, wire, news, clock), Random(1))
     server = grpc.aio.server()
-    service = PeerService(gossip, news.header, lambda: None)
+    service = PeerService(gossip, news.make_header, lambda: None)
     add_PeerServicer_to_server(service, server)
     server.add_insecure_port(f'{address}:{PORT}')
     await server.start()
@@ -229,7 +229,7 @@
 
 
 async def _cost(
-    wire: GrpcPeerWire, address: str, message: GossipMessage
+    wire: GrpcPeerTransport, address: str, message: GossipMessage
 ) -> float:
     for _ in range(CALLS // 10):
         await wire.gossip(address, message, 1)
@@ -242,7 +242,7 @@
 async def _cost_opening(address: str, message: GossipMessage) -> float:
     before = time.process_time()
     for _ in range(CALLS // 4):
-        wire = GrpcPeerWire(PORT)
+        wire = GrpcPeerTransport(PORT)
         assert await wire.gossip(address, message, 1) is not None
         await wire.close()
     return 1000 * (time.process_time() - before) / (CALLS // 4)
--- a/tests/test_channels.py
+++ b/tests/test_channels.py
@@ -8,7 +8,7 @@
 import pytest
 import pytest_asyncio
 
-from bramleybend.scheduler.peer_wire import GrpcPeerWire
+from bramleybend.scheduler.peer_wire import GrpcPeerTransport
 from bramleybend.wire.bramleybend_pb2 import (
     GossipMessage,
     StatusReply,
@@ -90,7 +90,7 @@
     relay: Relay,
 ) -> None:
     """Guards against a busy peer that is suspected of being dead."""
-    wire = GrpcPeerWire(relay.port)
+    wire = GrpcPeerTransport(relay.port)
     pausing = asyncio.create_task(_pause(relay, 0.2))
     assert await wire.gossip(relay.host, GossipMessage(), timeout_s=0.6)
     await pausing
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -14,7 +14,7 @@
 from bramleybend.models import RunnerState, Vm
 from bramleybend.scheduler.gossip import Gossip, GossipDeps
 from bramleybend.scheduler.peer_service import PeerService
-from bramleybend.scheduler.peer_wire import GrpcPeerWire
+from bramleybend.scheduler.peer_wire import GrpcPeerTransport
 from bramleybend.state.member import Member, MemberState
 from bramleybend.state.membership import Members, Outgoing
 from bramleybend.wire.bramleybend_pb2 import (
@@ -39,18 +39,18 @@
 
 
 @dataclass
-class FakeNews:
+class FakeDelegate:
     """What one node has to tell, and what it was told."""
 
     address: str
     vms: list[Vm]
     terms_version: int = 1
     shards: list[ShardRecord] = field(default_factory=list)
-    crashes: list[SuspectRecord] = field(default_factory=list)
-    taken: dict[str, SuspectRecord] = field(default_factory=dict)
+    suspect_records: list[SuspectRecord] = field(default_factory=list)
+    merged_suspects: dict[str, SuspectRecord] = field(default_factory=dict)
     versions: dict[str, int] = field(default_factory=dict)
 
-    def header(self) -> Header:
+    def make_header(self) -> Header:
         """Name this node."""
         return Header(
             protocol=PROTOCOL,
@@ -59,33 +59,35 @@
             terms_version=self.terms_version,
         )
 
-    def listed(self) -> Sequence[Vm]:
+    def get_listed_vms(self) -> Sequence[Vm]:
         """Return every node."""
         return self.vms
 
-    def own_shards(self) -> Iterable[ShardRecord]:
+    def sample_owned_shards(self) -> Iterable[ShardRecord]:
         """Return the test's records."""
         return self.shards
 
-    def suspects(self) -> Iterable[SuspectRecord]:
+    def sample_suspects(self) -> Iterable[SuspectRecord]:
         """Return the test's records."""
-        return self.crashes
+        return self.suspect_records
 
-    def take_suspects(self, records: Iterable[SuspectRecord]) -> None:
+    def merge_suspects(self, records: Iterable[SuspectRecord]) -> None:
         """Keep what came."""
-        self.taken.update({record.fingerprint: record for record in records})
+        self.merged_suspects.update(
+            {record.fingerprint: record for record in records}
+        )
 
-    def heard_from(self, peer: Member, terms_version: int) -> None:
+    def on_peer_heard(self, peer: Member, terms_version: int) -> None:
         """Keep what came."""
         self.versions[peer.address] = terms_version
 
 
 @dataclass
-class CutWire:
+class CutTransport:
     """A wire that loses messages to some addresses without a word."""
 
-    wire: GrpcPeerWire
-    cut: set[str] = field(default_factory=set)
+    transport: GrpcPeerTransport
+    cut_addresses: set[str] = field(default_factory=set)
 
     async def gossip(
         self,
@@ -94,10 +96,10 @@
         timeout_s: float,
     ) -> GossipMessage | None:
         """Let a message through, or let its time run out."""
-        if address in self.cut:
+        if address in self.cut_addresses:
             await asyncio.sleep(timeout_s)
             return None
-        return await self.wire.gossip(address, message, timeout_s)
+        return await self.transport.gossip(address, message, timeout_s)
 
     async def fetch_terms(
         self,
@@ -105,7 +107,7 @@
         request: TermsRequest,
     ) -> TermsReply | None:
         """Pass on."""
-        return await self.wire.fetch_terms(address, request)
+        return await self.transport.fetch_terms(address, request)
 
 
 class GossipNode:
@@ -116,17 +118,19 @@
         own = Member(address, address, 'walton', f'{address}-a', heartbeat=1)
         rng = Random(seed)
         self.address = address
-        self.news = FakeNews(address, vms)
-        self.wire = CutWire(GrpcPeerWire(PORT))
+        self.delegate = FakeDelegate(address, vms)
+        self.transport = CutTransport(GrpcPeerTransport(PORT))
         self.members = Members(own, rng, CLOCK.monotonic())
-        deps = GossipDeps(self.members, self.wire, self.news, CLOCK)
+        deps = GossipDeps(self.members, self.transport, self.delegate, CLOCK)
         self.gossip = Gossip(deps, rng)
         self.server = grpc.aio.server()
         self._running: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Serve and probe."""
-        service = PeerService(self.gossip, self.news.header, lambda: None)
+        service = PeerService(
+            self.gossip, self.delegate.make_header, lambda: None
+        )
         add_PeerServicer_to_server(service, self.server)
         self.server.add_insecure_port(f'{self.address}:{PORT}')
         await self.server.start()
@@ -137,7 +141,7 @@
         if self._running is not None:
             self._running.cancel()
         await self.server.stop(None)
-        await self.wire.wire.close()
+        await self.transport.transport.close()
 
     def state_of(self, address: str) -> MemberState | None:
         """Return what this node believes of an address."""
@@ -209,7 +213,7 @@
     """
     async with _nodes(4) as nodes:
         first, second, *_ = nodes
-        first.wire.cut.add(second.address)
+        first.transport.cut_addresses.add(second.address)
 
         for _ in range(40):
             await asyncio.sleep(0.2)
@@ -225,9 +229,9 @@
     """
     async with _nodes(4) as nodes:
         lost, *others = nodes
-        lost.wire.cut.update(node.address for node in others)
+        lost.transport.cut_addresses.update(node.address for node in others)
         for node in others:
-            node.wire.cut.add(lost.address)
+            node.transport.cut_addresses.add(lost.address)
         await wait_until(
             lambda: all(
                 node.state_of(lost.address) is MemberState.DEAD
@@ -237,13 +241,13 @@
         )
 
         for node in nodes:
-            node.wire.cut.clear()
+            node.transport.cut_addresses.clear()
 
         await wait_until(_all_meet(nodes), 'all know each other again')
 
 
 @dataclass
-class PausedWire:
+class PausedTransport:
     """No answer comes; at the given call the whole process is paused."""
 
     clock: ManualClock
@@ -290,14 +294,14 @@
     pause the same silence makes it a suspect.
     """
     clock = ManualClock(datetime(2026, 12, 2, tzinfo=UTC))
-    wire = PausedWire(clock, paused_at)
+    wire = PausedTransport(clock, paused_at)
     own, peer, helper = (
         Member(f'entry-{idx}', f'10.0.0.{idx}', 'walton', 'a', heartbeat=1)
         for idx in range(3)
     )
     members = Members(own, Random(1), 0)
     members.on_records([peer, helper], 0)
-    deps = GossipDeps(members, wire, FakeNews('10.0.0.0', []), clock)
+    deps = GossipDeps(members, wire, FakeDelegate('10.0.0.0', []), clock)
 
     await Gossip(deps, Random(1)).probe(Outgoing(peer.address, (own,)))
 
@@ -308,9 +312,11 @@
 async def test_news_reaches_every_node() -> None:
     async with _nodes(6) as nodes:
         source, *others = nodes
-        source.news.terms_version = 7
-        source.news.crashes = [SuspectRecord(fingerprint='f', generation=1)]
-        source.news.shards = [
+        source.delegate.terms_version = 7
+        source.delegate.suspect_records = [
+            SuspectRecord(fingerprint='f', generation=1)
+        ]
+        source.delegate.shards = [
             ShardRecord(
                 service='briefing-llm',
                 shard=2,
@@ -323,9 +329,10 @@
         def spread() -> bool:
             now = CLOCK.monotonic()
             return all(
-                node.news.versions.get(source.address) == 7
-                and 'f' in node.news.taken
-                and ('briefing-llm', 2) in node.gossip.shards.views(now)
+                node.delegate.versions.get(source.address) == 7
+                and 'f' in node.delegate.merged_suspects
+                and ('briefing-llm', 2)
+                in node.gossip.remote_loads.get_views(now)
                 for node in others
             )
 
@@ -348,7 +355,7 @@
 
 async def test_a_message_without_a_sender_changes_nothing() -> None:
     async with _nodes(1) as nodes:
-        reply = await nodes[0].gossip.answer(GossipMessage())
+        reply = await nodes[0].gossip.handle_message(GossipMessage())
 
         assert not reply.members
         assert len(nodes[0].members.known(CLOCK.monotonic())) == 1
--- a/tests/test_order_issuer.py
+++ b/tests/test_order_issuer.py
@@ -27,14 +27,14 @@
     WeightStore,
 )
 from bramleybend.scheduler.load_permits import LoadPermits
-from bramleybend.scheduler.order_changes import RETRY_S
+from bramleybend.scheduler.order_changes import RETRY_DELAY_S
 from bramleybend.scheduler.order_deps import (
     OrderDeps,
-    OrderPort,
-    Plan,
+    OrderSources,
+    EnginePlan,
     ShardKey,
 )
-from bramleybend.scheduler.order_issuer import ShardIssuer
+from bramleybend.scheduler.order_issuer import OrderIssuer
 from bramleybend.state.order_records import LOADS_STREAM, ClaimRecord
 from bramleybend.state.order_rules import PERMIT_USE_S
 from tests.cli.world import DOWN, LOST, FakeLog
@@ -45,16 +45,16 @@
 NEW_VERSION = EngineTarget('m', '2')
 NEW_ROLE = EngineTarget('m', '1', (), EngineRole.DECODE)
 LOAD = LoadModel('m', '2')
-PLANT = SetRole(EngineRole.MIXED)
+FENCE_ONLY = SetRole(EngineRole.MIXED)
 
 
-class FakeLogs:
+class FakeLogService:
     """A log of several streams that is down as a whole."""
 
     def __init__(self, clock: ManualClock) -> None:
         self.streams = {name: FakeLog(clock) for name in (CLAIMS, LOADS_STREAM)}
         self.is_down = False
-        self.slow_s = float(0)
+        self.append_delay_s = float(0)
         self._clock = clock
 
     async def append(
@@ -62,7 +62,7 @@
         stream: str,
         records: Sequence[str],
     ) -> Result[int, Problem]:
-        self._clock.advance(self.slow_s)
+        self._clock.advance(self.append_delay_s)
         if self.is_down:
             return Err(DOWN)
         return await self.streams[stream].append(stream, records)
@@ -86,8 +86,8 @@
     states: dict[str, EngineState] = field(default_factory=dict)
     orders: list[Order] = field(default_factory=list)
     fence: int = -1
-    answer: Problem | None = None  # to the next orders, taken or not
-    is_deaf: bool = False
+    error: Problem | None = None  # to the next orders, taken or not
+    ignores_orders: bool = False
 
     async def state(self, vm: Vm) -> Result[EngineState, Problem]:
         return Ok(self.states[vm.name])
@@ -105,9 +105,9 @@
             return Err(Problem(ErrorKind.CONFLICT, 'old fence', 'stop'))
         self.fence = fence
         self.orders.append(order)
-        if not self.is_deaf:
+        if not self.ignores_orders:
             self.states[vm.name] = _after(self.states[vm.name], order)
-        return Err(self.answer) if self.answer else Ok(None)
+        return Err(self.error) if self.error else Ok(None)
 
 
 def _after(state: EngineState, order: Order) -> EngineState:
@@ -119,12 +119,12 @@
     raise AssertionError(order)
 
 
-class Bench:
+class IssuerFixture:
     """An issuer of one engine with everything around it in memory."""
 
     def __init__(self) -> None:
         self.clock = ManualClock(datetime(2026, 12, 1, tzinfo=UTC))
-        self.log = FakeLogs(self.clock)
+        self.log = FakeLogService(self.clock)
         self.engines = FakeEngines({'e': HELD})
         self.is_fresh = True
         self.is_drained = True
@@ -135,7 +135,7 @@
             EventLog('scheduler', 'a1', self.clock),
             NullMetrics(),
         )
-        port = OrderPort(
+        port = OrderSources(
             lambda: None,
             lambda: self.is_fresh,
             lambda: (),
@@ -143,9 +143,9 @@
             lambda *_: self.is_drained,
         )
         self.permits = LoadPermits(deps)
-        self.issuer = ShardIssuer(KEY, port, deps, self.permits, self.engines)
+        self.issuer = OrderIssuer(KEY, port, deps, self.permits, self.engines)
 
-    async def rounds(
+    async def run_rounds(
         self,
         target: EngineTarget,
         *,
@@ -154,128 +154,134 @@
     ) -> list[Order]:
         """Play some rounds; return the orders that the engine took."""
         vm = Vm('e', '127.0.0.1', 1, 'llm', 'walton', RunnerState.LIVE)
-        plan = Plan(target, checks, WeightStore(), (vm,))
+        plan = EnginePlan(target, checks, WeightStore(), (vm,))
         before = len(self.engines.orders)
         for _ in range(count):
-            await self.permits.refresh(plan.store)
-            await self.issuer.round(plan)
+            await self.permits.refresh(plan.weight_store)
+            await self.issuer.run_round(plan)
             self.clock.advance(1)
         return self.engines.orders[before:]
 
-    def other_claims(self) -> None:
+    def add_other_claim(self) -> None:
         """Let another VM claim the shard."""
         other = ClaimRecord(claim_id='other', shard=0, shards=1, by='vm-2')
         self.log.streams[CLAIMS].records.append(other.encode())
 
 
 async def test_a_fence_is_planted_before_the_first_real_order() -> None:
-    bench = Bench()
+    bench = IssuerFixture()
 
-    assert await bench.rounds(NEW_VERSION) == [PLANT, LOAD]
-    assert not bench.issuer.unfit
-    assert not bench.issuer.wrong
+    assert await bench.run_rounds(NEW_VERSION) == [FENCE_ONLY, LOAD]
+    assert not bench.issuer.unschedulable
+    assert not bench.issuer.mismatch_count
 
 
 async def test_nothing_is_planted_where_fences_are_ignored() -> None:
-    assert await Bench().rounds(NEW_VERSION, checks=False) == [LOAD]
+    assert await IssuerFixture().run_rounds(NEW_VERSION, checks=False) == [LOAD]
 
 
 async def test_a_claim_whose_reply_was_lost_is_read_back() -> None:
-    bench = Bench()
+    bench = IssuerFixture()
     bench.log.streams[CLAIMS].lose_replies = 1
 
-    assert await bench.rounds(NEW_ROLE) == [PLANT, SetRole(EngineRole.DECODE)]
+    assert await bench.run_rounds(NEW_ROLE) == [
+        FENCE_ONLY,
+        SetRole(EngineRole.DECODE),
+    ]
     assert len(bench.log.streams[CLAIMS].records) == 1
 
 
 async def test_a_claim_that_never_landed_is_made_again() -> None:
-    bench = Bench()
+    bench = IssuerFixture()
     bench.log.streams[CLAIMS].lose_records = 1
 
-    assert not await bench.rounds(NEW_ROLE, count=3)
-    assert await bench.rounds(NEW_ROLE) == [PLANT, SetRole(EngineRole.DECODE)]
+    assert not await bench.run_rounds(NEW_ROLE, count=3)
+    assert await bench.run_rounds(NEW_ROLE) == [
+        FENCE_ONLY,
+        SetRole(EngineRole.DECODE),
+    ]
 
 
 async def test_without_the_log_nobody_begins_to_order() -> None:
-    bench = Bench()
+    bench = IssuerFixture()
     bench.log.is_down = True
 
-    assert not await bench.rounds(NEW_ROLE)
-    assert not bench.issuer.unfit
+    assert not await bench.run_rounds(NEW_ROLE)
+    assert not bench.issuer.unschedulable
 
 
 @pytest.mark.parametrize('checks', [True, False])
 async def test_a_holder_goes_on_without_the_log_where_fences_are_checked(
     checks: bool,
 ) -> None:
-    bench = Bench()
-    await bench.rounds(EngineTarget('m', '1'), checks=checks)
+    bench = IssuerFixture()
+    await bench.run_rounds(EngineTarget('m', '1'), checks=checks)
     bench.log.is_down = True
 
-    orders = await bench.rounds(NEW_ROLE, checks=checks)
+    orders = await bench.run_rounds(NEW_ROLE, checks=checks)
 
     assert orders == [SetRole(EngineRole.DECODE)] * checks
 
 
 async def test_no_engine_leaves_service_for_a_load_without_the_log() -> None:
-    bench = Bench()
-    await bench.rounds(EngineTarget('m', '1'))
+    bench = IssuerFixture()
+    await bench.run_rounds(EngineTarget('m', '1'))
     bench.log.is_down = True
 
     for _ in range(5):
-        assert not await bench.rounds(NEW_VERSION, count=1)
-        assert not bench.issuer.unfit
+        assert not await bench.run_rounds(NEW_VERSION, count=1)
+        assert not bench.issuer.unschedulable
 
 
 async def test_an_overtaken_issuer_stops_at_its_next_look() -> None:
-    bench = Bench()
-    await bench.rounds(EngineTarget('m', '1'))
-    bench.other_claims()
+    bench = IssuerFixture()
+    await bench.run_rounds(EngineTarget('m', '1'))
+    bench.add_other_claim()
 
-    assert not await bench.rounds(NEW_ROLE, checks=False, count=1)
+    assert not await bench.run_rounds(NEW_ROLE, checks=False, count=1)
 
 
 async def test_old_terms_are_no_reason_to_order() -> None:
-    bench = Bench()
+    bench = IssuerFixture()
     bench.is_fresh = False
 
-    assert not await bench.rounds(NEW_ROLE)
+    assert not await bench.run_rounds(NEW_ROLE)
 
 
 async def test_an_engine_at_work_is_not_ordered_but_gets_nothing_new() -> None:
-    bench = Bench()
+    bench = IssuerFixture()
     bench.is_drained = False
 
-    assert await bench.rounds(NEW_VERSION) == [PLANT]
-    assert bench.issuer.unfit == {'e'}
+    assert await bench.run_rounds(NEW_VERSION) == [FENCE_ONLY]
+    assert bench.issuer.unschedulable == {'e'}
 
 
 async def test_a_lost_reply_of_an_order_is_settled_by_the_state() -> None:
-    bench = Bench()
-    await bench.rounds(EngineTarget('m', '1'))
-    bench.engines.answer = LOST
+    bench = IssuerFixture()
+    await bench.run_rounds(EngineTarget('m', '1'))
+    bench.engines.error = LOST
 
-    assert await bench.rounds(NEW_VERSION) == [LOAD]
-    assert not bench.issuer.unfit
-    assert bench.permits.room(WeightStore()) == 2
+    assert await bench.run_rounds(NEW_VERSION) == [LOAD]
+    assert not bench.issuer.unschedulable
+    assert bench.permits.count_available(WeightStore()) == 2
 
 
 async def test_an_order_that_does_nothing_is_given_again_later() -> None:
-    bench = Bench()
-    bench.engines.is_deaf = True
+    bench = IssuerFixture()
+    bench.engines.ignores_orders = True
 
-    assert await bench.rounds(NEW_VERSION) == [PLANT, LOAD]
-    assert not bench.issuer.unfit
-    assert bench.permits.room(WeightStore()) == 2
-    bench.clock.advance(RETRY_S)
-    assert LOAD in await bench.rounds(NEW_VERSION)
+    assert await bench.run_rounds(NEW_VERSION) == [FENCE_ONLY, LOAD]
+    assert not bench.issuer.unschedulable
+    assert bench.permits.count_available(WeightStore()) == 2
+    bench.clock.advance(RETRY_DELAY_S)
+    assert LOAD in await bench.run_rounds(NEW_VERSION)
 
 
 async def test_a_permit_that_came_late_is_given_back() -> None:
-    bench = Bench()
-    await bench.rounds(EngineTarget('m', '1'))
-    bench.log.slow_s = PERMIT_USE_S
+    bench = IssuerFixture()
+    await bench.run_rounds(EngineTarget('m', '1'))
+    bench.log.append_delay_s = PERMIT_USE_S
 
-    assert not await bench.rounds(NEW_VERSION)
-    bench.log.slow_s = 0
-    assert await bench.rounds(NEW_VERSION) == [LOAD]
+    assert not await bench.run_rounds(NEW_VERSION)
+    bench.log.append_delay_s = 0
+    assert await bench.run_rounds(NEW_VERSION) == [LOAD]
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -10,8 +10,8 @@
 from bramleybend.decisions.quarantine import CrashBook
 from bramleybend.identity import Identity
 from bramleybend.models import RunnerState, Vm
-from bramleybend.scheduler.peer_wire import PeerWire
-from bramleybend.scheduler.peers import JOIN_S, Peers, PeerSources
+from bramleybend.scheduler.peer_wire import PeerTransport
+from bramleybend.scheduler.peers import JOIN_PERIOD_S, Peers, PeerSources
 from bramleybend.state.member import Member, MemberState
 from bramleybend.state.terms_follower import TermsFollower
 from bramleybend.wire.bramleybend_pb2 import (
@@ -24,10 +24,10 @@
 
 
 @dataclass
-class FakeWire:
+class FakeTransport:
     """Answers for terms, and loses all gossip."""
 
-    asked: list[str] = field(default_factory=list)
+    asked_addresses: list[str] = field(default_factory=list)
 
     async def gossip(
         self,
@@ -44,7 +44,7 @@
         request: TermsRequest,
     ) -> TermsReply | None:
         """Return newer terms."""
-        self.asked.append(address)
+        self.asked_addresses.append(address)
         return TermsReply(version=8, offset=12, document='document')
 
 
@@ -53,24 +53,24 @@
     """Counts what it is told."""
 
     version: int = 7
-    heard: int = 0
-    learned: int = 0
+    peer_heard_count: int = 0
+    learn_count: int = 0
 
     def heard_peer(self) -> None:
         """Count word of a peer with the same terms."""
-        self.heard += 1
+        self.peer_heard_count += 1
 
     async def learn_from_peer(self) -> None:
         """Count word of a peer with newer terms."""
-        self.learned += 1
+        self.learn_count += 1
 
 
 @dataclass
-class Bench:
+class PeersFixture:
     """One scheduler's peers, with all around them faked."""
 
     clock: ManualClock
-    wire: FakeWire
+    transport: FakeTransport
     terms: FakeTerms
     peers: Peers
 
@@ -86,9 +86,9 @@
     )
 
 
-def _bench(*vms: Vm) -> Bench:
+def _bench(*vms: Vm) -> PeersFixture:
     clock = ManualClock(datetime(2026, 12, 2, tzinfo=UTC))
-    wire, terms = FakeWire(), FakeTerms()
+    wire, terms = FakeTransport(), FakeTerms()
     sources = PeerSources(
         IDENTITY,
         cast(TermsFollower, terms),
@@ -96,16 +96,16 @@
         lambda: vms,
         lambda: (),
     )
-    peers = Peers(sources, cast(PeerWire, wire), clock, Random(1))
-    return Bench(clock, wire, terms, peers)
+    peers = Peers(sources, cast(PeerTransport, wire), clock, Random(1))
+    return PeersFixture(clock, wire, terms, peers)
 
 
 def _peer(**changes: MemberState) -> Member:
     return Member('entry-1', '10.0.0.2', 'gulberg', 'b', heartbeat=1, **changes)
 
 
-def _alive(bench: Bench) -> set[str]:
-    return {member.vm for member in bench.peers.alive()}
+def _alive(bench: PeersFixture) -> set[str]:
+    return {member.vm for member in bench.peers.list_owner_candidates()}
 
 
 def test_a_starting_scheduler_counts_whom_the_list_shows() -> None:
@@ -117,7 +117,7 @@
     bench = _bench(_vm(0), _vm(1), _vm(2, RunnerState.LEAVING))
 
     assert _alive(bench) == {'entry-0', 'entry-1'}
-    bench.clock.advance(JOIN_S + 1)
+    bench.clock.advance(JOIN_PERIOD_S + 1)
     assert _alive(bench) == {'entry-0'}
 
 
@@ -131,13 +131,13 @@
 
 async def test_terms_are_fetched_from_the_peer_that_is_ahead() -> None:
     bench = _bench(_vm(0), _vm(1), _vm(2))
-    bench.peers.news.heard_from(_peer(), 8)
+    bench.peers.delegate.on_peer_heard(_peer(), 8)
     await asyncio.sleep(0)
 
     found = await bench.peers.fetch_terms()
 
-    assert bench.terms.learned == 1
-    assert bench.wire.asked == ['10.0.0.2']
+    assert bench.terms.learn_count == 1
+    assert bench.transport.asked_addresses == ['10.0.0.2']
     assert found is not None
     assert found.version == 8
 
@@ -148,7 +148,7 @@
     bench = _bench()
 
     for version in (6, 7):
-        bench.peers.news.heard_from(_peer(), version)
+        bench.peers.delegate.on_peer_heard(_peer(), version)
 
-    assert bench.terms.heard == 1
-    assert not bench.terms.learned
+    assert bench.terms.peer_heard_count == 1
+    assert not bench.terms.learn_count
--- a/tests/test_shard_table.py
+++ b/tests/test_shard_table.py
@@ -16,13 +16,13 @@
 from bramleybend.events import EventLog
 from bramleybend.metrics import NullMetrics
 from bramleybend.models import Ask, Service, ServiceKind, Terms, Tier
-from bramleybend.scheduler.messages import Adopted, HoldChannel, HoldLost
+from bramleybend.scheduler.messages import RunAdopted, HoldChannel, HoldLost
 from bramleybend.scheduler.shard_task import ShardDeps, ShardTask
 from bramleybend.scheduler.shards import (
-    LOOK_INTERVAL_S,
-    NOTES_A_LOOK,
+    UPDATE_INTERVAL_S,
+    PAUSE_CHECKS_PER_UPDATE,
     ShardTable,
-    Surroundings,
+    ShardSources,
 )
 from bramleybend.state.member import Member
 
@@ -42,13 +42,13 @@
 )
 
 
-class World:
+class ShardTableFixture:
     """One scheduler's shards on a clock that the test moves."""
 
     def __init__(self, owner: Member = OWN) -> None:
         self.clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
         self.shards = ShardTable(
-            Surroundings(lambda: TERMS, tuple, lambda: (owner,), OWN.vm),
+            ShardSources(lambda: TERMS, tuple, lambda: (owner,), OWN.vm),
             ShardDeps(
                 self.clock,
                 EventLog('scheduler', 'a1', self.clock),
@@ -65,72 +65,74 @@
         return task
 
     @property
-    def settled(self) -> bool:
-        return self.shards.settled(self.task)
+    def is_settled(self) -> bool:
+        return self.shards.is_settled(self.task)
 
-    def run_for(self, seconds: float) -> None:
+    def run_unpaused(self, seconds: float) -> None:
         """Let time pass as it does for a process that is not paused."""
         end = self.clock.monotonic() + seconds
-        self.shards.look()
+        self.shards.update()
         while self.clock.monotonic() < end:
-            self.clock.advance(LOOK_INTERVAL_S)
-            self.shards.look()
+            self.clock.advance(UPDATE_INTERVAL_S)
+            self.shards.update()
 
 
 @pytest.fixture
-async def world() -> World:
-    made = World()
-    made.run_for(DEFAULT_TIMES.grace_s)
+async def world() -> ShardTableFixture:
+    made = ShardTableFixture()
+    made.run_unpaused(DEFAULT_TIMES.grace_s)
     return made
 
 
 async def test_new_owner_is_settled_only_after_the_grace() -> None:
-    world = World()
-    world.run_for(DEFAULT_TIMES.fresh_s)
-    assert not world.settled
-    world.run_for(DEFAULT_TIMES.hold_s)
+    world = ShardTableFixture()
+    world.run_unpaused(DEFAULT_TIMES.fresh_s)
+    assert not world.is_settled
+    world.run_unpaused(DEFAULT_TIMES.hold_s)
 
-    assert world.settled
+    assert world.is_settled
 
 
-async def test_paused_owner_starts_anew(world: World) -> None:
-    assert world.settled
+async def test_paused_owner_starts_anew(world: ShardTableFixture) -> None:
+    assert world.is_settled
     world.clock.advance(DEFAULT_TIMES.fresh_s)
-    assert not world.settled  # also before it has looked again
-    world.run_for(DEFAULT_TIMES.fresh_s)
-    assert not world.settled
-    world.run_for(DEFAULT_TIMES.hold_s)
+    assert not world.is_settled  # also before it has looked again
+    world.run_unpaused(DEFAULT_TIMES.fresh_s)
+    assert not world.is_settled
+    world.run_unpaused(DEFAULT_TIMES.hold_s)
 
-    assert world.settled
+    assert world.is_settled
 
 
 @pytest.mark.parametrize(('short_by_s', 'is_anew'), [(0.2, False), (0, True)])
 async def test_a_pause_is_not_counted_longer_than_it_was(
-    world: World, short_by_s: float, is_anew: bool
+    world: ShardTableFixture, short_by_s: float, is_anew: bool
 ) -> None:
     """Guards against low tiers that wait out a takeover that nobody made."""
-    for _ in range(NOTES_A_LOOK - 1):
-        world.clock.advance(LOOK_INTERVAL_S / NOTES_A_LOOK)
-        world.shards.note_running()
+    for _ in range(PAUSE_CHECKS_PER_UPDATE - 1):
+        world.clock.advance(UPDATE_INTERVAL_S / PAUSE_CHECKS_PER_UPDATE)
+        world.shards.mark_running()
     world.clock.advance(DEFAULT_TIMES.fresh_s - short_by_s)
-    world.shards.note_running()
-    assert world.settled is not is_anew
+    world.shards.mark_running()
+    assert world.is_settled is not is_anew
 
 
-async def test_run_that_left_unsettles_its_owner(world: World) -> None:
+async def test_run_that_left_unsettles_its_owner(
+    world: ShardTableFixture,
+) -> None:
     hold = HoldChannel('draft#1', 'draft', Tier.BULK)
     now = world.clock.monotonic()
-    world.task._handle(Adopted(hold, DRAFT, 'engine-1'), now)
-    assert world.settled
-    world.task._handle(HoldLost(hold), now)
-    assert not world.settled
-    world.run_for(DEFAULT_TIMES.grace_s)
+    world.task._handle_message(RunAdopted(hold, DRAFT, 'engine-1'), now)
+    assert world.is_settled
+    world.task._handle_message(HoldLost(hold), now)
+    assert not world.is_settled
+    world.run_unpaused(DEFAULT_TIMES.grace_s)
 
-    assert world.settled
+    assert world.is_settled
 
 
 async def test_who_is_no_owner_is_never_settled() -> None:
-    world = World(Member('entry-2', '10.0.0.2', 'sof-b', 'b2'))
-    world.run_for(DEFAULT_TIMES.grace_s)
+    world = ShardTableFixture(Member('entry-2', '10.0.0.2', 'sof-b', 'b2'))
+    world.run_unpaused(DEFAULT_TIMES.grace_s)
 
-    assert not world.settled
+    assert not world.is_settled
