--- a/bramleybend/scheduler/core.py
+++ b/bramleybend/scheduler/core.py
@@ -16,20 +16,20 @@
 from bramleybend.identity import Identity, make_identity
 from bramleybend.loop_watch import LoopWatch
 from bramleybend.metrics import Metric, make_metrics
-from bramleybend.scheduler.list_watch import VmListPoller
+from bramleybend.scheduler.vm_list_poller import VmListPoller
 from bramleybend.scheduler.order_deps import OrderDeps, OrderSources
-from bramleybend.scheduler.orders import OrderManager, make_orders
+from bramleybend.scheduler.order_manager import OrderManager, make_orders
 from bramleybend.scheduler.owner_service import OwnerService
-from bramleybend.scheduler.peer_wire import GrpcPeerTransport
+from bramleybend.scheduler.peer_transport import GrpcPeerTransport
 from bramleybend.scheduler.peers import PeerSources, make_peers
-from bramleybend.scheduler.process import SchedulerControl
+from bramleybend.scheduler.scheduler_control import SchedulerControl
 from bramleybend.scheduler.shard_task import ShardDeps
-from bramleybend.scheduler.shards import (
+from bramleybend.scheduler.shard_table import (
     ShardTable,
     ShardSources,
     make_shards,
 )
-from bramleybend.scheduler.suspects import export_suspects
+from bramleybend.scheduler.suspect_records import export_suspects
 from bramleybend.scheduler.view_service import ViewService, ViewSources
 from bramleybend.settings import Settings
 from bramleybend.state.terms_follower import FollowerPort, TermsFollower
--- a/bramleybend/scheduler/gossip.py
+++ b/bramleybend/scheduler/gossip.py
@@ -12,9 +12,9 @@
 
 from bramleybend.clock import Clock
 from bramleybend.models import Vm
-from bramleybend.scheduler.gossip_records import decode_members, encode_members
-from bramleybend.scheduler.heard_shards import RemoteLoads
-from bramleybend.scheduler.peer_wire import PeerTransport
+from bramleybend.scheduler.member_records import decode_members, encode_members
+from bramleybend.scheduler.remote_loads import RemoteLoads
+from bramleybend.scheduler.peer_transport import PeerTransport
 from bramleybend.state.member import Member
 from bramleybend.state.membership import PERIOD_S, Members, Outgoing
 from bramleybend.wire.bramleybend_pb2 import (
--- a/bramleybend/scheduler/order_issuer.py
+++ b/bramleybend/scheduler/order_issuer.py
@@ -23,7 +23,7 @@
 from bramleybend.errors import ErrorKind
 from bramleybend.models import EngineTarget, Vm
 from bramleybend.scheduler.load_permits import LoadPermits
-from bramleybend.scheduler.order_changes import (
+from bramleybend.scheduler.engine_changes import (
     EngineChange,
     ChangePhase,
     count_draining,
--- a/bramleybend/scheduler/owner_service.py
+++ b/bramleybend/scheduler/owner_service.py
@@ -10,7 +10,7 @@
 from bramleybend.decisions.actions import RunReport
 from bramleybend.decisions.quarantine import Verdict
 from bramleybend.models import Ask, Tier
-from bramleybend.scheduler.messages import (
+from bramleybend.scheduler.shard_messages import (
     RunAdopted,
     SlotRequested,
     FirstTokenSeen,
@@ -20,7 +20,7 @@
     RunEnded,
 )
 from bramleybend.scheduler.shard_task import ShardTask
-from bramleybend.scheduler.shards import ShardTable
+from bramleybend.scheduler.shard_table import ShardTable
 from bramleybend.wire.bramleybend_pb2 import (
     AskMessage,
     FloorReply,
--- a/bramleybend/scheduler/peers.py
+++ b/bramleybend/scheduler/peers.py
@@ -16,8 +16,11 @@
 from bramleybend.models import RunnerState, Vm
 from bramleybend.scheduler.gossip import Gossip, GossipDeps
 from bramleybend.scheduler.peer_service import PeerService
-from bramleybend.scheduler.peer_wire import PeerTransport
-from bramleybend.scheduler.suspects import merge_suspects, sample_suspects
+from bramleybend.scheduler.peer_transport import PeerTransport
+from bramleybend.scheduler.suspect_records import (
+    merge_suspects,
+    sample_suspects,
+)
 from bramleybend.state.member import Member, MemberState
 from bramleybend.state.membership import Members
 from bramleybend.state.terms_follower import PeerTerms, TermsFollower
--- a/bramleybend/scheduler/replies.py
+++ b/bramleybend/scheduler/reply_sender.py
@@ -4,7 +4,7 @@
 from bramleybend.events import EventLog
 from bramleybend.metrics import Metric, Metrics
 from bramleybend.models import Tier, Vm
-from bramleybend.scheduler.messages import HoldChannel
+from bramleybend.scheduler.shard_messages import HoldChannel
 from bramleybend.wire.bramleybend_pb2 import (
     Granted,
     HoldReply,
--- a/bramleybend/scheduler/shards.py
+++ b/bramleybend/scheduler/shard_table.py
@@ -12,11 +12,11 @@
 from bramleybend.decisions.ownership import owners_of, shard_of
 from bramleybend.decisions.quarantine import Verdict
 from bramleybend.models import RunnerState, Service, Terms, Vm
-from bramleybend.scheduler.messages import (
+from bramleybend.scheduler.shard_messages import (
     OwnershipMoved,
     RunnersListed,
 )
-from bramleybend.scheduler.pause_watch import PauseDetector
+from bramleybend.scheduler.pause_detector import PauseDetector
 from bramleybend.scheduler.shard_task import ShardDeps, ShardTask
 from bramleybend.state.member import Member
 
--- a/bramleybend/scheduler/shard_task.py
+++ b/bramleybend/scheduler/shard_task.py
@@ -25,8 +25,8 @@
 from bramleybend.events import EventLog
 from bramleybend.metrics import Metric, Metrics
 from bramleybend.models import RunnerState, Tier, Vm
-from bramleybend.scheduler.crash_watch import CrashTracker
-from bramleybend.scheduler.messages import (
+from bramleybend.scheduler.crash_tracker import CrashTracker
+from bramleybend.scheduler.shard_messages import (
     RunAdopted,
     SlotRequested,
     FirstTokenSeen,
@@ -38,7 +38,7 @@
     RunnersListed,
     ShardMessage,
 )
-from bramleybend.scheduler.replies import ReplySender
+from bramleybend.scheduler.reply_sender import ReplySender
 
 MAX_IDLE_S: Final = 0.5
 
--- a/tests/benchmarks/capacity_control.py
+++ b/tests/benchmarks/capacity_control.py
@@ -32,7 +32,7 @@
     Vm,
 )
 from bramleybend.scheduler.shard_task import ShardDeps
-from bramleybend.scheduler.shards import ShardTable, ShardSources
+from bramleybend.scheduler.shard_table import ShardTable, ShardSources
 from bramleybend.scheduler.view_service import (
     runner_record,
     member_record,
--- a/tests/benchmarks/capacity_gossip.py
+++ b/tests/benchmarks/capacity_gossip.py
@@ -10,9 +10,9 @@
 
 from bramleybend.clock import SystemClock
 from bramleybend.scheduler.gossip import Gossip, GossipDeps
-from bramleybend.scheduler.gossip_records import decode_members, encode_members
+from bramleybend.scheduler.member_records import decode_members, encode_members
 from bramleybend.scheduler.peer_service import PeerService
-from bramleybend.scheduler.peer_wire import GrpcPeerTransport
+from bramleybend.scheduler.peer_transport import GrpcPeerTransport
 from bramleybend.state.member import Member, MemberState
 from bramleybend.state.membership import Members
 from bramleybend.wire.bramleybend_pb2 import (
--- a/tests/test_channels.py
+++ b/tests/test_channels.py
@@ -8,7 +8,7 @@
 import pytest
 import pytest_asyncio
 
-from bramleybend.scheduler.peer_wire import GrpcPeerTransport
+from bramleybend.scheduler.peer_transport import GrpcPeerTransport
 from bramleybend.wire.bramleybend_pb2 import (
     GossipMessage,
     StatusReply,
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -14,7 +14,7 @@
 from bramleybend.models import RunnerState, Vm
 from bramleybend.scheduler.gossip import Gossip, GossipDeps
 from bramleybend.scheduler.peer_service import PeerService
-from bramleybend.scheduler.peer_wire import GrpcPeerTransport
+from bramleybend.scheduler.peer_transport import GrpcPeerTransport
 from bramleybend.state.member import Member, MemberState
 from bramleybend.state.membership import Members, Outgoing
 from bramleybend.wire.bramleybend_pb2 import (
--- a/tests/test_order_issuer.py
+++ b/tests/test_order_issuer.py
@@ -27,7 +27,7 @@
     WeightStore,
 )
 from bramleybend.scheduler.load_permits import LoadPermits
-from bramleybend.scheduler.order_changes import RETRY_DELAY_S
+from bramleybend.scheduler.engine_changes import RETRY_DELAY_S
 from bramleybend.scheduler.order_deps import (
     OrderDeps,
     OrderSources,
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -10,7 +10,7 @@
 from bramleybend.decisions.quarantine import CrashBook
 from bramleybend.identity import Identity
 from bramleybend.models import RunnerState, Vm
-from bramleybend.scheduler.peer_wire import PeerTransport
+from bramleybend.scheduler.peer_transport import PeerTransport
 from bramleybend.scheduler.peers import JOIN_PERIOD_S, Peers, PeerSources
 from bramleybend.state.member import Member, MemberState
 from bramleybend.state.terms_follower import TermsFollower
--- a/tests/test_heard_shards.py
+++ b/tests/test_remote_loads.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from bramleybend.scheduler.heard_shards import (
+from bramleybend.scheduler.remote_loads import (
     MAX_AGE_S,
     MAX_RELAYED,
     RELAY_WINDOW_S,
--- a/tests/test_shard_table.py
+++ b/tests/test_shard_table.py
@@ -16,9 +16,13 @@
 from bramleybend.events import EventLog
 from bramleybend.metrics import NullMetrics
 from bramleybend.models import Ask, Service, ServiceKind, Terms, Tier
-from bramleybend.scheduler.messages import RunAdopted, HoldChannel, HoldLost
+from bramleybend.scheduler.shard_messages import (
+    RunAdopted,
+    HoldChannel,
+    HoldLost,
+)
 from bramleybend.scheduler.shard_task import ShardDeps, ShardTask
-from bramleybend.scheduler.shards import (
+from bramleybend.scheduler.shard_table import (
     UPDATE_INTERVAL_S,
     PAUSE_CHECKS_PER_UPDATE,
     ShardTable,
