--- a/bramleybend/scheduler/__init__.py
+++ b/bramleybend/scheduler/__init__.py
@@ -1,1 +1,1 @@
-"""The owner side: queues, grants, runner watch."""
+"""The scheduler: request queues, grants, gossip and engine orders."""
--- a/bramleybend/scheduler/core.py
+++ b/bramleybend/scheduler/core.py
@@ -1,4 +1,4 @@
-"""Builds a scheduler from its parts, runs it and stops it."""
+"""The scheduler process: builds its parts, starts them and stops them."""
 
 import asyncio
 from typing import Any, Final
@@ -41,10 +41,10 @@
 from bramleybend.wire.headers import Headers
 from bramleybend.wire.channels import SERVER_OPTIONS
 
-# Gateways hear of the leaving owner within one view, 0.5 s; asks that come
-# later are still served, and their runs registered with the next owner.
+# Gateways learn within one view, 0.5 s, that this owner is leaving. Requests
+# that arrive later are still served; the next owner learns of their runs.
 LEAVE_NOTICE_S: Final = 2.0
-RELEASE_WAIT_S: Final = 0.05
+RELEASE_WAIT_S: Final = 0.05  # for the shard tasks to close their streams
 GAUGE_INTERVAL_S: Final = 1.0
 GRPC_STOP_GRACE_S: Final = 0.5
 
@@ -53,7 +53,7 @@
     """One scheduler process."""
 
     def __init__(self, cfg: Settings, identity: Identity, clock: Clock) -> None:
-        """Wire the parts; nothing runs yet."""
+        """Connect the parts; nothing runs before `start`."""
         self.stopping = asyncio.Event()
         self.identity = identity
         self.events = EventLog('scheduler', identity.incarnation, clock)
@@ -84,7 +84,7 @@
         self._grpc: grpc.aio.Server
 
     async def start(self) -> None:
-        """Listen, and follow list, terms and peers."""
+        """Open the gRPC port and start the background tasks."""
         self._grpc = grpc.aio.server(options=SERVER_OPTIONS)
         self._add_services()
         await self._grpc.start()
@@ -92,11 +92,11 @@
         self.events.record('started', vm=self._cfg.vm)
 
     def reload(self) -> None:
-        """Keep the settings: flags and variables stay as they were."""
+        """Keep the settings; flags and environment variables can't change."""
         self.events.record('reload_ignored')
 
     async def stop(self) -> None:
-        """Hand every shard on, then leave."""
+        """Announce the stop, release every shard, then stop serving."""
         self.events.record('draining')
         self.peers.announce_leaving()
         await asyncio.sleep(LEAVE_NOTICE_S)
@@ -109,15 +109,19 @@
         self.events.record('stopped')
 
     def list_shard_views(self) -> list[ShardView]:
-        """Return the load of every shard: own, heard of, or unknown."""
+        """Return a view of every declared shard.
+
+        The load of a shard that this VM doesn't own comes by gossip; it is 0
+        for a shard of which nothing is known.
+        """
         own = {(each.service, each.shard): each for each in self.shards.loads()}
-        heard = self.peers.get_remote_loads()
+        remote = self.peers.get_remote_loads()
         terms = self.terms.terms
         if terms is None:
             return []
         return [
             own.get((service.name, shard))
-            or heard.get((service.name, shard))
+            or remote.get((service.name, shard))
             or ShardView(service.name, shard, 0, 0, 0, 0)
             for service in terms.services.values()
             for shard in range(service.shards)
@@ -236,6 +240,6 @@
 
 
 def make_scheduler(cfg: Settings, clock: Clock) -> Scheduler:
-    """Build a scheduler; it gets a new incarnation with every start."""
+    """Build a scheduler with a new incarnation id."""
     identity = make_identity(cfg.vm, cfg.domain, str(cfg.address))
     return Scheduler(cfg, identity, clock)
--- a/bramleybend/scheduler/crash_tracker.py
+++ b/bramleybend/scheduler/crash_tracker.py
@@ -1,4 +1,4 @@
-"""What a shard's owner makes of its runners' crashes."""
+"""Records crashes of a shard's runners and the content in flight at them."""
 
 from collections.abc import Collection, Iterable
 from math import inf
@@ -6,16 +6,16 @@
 
 from bramleybend.decisions.quarantine import CrashBook
 
-# The gateways whose runs a crash took report it each on its own, after their
-# tries to resume, which take 0.6 s at most.
+# Each gateway that had a run on a crashed runner reports the crash separately,
+# after its attempts to resume the run, which take 0.6 s at most.
 SAME_CRASH_WINDOW_S: Final = 0.8
 
 
 class CrashTracker:
-    """Tells crashes apart and keeps suspects from what they crashed."""
+    """Counts crashes and keeps suspect content off runners it crashed."""
 
     def __init__(self, book: CrashBook) -> None:
-        """Write into the process's book."""
+        """Write into the crash records that the process's shards share."""
         self._book = book
         self._last_crashes: dict[str, tuple[int, float]] = {}
 
@@ -24,11 +24,12 @@
         fingerprint: str,
         runners: Collection[str],
     ) -> frozenset[str]:
-        """Return runners that a suspect is kept from, if others are left.
+        """Return the runners to exclude for content, if others are left.
 
-        Its prefix draws it to the runner it has just crashed. There it would
-        crash the same one again and again, which proves nothing against it,
-        and would never be refused.
+        Content that crashed a runner is placed on the same runner again by
+        its prefix. Repeated crashes of one runner don't prove that the content
+        is at fault, so it would go on crashing that runner without ever being
+        refused.
         """
         crashed = self._book.runners(fingerprint)
         others = [name for name in runners if name not in crashed]
@@ -38,26 +39,31 @@
         self,
         runner: str,
         fingerprints: Iterable[str],
-        few: bool,
+        has_few_runners: bool,
         now: float,
     ) -> None:
-        """Suspect all that was in flight there, whoever's fault it was.
+        """Mark all content that was in flight on the runner as suspect.
 
-        With too `few` runners to condemn by, each crash counts for itself.
+        Any of it may have caused the crash, or the runner itself.
+        Content is refused after crashes of several runners. With
+        `has_few_runners` the shard has fewer runners than that, so each crash
+        of a runner counts separately.
         """
-        number, at = self._last_crashes.get(runner, (0, -inf))
-        if now - at > SAME_CRASH_WINDOW_S:
-            number += 1
-        self._last_crashes[runner] = (number, now)
-        name = f'{runner}#{number}' if few else runner
+        crash_number, last_reported_at = self._last_crashes.get(
+            runner, (0, -inf)
+        )
+        if now - last_reported_at > SAME_CRASH_WINDOW_S:
+            crash_number += 1
+        self._last_crashes[runner] = (crash_number, now)
+        name = f'{runner}#{crash_number}' if has_few_runners else runner
         known = [each for each in fingerprints if each]
         self._book.crashed(name, known, now)
 
     def record_finish(self, fingerprint: str, now: float) -> None:
-        """Clear content that ran to its end, and by nothing less.
+        """Clear content that ran to its end.
 
-        A try that a restarting runner refused shows nothing; cleared by it, a
-        poison would go on killing.
+        An attempt that a restarting runner refused must not clear content;
+        otherwise content that crashes runners would go on crashing them.
         """
         if fingerprint:
             self._book.finished(fingerprint, now)
--- a/bramleybend/scheduler/engine_changes.py
+++ b/bramleybend/scheduler/engine_changes.py
@@ -1,4 +1,4 @@
-"""What an issuer knows of the engines it is changing."""
+"""Changes of engines that an issuer has begun."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
@@ -14,15 +14,15 @@
 from bramleybend.models import EngineTarget, Vm
 from bramleybend.scheduler.load_permits import LoadPermit
 
-# An order whose reply was lost may still be on its way; engines begin to load
-# within a round trip, so what isn't seen by then was not taken.
+# An order whose reply was lost may still be on its way. Engines begin to load
+# within a round trip, so an order without effect by then was not executed.
 ORDER_SETTLE_S: Final = 2.0
-# A version that can't be loaded would else be fetched again without pause.
+# Without a delay, a version that can't be loaded would be fetched continuously.
 RETRY_DELAY_S: Final = 30.0
 
 
 class ChangePhase(StrEnum):
-    """How far the change of one engine has come."""
+    """The phase of one engine's change."""
 
     DRAINING = 'draining'
     ORDERED = 'ordered'
@@ -31,7 +31,7 @@
 
 @dataclass
 class EngineChange:
-    """One engine on its way to what is declared."""
+    """The change of one engine towards its declared state."""
 
     vm: Vm
     phase: ChangePhase
@@ -41,16 +41,16 @@
     permit: LoadPermit | None = None
 
     def enter_phase(self, phase: ChangePhase, now: float) -> None:
-        """Begin the next phase."""
+        """Enter a phase."""
         self.phase = phase
         self.entered_at = now
 
     def is_past_settle_time(self, now: float) -> bool:
-        """Whether the order, if it was taken, must show by now."""
+        """Whether the order, if executed, must have had an effect by now."""
         return now - self.entered_at >= ORDER_SETTLE_S
 
     def is_retry_due(self, now: float) -> bool:
-        """Whether a failure is long enough ago to try again."""
+        """Whether the change failed long enough ago to be tried again."""
         return (
             self.phase is ChangePhase.FAILED
             and now - self.entered_at >= RETRY_DELAY_S
@@ -62,7 +62,7 @@
     states: Mapping[str, EngineState],
     changes: Mapping[str, EngineChange],
 ) -> list[EngineView]:
-    """Return the engines as the decisions see them."""
+    """Return the engines in the form that `decisions.orders` takes."""
     return [
         EngineView(
             vm.name,
@@ -77,14 +77,14 @@
 
 
 def count_draining(changes: Mapping[str, EngineChange]) -> int:
-    """Return how many engines may ask for a permit soon."""
+    """Return how many engines are draining and may soon need a permit."""
     return sum(
         change.phase is ChangePhase.DRAINING for change in changes.values()
     )
 
 
 def collect_load_ids(changes: Iterable[EngineChange]) -> frozenset[str]:
-    """Return the ids of the loads that these changes began."""
+    """Return the ids of the loads that belong to these changes."""
     return frozenset(
         change.permit.load_id for change in changes if change.permit
     )
@@ -96,7 +96,7 @@
     target: EngineTarget,
     now: float,
 ) -> bool:
-    """Whether an order has come to its end, well or not."""
+    """Whether an order has ended, with or without success."""
     if state is None or state.loading:
         return False
     if next_order(state, target) != change.order:
--- a/bramleybend/scheduler/gossip.py
+++ b/bramleybend/scheduler/gossip.py
@@ -1,7 +1,7 @@
-"""The task that probes peers and carries news between schedulers.
+"""The task that probes peers and exchanges gossip between schedulers.
 
-It owns the `Members` state: everything here runs on one event loop, and no
-await stands between reading that state and writing it.
+It owns the `Members` state: all code here runs on one event loop, and no await
+stands between reading that state and writing it.
 """
 
 import asyncio
@@ -25,16 +25,17 @@
 )
 
 PROBE_TIMEOUT_S: Final = 0.3
-# A helper's own probe takes up to the first; the rest is the way there.
+# The helper's probe of the target takes up to PROBE_TIMEOUT_S; the rest is for
+# the round trip to the helper.
 INDIRECT_PROBE_TIMEOUT_S: Final = 0.4
-# An answer that took this much longer than its limit was held up here: the
-# process was paused, and the silence says nothing of the peer.
+# A call that ends this long after its timeout was delayed by a pause of this
+# process. A missing reply then says nothing about the peer.
 MIN_PAUSE_S: Final = 0.5
 MAX_LIST_POLLS: Final = 20
 
 
 class GossipDelegate(Protocol):
-    """What rides on the probes besides membership; all of it bounded."""
+    """What messages carry besides membership; every part is bounded."""
 
     def make_header(self) -> Header:
         """Return the header, with the version of the terms in force."""
@@ -43,21 +44,21 @@
         """Return the entry VMs on the VM list."""
 
     def sample_owned_shards(self) -> Iterable[ShardRecord]:
-        """Return the loads of the shards owned here."""
+        """Return loads of shards that this VM owns."""
 
     def sample_suspects(self) -> Iterable[SuspectRecord]:
-        """Return some records of requests that crashed runners."""
+        """Return some records of content that was in flight at crashes."""
 
     def merge_suspects(self, records: Iterable[SuspectRecord]) -> None:
-        """Take in such records of a peer."""
+        """Merge the crash records that a peer sent."""
 
     def on_peer_heard(self, peer: Member, terms_version: int) -> None:
-        """Note that a peer spoke and which terms it has."""
+        """Handle a message of a peer that holds these terms."""
 
 
 @dataclass(frozen=True)
 class GossipDeps:
-    """What the task works with."""
+    """Dependencies of the gossip task."""
 
     members: Members
     transport: PeerTransport
@@ -66,10 +67,10 @@
 
 
 class Gossip:
-    """Probes on a timer and answers the probes of others."""
+    """Probes peers once a period and answers their probes."""
 
     def __init__(self, deps: GossipDeps, rng: Random) -> None:
-        """Send nothing until run."""
+        """Send nothing before `run`."""
         self.remote_loads = RemoteLoads(rng)
         self._members = deps.members
         self._transport = deps.transport
@@ -85,14 +86,14 @@
             await asyncio.sleep(PERIOD_S)
 
     def send_probes(self) -> None:
-        """Begin a period's probes; also used to announce leaving at once."""
+        """Start this period's probes; also called to announce a stop."""
         now = self._clock.monotonic()
         self._members.learn_listed(self._delegate.get_listed_vms(), now)
         for outgoing in self._members.tick(now):
             self._start_task(self.probe(outgoing))
 
     async def handle_message(self, message: GossipMessage) -> GossipMessage:
-        """Take in a peer's message, probe for it if asked, and reply."""
+        """Process a peer's message, send its indirect probe, and reply."""
         answered = False
         if message.probe:
             answered = await self._probe_for_peer(message.probe)
@@ -105,17 +106,20 @@
         return self._build_message(reply, answered=answered)
 
     async def probe(self, outgoing: Outgoing) -> None:
-        """Probe a peer, by helpers if it doesn't answer."""
+        """Probe a peer, then through helpers if it doesn't answer."""
         answered = await self._exchange(outgoing, PROBE_TIMEOUT_S)
         if answered is None:
             return
         now = self._clock.monotonic()
         target = outgoing.target
-        asks = self._members.on_probe_result(target, answered, now)
-        if not asks:
+        indirect_probes = self._members.on_probe_result(target, answered, now)
+        if not indirect_probes:
             return
         reached = await asyncio.gather(
-            *(self._exchange(ask, INDIRECT_PROBE_TIMEOUT_S) for ask in asks),
+            *(
+                self._exchange(indirect, INDIRECT_PROBE_TIMEOUT_S)
+                for indirect in indirect_probes
+            ),
         )
         if None in reached:
             return
@@ -123,24 +127,29 @@
         self._members.on_indirect_result(target, any(reached), now)
 
     async def _probe_for_peer(self, address: str) -> bool:
-        own = Outgoing(address, (self._members.own.member,))
-        return bool(await self._exchange(own, PROBE_TIMEOUT_S))
+        outgoing = Outgoing(address, (self._members.own.member,))
+        return bool(await self._exchange(outgoing, PROBE_TIMEOUT_S))
 
     async def _exchange(
         self,
         outgoing: Outgoing,
         timeout_s: float,
     ) -> bool | None:
-        """Whether the answer wanted came; None if that can't be said."""
+        """Send a message; return whether its target answered.
+
+        An indirect probe's target is the peer that the helper is to probe.
+        Return None if a pause of this process makes a missing reply
+        meaningless.
+        """
         message = self._build_message(outgoing.records, outgoing.probe)
-        began = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         reply = await self._transport.gossip(
             outgoing.target, message, timeout_s
         )
         now = self._clock.monotonic()
         if reply is None:
-            held_up = now - began > timeout_s + MIN_PAUSE_S
-            return None if held_up else False
+            was_paused = now - started_at > timeout_s + MIN_PAUSE_S
+            return None if was_paused else False
         members = decode_members(reply.members)
         if members:
             self._process_payload(members[0], reply)
@@ -177,8 +186,8 @@
         self._delegate.on_peer_heard(sender, message.header.terms_version)
 
     async def _wait_for_list(self) -> None:
-        # The list is read while this starts; without it the first period
-        # would pass with nobody to probe.
+        # The VM list is still being read when this task starts. Without the
+        # list no peer would be probed in the first period.
         for _ in range(MAX_LIST_POLLS):
             if self._delegate.get_listed_vms():
                 return
--- a/bramleybend/scheduler/load_permits.py
+++ b/bramleybend/scheduler/load_permits.py
@@ -1,4 +1,4 @@
-"""Permits to load from the weight store, from the log's order alone."""
+"""Permits to load weights from the weight store, by the log's order alone."""
 
 import uuid
 from collections.abc import Iterable
@@ -18,32 +18,32 @@
 
 @dataclass(frozen=True)
 class LoadPermit:
-    """One load may begin, soon."""
+    """Permission to begin one load while the permit is fresh."""
 
     load_id: str
     requested_at: float
 
     def is_fresh(self, now: float) -> bool:
-        """Whether it may still be used.
+        """Whether a load may still begin under this permit.
 
-        Others count a load from when they read it, which is after it was
-        asked for. One that begins late would outlive their patience.
+        Other VMs count a load until a timeout after they read its record. A
+        load that begins late could go on after they stopped counting it.
         """
         return now - self.requested_at < PERMIT_USE_S
 
 
 class LoadPermits:
-    """What this process has read of all loads, and its own ends to write."""
+    """The loads read from the log, and this process's ends to append."""
 
     def __init__(self, deps: OrderDeps) -> None:
-        """Know of no load."""
+        """Know no loads before the first `refresh`."""
         self._deps = deps
         self._loads = WeightLoads()
         self._unwritten_ends: set[str] = set()
         self._is_log_readable = False
 
     async def refresh(self, store: WeightStore) -> bool:
-        """Read to the tail; whether the log let us."""
+        """Read the loads to the log's tail; return whether that succeeded."""
         self._is_log_readable = await read_to_tail(
             self._deps.log,
             LOADS_STREAM,
@@ -57,56 +57,59 @@
         return True
 
     def count_available(self, store: WeightStore) -> int:
-        """Return how many loads might begin now; none with the log down.
+        """Return how many loads may begin now; 0 while the log can't be read.
 
-        An engine that is drained for a load that can't begin serves nobody
-        for nothing.
+        An engine that is drained for a load that can't begin would be out of
+        service for no reason.
         """
         if not self._is_log_readable:
             return 0
         return self._loads.room(store.loads_at_once)
 
     def list_open_loads(self, runner: str) -> list[str]:
-        """Return the ids of a runner's loads, whoever began them."""
+        """Return the ids of a runner's open loads, of any issuer."""
         return [load.load_id for load in self._loads.of_runner(runner)]
 
     async def acquire(
         self, runner: str, store: WeightStore
     ) -> LoadPermit | None:
-        """Ask for a permit; nothing if others were first or the log is down."""
+        """Return a permit; None if no load may begin or the log is down."""
         if not self.count_available(store):
             return None
         load_id = uuid.uuid4().hex
         permit = LoadPermit(load_id, self._deps.clock.monotonic())
-        begun = LoadBegunRecord(load_id=load_id, runner=runner)
-        # Whatever became of the append, the stream tells.
-        await self._deps.log.append(LOADS_STREAM, [begun.encode()])
-        readable = await self.refresh(store)
-        if readable and self._loads.is_permitted(load_id, store.loads_at_once):
+        record = LoadBegunRecord(load_id=load_id, runner=runner)
+        # Whether the append succeeded is learned by reading the stream.
+        await self._deps.log.append(LOADS_STREAM, [record.encode()])
+        is_readable = await self.refresh(store)
+        if is_readable and self._loads.is_permitted(
+            load_id, store.loads_at_once
+        ):
             self._deps.events.record('load_begun', runner=runner, load=load_id)
             return permit
         await self.release(load_id)
         return None
 
     async def release(self, load_id: str) -> None:
-        """Say that a load is over; written later if the log is down."""
+        """Record the end of a load; retried later if the log is down."""
         await self.release_all([load_id])
 
     async def release_all(self, load_ids: Iterable[str]) -> None:
-        """Say that several loads are over."""
+        """Record the end of several loads."""
         self._unwritten_ends.update(load_ids)
         await self._append_ends()
 
     async def _append_ends(self) -> None:
-        ending = sorted(self._unwritten_ends)
-        if not ending:
+        load_ids = sorted(self._unwritten_ends)
+        if not load_ids:
             return
-        records = [LoadEndedRecord(load_id=each).encode() for each in ending]
-        # After a lost reply they are written again; a second end is harmless.
+        records = [LoadEndedRecord(load_id=each).encode() for each in load_ids]
+        # After a lost reply the ends are appended again; readers ignore a
+        # second end of a load.
         reply = await self._deps.log.append(LOADS_STREAM, records)
         if reply.is_ok():
-            self._unwritten_ends.difference_update(ending)
-            for load_id in ending:
+            self._unwritten_ends.difference_update(load_ids)
+            for load_id in load_ids:
                 self._deps.events.record('load_ended', load=load_id)
 
     def _apply(self, record: LogRecord) -> None:
--- a/bramleybend/scheduler/member_records.py
+++ b/bramleybend/scheduler/member_records.py
@@ -1,4 +1,4 @@
-"""Members on the wire and back."""
+"""Encoding of members as wire records and back."""
 
 from collections.abc import Iterable
 
@@ -9,7 +9,7 @@
 
 
 def encode_members(members: Iterable[Member]) -> list[MemberRecord]:
-    """Put members on the wire."""
+    """Encode members as wire records."""
     return [
         MemberRecord(
             vm=member.vm,
@@ -24,7 +24,7 @@
 
 
 def decode_members(records: Iterable[MemberRecord]) -> list[Member]:
-    """Read members, without those in a state this release doesn't know."""
+    """Decode members; skip those in a state that this release can't read."""
     return [
         Member(
             vm=record.vm,
--- a/bramleybend/scheduler/order_claims.py
+++ b/bramleybend/scheduler/order_claims.py
@@ -1,4 +1,4 @@
-"""Takes and holds the claim on a shard's engines, on the log."""
+"""The claim on a shard's engines, acquired and checked on the log."""
 
 import uuid
 from math import inf
@@ -15,16 +15,16 @@
 from bramleybend.state.order_records import ClaimRecord, claims_stream
 from bramleybend.state.order_rules import IssuerClaims
 
-# Two VMs that both believe to own a shard take the claim from each other; so
-# seldom that their appends and orders do no harm until views agree.
+# Two VMs that both believe they own a shard take the claim from each other. At
+# this interval their appends and orders do no harm until their views agree.
 CLAIM_INTERVAL_S: Final = 5.0
 
 
 class ClaimHolder:
-    """Holds one shard's claim, or knows that it does not."""
+    """Acquires one shard's claim and tracks whether it is still held."""
 
     def __init__(self, key: ShardKey, deps: OrderDeps) -> None:
-        """Hold nothing yet."""
+        """Start without a claim."""
         self._key = key
         self._deps = deps
         self._stream = claims_stream(key.service)
@@ -33,25 +33,26 @@
 
     @property
     def fence(self) -> int | None:
-        """The fencing number to give orders with, while the claim holds."""
+        """The fence to send with orders; None while no claim is held."""
         return self._claims.fence if self._claims.holds else None
 
     async def acquire(self, *, checks_fence: bool) -> bool:
-        """Read on, claim if need be, and say whether orders may go out now.
+        """Read the claims, claim if needed; return whether orders may be sent.
 
-        While the log is down nobody can see a later claim. Engines that check
-        fences refuse the orders of whoever was overtaken, so their holder goes
-        on. Where they do not check, an overtaken holder's orders would be
-        carried out; so there nothing is issued until the stream can be read.
+        While the log is down, a holder can't see whether a later claim
+        superseded its own. Engines that check fences refuse orders of a
+        superseded holder, so it may go on sending. Engines that don't check
+        them would execute such orders, so nothing is sent to them until the
+        stream can be read.
         """
-        readable = await self._read_claims()
-        if readable and not self._claims.holds:
+        is_readable = await self._read_claims()
+        if is_readable and not self._claims.holds:
             await self._append_claim()
-            readable = await self._read_claims()
-        return self._claims.holds and (readable or checks_fence)
+            is_readable = await self._read_claims()
+        return self._claims.holds and (is_readable or checks_fence)
 
     def abandon(self) -> None:
-        """Give the claim up: an engine knows of a later one."""
+        """Give up the claim, because an engine knows a later one."""
         self._deps.events.record('orders_superseded', **self._event_fields())
         self._claims = self._make_claims()
 
@@ -62,8 +63,9 @@
         self._last_claim_at = now
         if self._claims.superseded:
             self._claims = self._make_claims()
-        # A lost reply is settled by reading the claim's id back. The same id
-        # is sent again if it is not there: its first copy is what counts.
+        # Reading the stream shows whether a claim whose reply was lost was
+        # appended. If not, the claim is appended again under the same id; of
+        # several copies the first one counts.
         reply = await self._deps.log.append(
             self._stream,
             [self._claims.own.encode()],
@@ -73,17 +75,17 @@
             self._deps.events.record('orders_unclaimed', **self._event_fields())
 
     async def _read_claims(self) -> bool:
-        """Read to the tail; whether the log let us."""
-        before = self._claims.fence, self._claims.superseded
-        readable = await read_to_tail(
+        """Read the claims to the log's tail; return whether that succeeded."""
+        previous = self._claims.fence, self._claims.superseded
+        is_readable = await read_to_tail(
             self._deps.log,
             self._stream,
             self._claims,
             self._apply,
         )
-        if (self._claims.fence, self._claims.superseded) != before:
+        if (self._claims.fence, self._claims.superseded) != previous:
             self._record_claim_event()
-        return readable
+        return is_readable
 
     def _record_claim_event(self) -> None:
         event = 'orders_claimed' if self._claims.holds else 'orders_superseded'
--- a/bramleybend/scheduler/order_deps.py
+++ b/bramleybend/scheduler/order_deps.py
@@ -1,4 +1,4 @@
-"""What all parts of the issuer of engine orders work with."""
+"""Dependencies and inputs shared by the issuers of engine orders."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class ShardKey:
-    """One shard under one number of shards."""
+    """A shard of a service that is divided into `shard_count` shards."""
 
     service: str
     shard: int
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class OrderDeps:
-    """The process's own parts."""
+    """The parts of this process that issuers use."""
 
     vm: str
     log: LogService
@@ -42,10 +42,10 @@
 
 @dataclass(frozen=True)
 class OrderSources:
-    """What issuers need to know of the scheduler around them."""
+    """Accessors of the scheduler's state that issuers need."""
 
     terms: Callable[[], Terms | None]
-    are_terms_fresh: Callable[[], bool]  # the terms may be acted on
+    are_terms_fresh: Callable[[], bool]  # recent enough to act on
     runners: Callable[[], Sequence[Vm]]
     owned_shards: Callable[[], Sequence[OwnedShard]]
     is_drained: Callable[[str, int, str], bool]  # service, shard, runner
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class EnginePlan:
-    """What one round of an issuer works towards."""
+    """The declared state of a shard's engines, for one round of its issuer."""
 
     target: EngineTarget
     checks_fence: bool
@@ -62,30 +62,30 @@
 
 
 class StreamState(Protocol):
-    """Rules that are fed a stream's records in order."""
+    """State that is built from a stream's records in order."""
 
     @property
     def position(self) -> int:
         """The next offset to apply."""
 
     def see_first_offset(self, first_offset: int) -> None:
-        """Note what the log has forgotten."""
+        """Handle that the log no longer has records before this offset."""
 
 
 async def read_to_tail(
     log: LogService,
     stream: str,
-    book: StreamState,
+    state: StreamState,
     apply: Callable[[LogRecord], None],
 ) -> bool:
-    """Apply all records up to the tail; return whether the log let us."""
+    """Apply all records up to the log's tail; return whether that succeeded."""
     more = True
     while more:
-        reply = await log.read(stream, book.position)
+        reply = await log.read(stream, state.position)
         if isinstance(reply, Err):
             return False
         batch = reply.ok_value
-        book.see_first_offset(batch.first_offset)
+        state.see_first_offset(batch.first_offset)
         for record in batch.records:
             apply(record)
         more = len(batch.records) >= READ_LIMIT
--- a/bramleybend/scheduler/order_issuer.py
+++ b/bramleybend/scheduler/order_issuer.py
@@ -1,8 +1,8 @@
-"""Orders the engines of one shard until each holds what is declared.
+"""The issuer that orders a shard's engines into their declared state.
 
-Every round reads what the engines hold and goes on from there. So nothing has
-to be remembered over a restart, and an order whose reply was lost, or that an
-overtaken issuer gave, is seen by what it did.
+Every round starts from the state that the engines report. So an issuer needs
+no stored state after a restart, and it sees the effect of orders whose reply
+was lost or that a superseded issuer sent.
 """
 
 import asyncio
@@ -41,7 +41,7 @@
 
 
 class OrderIssuer:
-    """The one that orders a shard's engines, while its claim holds."""
+    """Sends orders to a shard's engines while it holds the claim on them."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         permits: LoadPermits,
         engines: EngineOrders,
     ) -> None:
-        """Know nothing of the engines yet."""
+        """Know no engine's state before the first round."""
         self.unschedulable: frozenset[str] = frozenset()
         self.mismatch_count = 0
         self._key = key
@@ -65,14 +65,14 @@
         self._target: EngineTarget | None = None
 
     async def run_round(self, plan: EnginePlan) -> None:
-        """Look at every engine and give what orders are due."""
+        """Read every engine's state and send the orders that are due."""
         self._drop_stale_changes(plan)
         await self._read_states(plan.vms)
         self._update_status(plan)
-        lost_loads = self._list_orphaned_loads(plan)
+        orphaned_loads = self._list_orphaned_loads(plan)
         if await self._sender.acquire_claim(plan):
             if self._sender.fenced_engines:
-                await self._permits.release_all(lost_loads)
+                await self._permits.release_all(orphaned_loads)
             await self._sender.install_fence(plan, self._states)
             self._start_draining(plan)
         else:
@@ -81,17 +81,19 @@
             await self._advance_change(change, plan)
         self._update_status(plan)
 
-    # ---- what the engines hold
+    # ---- state of the engines
 
     def _drop_stale_changes(self, plan: EnginePlan) -> None:
         now = self._deps.clock.monotonic()
         listed = {vm.name for vm in plan.vms}
-        renewed = plan.target != self._target
+        has_new_target = plan.target != self._target
         self._target = plan.target
         for name, change in tuple(self._changes.items()):
-            failed = change.phase is ChangePhase.FAILED
-            over = change.is_retry_due(now) or (renewed and failed)
-            if over or name not in listed:
+            has_failed = change.phase is ChangePhase.FAILED
+            is_stale = change.is_retry_due(now) or (
+                has_new_target and has_failed
+            )
+            if is_stale or name not in listed:
                 self._changes.pop(name)
 
     async def _read_states(self, vms: Sequence[Vm]) -> None:
@@ -110,27 +112,28 @@
         )
 
     def _list_orphaned_loads(self, plan: EnginePlan) -> list[str]:
-        """Return loads of issuers before this one that must be over.
+        """Return open loads of earlier issuers that can't be under way.
 
-        The engine has refused them since this one's fence was planted, and it
-        is not loading. Engines that do not check may still be told to load by
-        a lost issuer that wakes, so there its loads have to time out.
+        The engine is not loading and refuses orders of earlier issuers, as it
+        has this issuer's fence. An engine that doesn't check fences may still
+        be ordered to load by an earlier issuer that wakes from a pause, so the
+        loads of such engines have to time out.
         """
         if not plan.checks_fence:
             return []
-        own = collect_load_ids(self._changes.values())
+        own_load_ids = collect_load_ids(self._changes.values())
         return [
             load_id
             for name, state in self._states.items()
             if not state.loading and name in self._sender.fenced_engines
             for load_id in self._permits.list_open_loads(name)
-            if load_id not in own
+            if load_id not in own_load_ids
         ]
 
-    # ---- one engine's change
+    # ---- changes of engines
 
     def _cancel_draining(self) -> None:
-        """Return what waits for an order to service; ordered ones go on."""
+        """Return draining engines to service; orders already sent go on."""
         self._changes = {
             name: change
             for name, change in self._changes.items()
@@ -139,20 +142,20 @@
 
     def _start_draining(self, plan: EnginePlan) -> None:
         views = make_engine_views(plan.vms, self._states, self._changes)
-        room = self._permits.count_available(
+        available_permits = self._permits.count_available(
             plan.weight_store
         ) - count_draining(self._changes)
-        by_name = {vm.name: vm for vm in plan.vms}
-        most = plan.weight_store.loads_at_once
-        for name in engines_to_change(views, plan.target, most):
+        vm_by_name = {vm.name: vm for vm in plan.vms}
+        max_loads = plan.weight_store.loads_at_once
+        for name in engines_to_change(views, plan.target, max_loads):
             order = next_order(self._states[name], plan.target)
-            needed = order is not None and needs_weights(order)
-            if needed and room <= 0:
+            needs_permit = order is not None and needs_weights(order)
+            if needs_permit and available_permits <= 0:
                 continue
-            room -= needed
+            available_permits -= needs_permit
             now = self._deps.clock.monotonic()
             self._changes[name] = EngineChange(
-                by_name[name], ChangePhase.DRAINING, now
+                vm_by_name[name], ChangePhase.DRAINING, now
             )
 
     async def _advance_change(
@@ -166,9 +169,10 @@
                 await self._check_order(change, plan)
 
     async def _is_drained(self, change: EngineChange) -> bool:
-        # Gateways may have been granted the engine by another VM, or have
-        # vanished over a run, so the engine's own word is asked for too. It
-        # is late; what it saw before the last grant ended proves nothing.
+        # The engine may have runs that this VM doesn't know: granted by
+        # another VM, or of a gateway that died. So the engine's own report is
+        # checked too. The report is `age_s` old and counts only if it was
+        # taken after the last run granted here had ended.
         key, name = self._key, change.vm.name
         if not self._sources.is_drained(key.service, key.shard, name):
             change.drained_at = None
@@ -209,10 +213,10 @@
         order: Order,
         plan: EnginePlan,
     ) -> bool:
-        """Do what must come before an order; whether it still is to be given.
+        """Acquire permit and claim; return whether to send the order.
 
-        The state is read last: where fences are ignored, what a successor has
-        done meanwhile shows only there.
+        The engine's state is read last. An engine that doesn't check fences
+        shows only in its state what a later issuer has ordered meanwhile.
         """
         if needs_weights(order):
             change.permit = await self._permits.acquire(
--- a/bramleybend/scheduler/order_manager.py
+++ b/bramleybend/scheduler/order_manager.py
@@ -1,4 +1,4 @@
-"""Runs an issuer for every owned shard whose terms say what to hold."""
+"""Runs an order issuer for each owned shard whose terms declare engines."""
 
 import asyncio
 from typing import Final
@@ -23,7 +23,7 @@
 
 
 class OrderManager:
-    """Starts issuers with ownership and ends them with it."""
+    """Starts an issuer when a shard becomes owned and stops it afterwards."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         deps: OrderDeps,
         engines: EngineOrders,
     ) -> None:
-        """Order nothing yet."""
+        """Start without issuers."""
         self._sources = sources
         self._deps = deps
         self._engines = engines
@@ -41,13 +41,13 @@
         self._gauged_services: frozenset[str] = frozenset()
 
     def is_schedulable(self, runner: str) -> bool:
-        """Whether a runner may get work, as far as orders go."""
+        """Whether no issuer keeps a runner from getting new work."""
         return not any(
             runner in issuer.unschedulable for issuer in self._issuers.values()
         )
 
     async def run(self) -> None:
-        """Follow ownership and terms until cancelled."""
+        """Start and stop issuers until cancelled."""
         try:
             while True:
                 await self._update_issuers()
@@ -92,14 +92,15 @@
             await asyncio.sleep(ROUND_INTERVAL_S)
 
     def _send_gauges(self) -> None:
-        # A gauge keeps its last level, so services that moved on are told too.
-        wrong = dict.fromkeys(self._gauged_services, 0)
+        # A gauge keeps its last value, so 0 is sent for services that were
+        # gauged before and have no issuer here now.
+        mismatch_counts = dict.fromkeys(self._gauged_services, 0)
         for key, issuer in self._issuers.items():
-            wrong[key.service] = (
-                wrong.get(key.service, 0) + issuer.mismatch_count
+            mismatch_counts[key.service] = (
+                mismatch_counts.get(key.service, 0) + issuer.mismatch_count
             )
-        self._gauged_services = frozenset(wrong)
-        for service, count in wrong.items():
+        self._gauged_services = frozenset(mismatch_counts)
+        for service, count in mismatch_counts.items():
             self._deps.metrics.gauge(
                 Metric.ENGINES_WRONG,
                 count,
@@ -108,7 +109,7 @@
 
 
 def make_orders(sources: OrderSources, deps: OrderDeps) -> OrderManager:
-    """Build the manager of orders over HTTP."""
+    """Build a manager that sends orders over HTTP."""
     return OrderManager(sources, deps, HttpEngineOrders())
 
 
--- a/bramleybend/scheduler/order_sender.py
+++ b/bramleybend/scheduler/order_sender.py
@@ -1,4 +1,4 @@
-"""Gives orders under a claim, and stops when the claim is lost."""
+"""Sends orders to engines under a claim, and stops when it is lost."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -18,7 +18,7 @@
 
 
 class OrderSender:
-    """Sends one shard's orders with the fence of the claim on it."""
+    """Sends one shard's orders with the fence of its claim."""
 
     def __init__(
         self,
@@ -27,10 +27,9 @@
         deps: OrderDeps,
         engines: EngineOrders,
     ) -> None:
-        """Claim nothing yet."""
-        self.fenced_engines: set[str] = (
-            set()
-        )  # engines that know the present fence
+        """Start without a claim."""
+        # Engines that have received the fence of the current claim.
+        self.fenced_engines: set[str] = set()
         self._key = key
         self._sources = sources
         self._deps = deps
@@ -38,25 +37,26 @@
         self._claims = ClaimHolder(key, deps)
 
     async def acquire_claim(self, plan: EnginePlan) -> bool:
-        """Read the claims again, and say whether orders may go out now."""
+        """Refresh or acquire the claim; return whether orders may be sent."""
         if not self._sources.are_terms_fresh():
             return False
-        held = self._claims.fence
-        may = await self._claims.acquire(checks_fence=plan.checks_fence)
-        if self._claims.fence != held:
+        previous_fence = self._claims.fence
+        may_send = await self._claims.acquire(checks_fence=plan.checks_fence)
+        if self._claims.fence != previous_fence:
             self.fenced_engines.clear()
-        return may
+        return may_send
 
     async def install_fence(
         self,
         plan: EnginePlan,
         states: Mapping[str, EngineState],
     ) -> None:
-        """Make every engine know this issuer before any other order.
+        """Send this issuer's fence to every engine before any other order.
 
-        Until then an issuer that was paused, and wakes, would be obeyed by
-        engines that this one has found nothing to order of. The order sets
-        the role that the engine has, so it changes nothing but the fence.
+        Otherwise an engine that needs no order would never see the new fence,
+        and would still obey an earlier issuer that wakes from a pause. The
+        order sets the role that the engine already has, so it changes nothing
+        but the fence.
         """
         if not plan.checks_fence:
             return
@@ -68,7 +68,7 @@
                 self.fenced_engines.add(vm.name)
 
     async def send(self, vm: Vm, order: Order) -> Problem | None:
-        """Give one order; a higher fence at the engine ends the claim."""
+        """Send one order; if the engine knows a higher fence, end the claim."""
         fence = self._claims.fence
         if fence is None:
             return Problem(
--- a/bramleybend/scheduler/owner_service.py
+++ b/bramleybend/scheduler/owner_service.py
@@ -1,4 +1,4 @@
-"""The gRPC side of ownership: gateways ask, hold and give back slots."""
+"""The gRPC service by which gateways request, hold and release slots."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -36,7 +36,7 @@
 
 
 class OwnerService(OwnerServicer):
-    """Turns streams into messages for the shards' tasks."""
+    """Turns gateways' streams into messages for the shards' tasks."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         clock: Clock,
         headers: Headers,
     ) -> None:
-        """Serve the shards of one scheduler."""
+        """Serve the shards of this scheduler."""
         self._headers = headers
         self._shards = shards
         self._clock = clock
@@ -55,54 +55,55 @@
         request_iterator: AsyncIterator[HoldRequest],
         context: Context,
     ) -> AsyncIterator[HoldReply]:
-        """Serve one request's stream, from its ask to its end."""
+        """Serve one request's stream, from its ask to the end of its run."""
         first = await anext(aiter(request_iterator))
         await self._headers.accept(first.header, context)
         ask = first.ask if first.HasField('ask') else first.adopt.ask
-        shard = self._shards.get(ask.service, ask.shard)
-        if shard is None:
+        task = self._shards.get(ask.service, ask.shard)
+        if task is None:
             await context.abort(
                 grpc.StatusCode.NOT_FOUND,
                 f'no service {ask.service}; publish terms that name it',
             )
             return
         hold = self._make_hold(ask)
-        self._post_first_request(shard, hold, first)
-        reading = asyncio.create_task(
-            _post_requests(request_iterator, shard, hold)
+        self._post_first_request(task, hold, first)
+        reader = asyncio.create_task(
+            _post_requests(request_iterator, task, hold)
         )
         try:
             while (reply := await hold.outbox.get()) is not None:
                 reply.header.CopyFrom(self._headers.make())
                 yield reply
         finally:
-            reading.cancel()
-            shard.post(HoldLost(hold))
+            reader.cancel()
+            task.post(HoldLost(hold))
 
     async def SetFloor(
         self,
         request: FloorRequest,
         context: Context,
     ) -> FloorReply:
-        """Start nothing lower for a while and say what runs below."""
+        """Set a tier floor for a while and count the runs below it."""
         await self._headers.accept(request.header, context)
-        shard = self._shards.get(request.service, request.shard)
-        if shard is None:
+        task = self._shards.get(request.service, request.shard)
+        if task is None:
             return FloorReply(settled=False)
         reply: asyncio.Future[int] = asyncio.Future()
-        shard.post(FloorRequested(Tier(request.tier), request.hold_s, reply))
-        lower = await reply
-        # A run may have left while the question was in the queue: then it is
-        # neither counted here nor, perhaps, known to the next owner yet.
+        task.post(FloorRequested(Tier(request.tier), request.hold_s, reply))
+        lower_running = await reply
+        # A run may have moved away while the request was queued. It is not
+        # counted here then, and the next owner may not know it yet, so the
+        # shard counts as unsettled.
         return FloorReply(
             header=self._headers.make(),
-            settled=self._shards.is_settled(shard),
-            lower_running=lower,
+            settled=self._shards.is_settled(task),
+            lower_running=lower_running,
         )
 
     def _make_hold(self, ask: AskMessage) -> HoldChannel:
-        # The same request may ask twice, after a reply was lost, so the
-        # stream and not the request is what holds a slot.
+        # A request may be sent twice, after a reply was lost. So a slot is
+        # held by the stream, and the key is unique to the stream.
         return HoldChannel(
             f'{ask.request_id}#{next(self._hold_numbers)}',
             ask.request_id,
@@ -112,22 +113,22 @@
 
     def _post_first_request(
         self,
-        shard: ShardTask,
+        task: ShardTask,
         hold: HoldChannel,
         first: HoldRequest,
     ) -> None:
         now = self._clock.monotonic()
         if first.HasField('adopt'):
             ask = _parse_ask(first.adopt.ask, now)
-            shard.post(RunAdopted(hold, ask, first.adopt.runner))
+            task.post(RunAdopted(hold, ask, first.adopt.runner))
             return
         verdict = self._shards.get_verdict(hold.fingerprint)
         if verdict is Verdict.REFUSED:
             _refuse_quarantined(hold)
             return
-        suspect = verdict is Verdict.SUSPECT
-        ask = _parse_ask(first.ask, now, suspect=suspect)
-        shard.post(SlotRequested(hold, ask, first.ask.urgent))
+        is_suspect = verdict is Verdict.SUSPECT
+        ask = _parse_ask(first.ask, now, is_suspect=is_suspect)
+        task.post(SlotRequested(hold, ask, first.ask.urgent))
 
 
 def _refuse_quarantined(hold: HoldChannel) -> None:
@@ -139,12 +140,12 @@
 
 async def _post_requests(
     requests: AsyncIterator[HoldRequest],
-    shard: ShardTask,
+    task: ShardTask,
     hold: HoldChannel,
 ) -> None:
     async for request in requests:
         if request.HasField('first_token'):
-            shard.post(
+            task.post(
                 FirstTokenSeen(
                     hold,
                     request.first_token.prompt_tokens,
@@ -152,11 +153,11 @@
                 ),
             )
         elif request.HasField('ended'):
-            shard.post(RunEnded(hold, _parse_report(request)))
+            task.post(RunEnded(hold, _parse_report(request)))
 
 
 def _parse_ask(
-    message: AskMessage, now: float, *, suspect: bool = False
+    message: AskMessage, now: float, *, is_suspect: bool = False
 ) -> Ask:
     return Ask(
         request_id=message.request_id,
@@ -169,7 +170,7 @@
         deadline=now + message.timeout_s,
         cancellable=message.cancellable,
         fingerprint=message.fingerprint,
-        suspect=suspect,
+        suspect=is_suspect,
         excluded=frozenset(message.excluded),
     )
 
--- a/bramleybend/scheduler/pause_detector.py
+++ b/bramleybend/scheduler/pause_detector.py
@@ -1,28 +1,28 @@
-"""Tells whether this process has stood still for long."""
+"""Detects long pauses of this process."""
 
 from bramleybend.clock import Clock
 
 
 class PauseDetector:
-    """Goes by when the process last noted that it runs.
+    """Detects pauses by the time since the process last marked itself running.
 
-    What lies between two notes counts as part of a pause, so that none is
-    taken for shorter than it was.
+    The whole interval between two marks counts as part of a pause, so a pause
+    is never underestimated.
     """
 
-    def __init__(self, clock: Clock, long_s: float) -> None:
-        """Take `long_s` seconds and more for a long pause."""
+    def __init__(self, clock: Clock, min_pause_s: float) -> None:
+        """Report pauses of `min_pause_s` seconds and longer."""
         self._clock = clock
-        self._min_pause_s = long_s
+        self._min_pause_s = min_pause_s
         self._last_running_at = clock.monotonic()
 
     @property
     def was_paused(self) -> bool:
-        """Whether a long pause has ended since the last note."""
+        """Whether the process was paused since it was last marked running."""
         return (
             self._clock.monotonic() - self._last_running_at >= self._min_pause_s
         )
 
     def mark_running(self) -> None:
-        """Note that the process runs."""
+        """Record that the process is running now."""
         self._last_running_at = self._clock.monotonic()
--- a/bramleybend/scheduler/peer_service.py
+++ b/bramleybend/scheduler/peer_service.py
@@ -1,4 +1,4 @@
-"""Answers other schedulers."""
+"""The gRPC service that answers other schedulers."""
 
 from collections.abc import Callable
 
@@ -15,7 +15,7 @@
 
 
 class PeerService(PeerServicer):
-    """Hands messages to the gossip task, and terms to who asks."""
+    """Passes gossip to the gossip task and returns this scheduler's terms."""
 
     def __init__(
         self,
@@ -23,7 +23,7 @@
         header: Callable[[], Header],
         terms: Callable[[], PeerTerms | None],
     ) -> None:
-        """Answer from these."""
+        """Answer from the gossip task and from the terms held here."""
         self._gossip = gossip
         self._header = header
         self._terms = terms
@@ -33,7 +33,7 @@
         request: GossipMessage,
         context: Context,
     ) -> GossipMessage:
-        """Exchange news with a peer."""
+        """Answer a peer's gossip message."""
         await refuse_other_protocol(request.header, context)
         return await self._gossip.handle_message(request)
 
@@ -42,7 +42,7 @@
         request: TermsRequest,
         context: Context,
     ) -> TermsReply:
-        """Return the terms read here; version 0 stands for none."""
+        """Return the terms held here; version 0 stands for none."""
         await refuse_other_protocol(request.header, context)
         terms = self._terms()
         if terms is None:
--- a/bramleybend/scheduler/peer_transport.py
+++ b/bramleybend/scheduler/peer_transport.py
@@ -1,8 +1,8 @@
-"""Messages to other schedulers, over channels of their own.
+"""Transport of messages to other schedulers, with its own gRPC channels.
 
-Probes go to every peer in turn. Among hundreds they would push the channels
-that gateways and floors use out of a shared cache, and a probe must not wait
-behind their streams either.
+Probes go to every peer in turn. With hundreds of peers they would evict the
+channels of gateways and tier-floor rounds from a shared cache, and a probe
+must not wait behind the streams on those channels.
 """
 
 import asyncio
@@ -21,9 +21,10 @@
 MAX_CHANNELS: Final = 32
 FETCH_TIMEOUT_S: Final = 2.0
 MAX_TERMS_BYTES: Final = 33_554_432  # bytes; any document of terms fits
-# Over a probe's own limit, or a peer that isn't run for a moment looks lost.
+# Longer than a probe's timeout; otherwise a peer whose process is paused for a
+# moment would look unreachable.
 CONNECT_TIMEOUT_MS: Final = 1000
-# A peer that comes back must be met by the next probe, not after a backoff.
+# Backoffs are short, so that the next probe reaches a peer that has come back.
 CHANNEL_OPTIONS: Final = (
     ('grpc.initial_reconnect_backoff_ms', 100),
     ('grpc.min_reconnect_backoff_ms', CONNECT_TIMEOUT_MS),
@@ -35,7 +36,7 @@
 
 
 class PeerTransport(Protocol):
-    """How messages reach a peer; None stands for no answer in time."""
+    """Sends messages to a peer; None stands for no reply in time."""
 
     async def gossip(
         self,
@@ -43,21 +44,21 @@
         message: GossipMessage,
         timeout_s: float,
     ) -> GossipMessage | None:
-        """Exchange news with a peer."""
+        """Send a gossip message and return the peer's reply."""
 
     async def fetch_terms(
         self,
         address: str,
         request: TermsRequest,
     ) -> TermsReply | None:
-        """Ask a peer for its terms."""
+        """Fetch the terms that a peer holds."""
 
 
 class GrpcPeerTransport:
-    """Keeps the channels used last; the others are closed."""
+    """Keeps the most recently used channels open and closes the others."""
 
     def __init__(self, port: int) -> None:
-        """Reach every peer at the same port."""
+        """Send to the same port of every peer."""
         self._port = port
         self._channels: OrderedDict[str, grpc.aio.Channel] = OrderedDict()
         self._closing: set[asyncio.Task[None]] = set()
@@ -68,7 +69,7 @@
         message: GossipMessage,
         timeout_s: float,
     ) -> GossipMessage | None:
-        """Exchange news with a peer."""
+        """Send a gossip message and return the peer's reply."""
         try:
             reply: GossipMessage = await self._stub(address).Gossip(
                 message,
@@ -83,7 +84,7 @@
         address: str,
         request: TermsRequest,
     ) -> TermsReply | None:
-        """Ask a peer for its terms."""
+        """Fetch the terms that a peer holds."""
         try:
             reply: TermsReply = await self._stub(address).FetchTerms(
                 request,
--- a/bramleybend/scheduler/peers.py
+++ b/bramleybend/scheduler/peers.py
@@ -1,4 +1,4 @@
-"""This scheduler's place among its peers."""
+"""Membership of a scheduler and its exchange of state with its peers."""
 
 import asyncio
 from collections.abc import Callable, Iterable, Sequence
@@ -36,15 +36,15 @@
 MS_PER_S: Final = 1000
 MAX_SENT_SHARDS: Final = 64
 MAX_SENT_SUSPECTS: Final = 16
-# A new process knows nobody and would own every shard beside the true owners,
-# or name no owner to its gateway. Until gossip has brought the table it counts
-# whom the VM list shows and nobody has contradicted.
+# A new process knows no members. It would own every shard alongside the actual
+# owners, or name no owner to its gateway. While gossip brings the member
+# table, it also counts the listed VMs of which no peer has said otherwise.
 JOIN_PERIOD_S: Final = 10.0
 
 
 @dataclass(frozen=True)
 class PeerSources:
-    """What peers are told of, and what word of them goes to."""
+    """The state that is sent to peers and updated by their messages."""
 
     identity: Identity
     terms: TermsFollower
@@ -54,11 +54,11 @@
 
 
 class SchedulerGossipDelegate:
-    """Reads this scheduler's parts for peers and tells them the news."""
+    """Collects what this scheduler sends and applies what peers send."""
 
     def __init__(self, sources: PeerSources, clock: Clock, rng: Random) -> None:
-        """Send what the sources hold."""
-        self.newer_terms_address: str = ''  # address of a peer with newer terms
+        """Send the state of the sources."""
+        self.newer_terms_address: str = ''  # '' if no peer has newer terms
         self._sources = sources
         self._clock = clock
         self._rng = rng
@@ -78,9 +78,9 @@
         return self._sources.listed_vms()
 
     def sample_owned_shards(self) -> list[ShardRecord]:
-        """Return the loads of the shards owned here, or a random part."""
+        """Return the loads of all owned shards, or of a random sample."""
         views = list(self._sources.owned_shards())
-        picked = self._rng.sample(views, min(MAX_SENT_SHARDS, len(views)))
+        sampled = self._rng.sample(views, min(MAX_SENT_SHARDS, len(views)))
         return [
             ShardRecord(
                 service=view.service,
@@ -90,21 +90,21 @@
                 waiting=view.waiting,
                 limit=view.limit,
             )
-            for view in picked
+            for view in sampled
         ]
 
     def sample_suspects(self) -> list[SuspectRecord]:
-        """Return a random part of the records of crashes."""
+        """Return a random sample of the crash records."""
         return sample_suspects(
             self._sources.crashes, self._rng, MAX_SENT_SUSPECTS
         )
 
     def merge_suspects(self, records: Iterable[SuspectRecord]) -> None:
-        """Take in records of crashes that a peer knows."""
+        """Merge the crash records that a peer sent."""
         merge_suspects(self._sources.crashes, records, self._clock.monotonic())
 
     def on_peer_heard(self, peer: Member, terms_version: int) -> None:
-        """Fetch newer terms; the same ones are a sign that none are missed."""
+        """Fetch newer terms; equal ones confirm that none were missed."""
         terms = self._sources.terms
         if terms_version == terms.version:
             terms.heard_peer()
@@ -116,7 +116,7 @@
 
 
 class Peers:
-    """Who else is there, what they know, and the exchange with them."""
+    """This scheduler's view of its peers and its exchange with them."""
 
     def __init__(
         self,
@@ -125,7 +125,7 @@
         clock: Clock,
         rng: Random,
     ) -> None:
-        """Start alone, with a heartbeat from the wall clock."""
+        """Know only this VM, with a heartbeat taken from the wall clock."""
         identity = sources.identity
         own = Member(
             vm=identity.vm,
@@ -149,31 +149,35 @@
     # ---- queries
 
     def list_owner_candidates(self) -> tuple[Member, ...]:
-        """Return who may own shards."""
+        """Return the members that may own shards."""
         return tuple(each for each in self.list_contacts() if each.may_own)
 
     def list_contacts(self) -> tuple[Member, ...]:
-        """Return every member, for forwarding also to those leaving."""
+        """Return every member, and listed VMs while this process joins.
+
+        Members that are leaving still get forwarded requests.
+        """
         known = self.list_known()
         if self._clock.monotonic() - self._started_at > JOIN_PERIOD_S:
             return known
-        met = {member.address for member in known}
+        known_addresses = {member.address for member in known}
         return known + tuple(
             Member(vm.name, vm.address, vm.domain, vm.name)
             for vm in self._sources.listed_vms()
-            if vm.state is RunnerState.LIVE and vm.address not in met
+            if vm.state is RunnerState.LIVE
+            and vm.address not in known_addresses
         )
 
     def list_known(self) -> tuple[Member, ...]:
-        """Return every member, also those leaving or dead."""
+        """Return every member, including leaving and dead ones."""
         return self.members.known(self._clock.monotonic())
 
     def get_remote_loads(self) -> dict[tuple[str, int], ShardView]:
-        """Return the loads heard of from other owners."""
+        """Return the loads of other owners' shards, by service and shard."""
         return self._gossip.remote_loads.get_views(self._clock.monotonic())
 
     def terms_age_s(self) -> float:
-        """Return how old the word is that the terms are still in force."""
+        """Return the seconds since the terms were confirmed to be in force."""
         members = self.list_contacts()
         return terms_age_s(
             self._sources.terms.log_age_s,
@@ -183,7 +187,7 @@
         )
 
     async def fetch_terms(self) -> PeerTerms | None:
-        """Ask a peer for its terms, one that is ahead if there is one."""
+        """Fetch a peer's terms, from a peer with newer ones if one is known."""
         address = self.delegate.newer_terms_address or self._pick_live_address()
         self.delegate.newer_terms_address = ''
         if not address:
@@ -197,7 +201,7 @@
     # ---- commands
 
     def add_service(self, server: grpc.aio.Server) -> None:
-        """Answer peers."""
+        """Add the service that answers peers."""
         service = PeerService(
             self._gossip,
             self.delegate.make_header,
@@ -206,7 +210,7 @@
         add_PeerServicer_to_server(service, server)
 
     def announce_leaving(self) -> None:
-        """Say that this VM leaves, at once."""
+        """Tell peers at once that this VM is leaving."""
         self.members.leave()
         self._gossip.send_probes()
 
@@ -215,7 +219,7 @@
         self.members.on_unreachable(vm, self._clock.monotonic())
 
     async def run(self) -> None:
-        """Exchange news until cancelled."""
+        """Exchange gossip until cancelled."""
         await self._gossip.run()
 
     def _pick_live_address(self) -> str:
@@ -232,5 +236,5 @@
     transport: PeerTransport,
     clock: Clock,
 ) -> Peers:
-    """Build a scheduler's peers."""
+    """Build a scheduler's view of its peers."""
     return Peers(sources, transport, clock, Random())
--- a/bramleybend/scheduler/remote_loads.py
+++ b/bramleybend/scheduler/remote_loads.py
@@ -1,8 +1,8 @@
-"""Loads of shards that other VMs own, as far as gossip brought them here.
+"""Loads of shards that other VMs own, as received by gossip.
 
-A record has no time of its own. So it is passed on once only, by whoever had
-it from the owner itself, and only while it is fresh: records that went round
-would come back as news for ever, and gateways would steer by old loads.
+A record carries no timestamp. So it is relayed only once, by a VM that had it
+from the owner itself, and only while it is fresh. Records that were relayed
+again would circulate forever, and gateways would route by outdated loads.
 """
 
 from collections.abc import Iterable
@@ -13,14 +13,14 @@
 from bramleybend.decisions.actions import ShardView
 from bramleybend.wire.bramleybend_pb2 import ShardRecord
 
-RELAY_WINDOW_S: Final = 3.0  # how long a record from its owner is passed on
+RELAY_WINDOW_S: Final = 3.0  # how long a record from its owner is relayed
 MAX_AGE_S: Final = 30.0
 MAX_RELAYED: Final = 16
 
 
 @dataclass(frozen=True)
 class RemoteLoad:
-    """One record, when it came, and whether from the owner itself."""
+    """A load record, when it came, and whether the owner itself sent it."""
 
     record: ShardRecord
     received_at: float
@@ -28,10 +28,10 @@
 
 
 class RemoteLoads:
-    """The newest record of each shard that this VM does not own."""
+    """The newest load record of each shard that other VMs own."""
 
     def __init__(self, rng: Random) -> None:
-        """Know no loads."""
+        """Start without any records."""
         self._rng = rng
         self._loads: dict[tuple[str, int], RemoteLoad] = {}
 
@@ -41,37 +41,40 @@
         records: Iterable[ShardRecord],
         now: float,
     ) -> None:
-        """Take in records from the process of incarnation `sender`."""
+        """Add records received from the process with incarnation `sender`."""
         for record in records:
-            direct = record.owner == sender
+            is_from_owner = record.owner == sender
             key = (record.service, record.shard)
             known = self._loads.get(key)
             if (
-                direct
+                is_from_owner
                 or known is None
                 or now - known.received_at > RELAY_WINDOW_S
             ):
-                self._loads[key] = RemoteLoad(record, now, direct)
+                self._loads[key] = RemoteLoad(record, now, is_from_owner)
 
     def sample_for_relay(self, now: float) -> list[ShardRecord]:
-        """Return a bounded random few that came from their owners lately."""
+        """Return a bounded random sample of fresh records from owners."""
         fresh = [
-            heard.record
-            for heard in self._loads.values()
-            if heard.is_from_owner and now - heard.received_at <= RELAY_WINDOW_S
+            load.record
+            for load in self._loads.values()
+            if load.is_from_owner and now - load.received_at <= RELAY_WINDOW_S
         ]
         return self._rng.sample(fresh, min(MAX_RELAYED, len(fresh)))
 
     def get_views(self, now: float) -> dict[tuple[str, int], ShardView]:
-        """Return what is known and not too old, by service and shard."""
+        """Return views of the records that aren't too old, by shard.
+
+        Older records are dropped.
+        """
         self._loads = {
-            key: heard
-            for key, heard in self._loads.items()
-            if now - heard.received_at <= MAX_AGE_S
+            key: load
+            for key, load in self._loads.items()
+            if now - load.received_at <= MAX_AGE_S
         }
         return {
-            key: _make_view(heard.record, now - heard.received_at)
-            for key, heard in self._loads.items()
+            key: _make_view(load.record, now - load.received_at)
+            for key, load in self._loads.items()
         }
 
 
--- a/bramleybend/scheduler/reply_sender.py
+++ b/bramleybend/scheduler/reply_sender.py
@@ -1,4 +1,4 @@
-"""What a shard's task tells the gateways, and the record of each decision."""
+"""Replies of a shard's task to gateways, with the events of its decisions."""
 
 from bramleybend.decisions.actions import Refuse
 from bramleybend.events import EventLog
@@ -15,7 +15,7 @@
 
 
 class ReplySender:
-    """Answers holds of one shard; every answer leaves an event."""
+    """Sends replies on one shard's holds; each decision records an event."""
 
     def __init__(
         self,
@@ -24,30 +24,30 @@
         events: EventLog,
         metrics: Metrics,
     ) -> None:
-        """Speak for one shard."""
+        """Label events with this service and shard."""
         self._service = service
         self._shard = shard
         self._events = events
         self._metrics = metrics
 
     def send_queued(self, hold: HoldChannel) -> None:
-        """Say at once that the ask was heard."""
+        """Confirm at once that the request was received."""
         hold.outbox.put_nowait(HoldReply(queued=Queued()))
 
     def send_grant(self, hold: HoldChannel, runner: Vm) -> None:
-        """Give a slot."""
+        """Grant a slot of a runner."""
         grant = Granted(runner=runner.name, endpoint=runner.endpoint)
         hold.outbox.put_nowait(HoldReply(granted=grant))
         self.record_event('grant', hold, runner=runner.name)
 
     def send_preemption(self, hold: HoldChannel, for_tier: Tier) -> None:
-        """Ask for a slot back."""
+        """Ask the gateway to cancel its run for a higher tier."""
         preempted = Preempted(for_tier=for_tier)
         hold.outbox.put_nowait(HoldReply(preempted=preempted))
         self.record_event('preempt', hold, for_tier=int(for_tier))
 
     def send_refusal(self, hold: HoldChannel, refusal: Refuse) -> None:
-        """Turn an ask away and end its stream."""
+        """Refuse a request and end its stream."""
         refused = Refused(
             reason=refusal.reason,
             retry_after_s=refusal.retry_after.total_seconds(),
@@ -65,7 +65,7 @@
     def record_event(
         self, event: str, hold: HoldChannel, **fields: object
     ) -> None:
-        """Record an event of one hold."""
+        """Record an event about one hold."""
         self._events.record(
             event,
             hold.request_id,
--- a/bramleybend/scheduler/scheduler_control.py
+++ b/bramleybend/scheduler/scheduler_control.py
@@ -1,4 +1,4 @@
-"""A scheduler as operators see it."""
+"""Status and drain of a scheduler, for operators."""
 
 from typing import TYPE_CHECKING
 
@@ -9,10 +9,10 @@
 
 
 class SchedulerControl:
-    """What operators may ask of a scheduler."""
+    """Operators' interface to a scheduler."""
 
     def __init__(self, scheduler: 'Scheduler') -> None:
-        """Report on this scheduler."""
+        """Report on and drain this scheduler."""
         self._scheduler = scheduler
 
     def status(self) -> dict[str, object]:
@@ -64,12 +64,12 @@
         }
 
     def drain(self) -> None:
-        """Begin a planned stop."""
+        """Start a planned stop."""
         self._scheduler.stopping.set()
 
     def _count_waiting_by_tier(self) -> dict[str, int]:
-        waiting = dict.fromkeys((str(int(tier)) for tier in Tier), 0)
+        counts = dict.fromkeys((str(int(tier)) for tier in Tier), 0)
         for task in self._scheduler.shards.tasks:
             for hold in task.list_waiting():
-                waiting[str(int(hold.tier))] += 1
-        return waiting
+                counts[str(int(hold.tier))] += 1
+        return counts
--- a/bramleybend/scheduler/shard_messages.py
+++ b/bramleybend/scheduler/shard_messages.py
@@ -1,4 +1,4 @@
-"""What the tasks of a scheduler tell a shard's task."""
+"""Messages to a shard's task from the other parts of a scheduler."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -10,7 +10,7 @@
 
 @dataclass(eq=False)
 class HoldChannel:
-    """One gateway stream, as its shard sees it.
+    """The stream on which a gateway holds, or waits for, one slot.
 
     `None` in the outbox ends the stream.
     """
@@ -26,7 +26,10 @@
 
 @dataclass(frozen=True)
 class SlotRequested:
-    """A gateway wants a slot."""
+    """A gateway requests a slot.
+
+    It is urgent if the gateway sheds the request unless a slot is found.
+    """
 
     hold: HoldChannel
     ask: Ask
@@ -35,7 +38,7 @@
 
 @dataclass(frozen=True)
 class RunAdopted:
-    """A gateway registers a run whose owner was lost."""
+    """A gateway registers a run that a previous owner granted."""
 
     hold: HoldChannel
     ask: Ask
@@ -44,7 +47,7 @@
 
 @dataclass(frozen=True)
 class FirstTokenSeen:
-    """A run's prefill is over."""
+    """A run produced its first token: its prefill has ended."""
 
     hold: HoldChannel
     prompt_tokens: int
@@ -53,7 +56,7 @@
 
 @dataclass(frozen=True)
 class RunEnded:
-    """A gateway gives a slot back."""
+    """A run ended, and its gateway releases the slot."""
 
     hold: HoldChannel
     report: RunReport
@@ -61,26 +64,26 @@
 
 @dataclass(frozen=True)
 class HoldLost:
-    """A stream ended without a word: its gateway gave up or died."""
+    """A stream ended without a report: its gateway gave up or died."""
 
     hold: HoldChannel
 
 
 @dataclass(frozen=True)
 class RunnersListed:
-    """The shard's runners as the VM list now has them."""
+    """The shard's runners changed."""
 
     runners: tuple[Vm, ...]
 
 
 @dataclass(frozen=True)
 class OwnershipMoved:
-    """Another VM owns the shard now; every hold must move there."""
+    """Another VM owns the shard now; every hold must move to it."""
 
 
 @dataclass(frozen=True)
 class FloorRequested:
-    """A gateway wants to shed and asks what runs below its tier."""
+    """A gateway asks, before it sheds, how many runs have a lower tier."""
 
     tier: Tier
     hold_s: float
--- a/bramleybend/scheduler/shard_table.py
+++ b/bramleybend/scheduler/shard_table.py
@@ -1,4 +1,4 @@
-"""The shards a scheduler serves, and which of them it owns now."""
+"""The shards that a scheduler serves, and which of them it owns."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -20,15 +20,15 @@
 from bramleybend.scheduler.shard_task import ShardDeps, ShardTask
 from bramleybend.state.member import Member
 
-# A shard whose owner has just moved here is asked about by gateways before
-# the next look at the list; it must not refuse them for want of runners.
+# Gateways send requests to a new owner before it reads the VM list again. The
+# shard must have its runners by then, or it would refuse the requests.
 UPDATE_INTERVAL_S: Final = 0.5
 PAUSE_CHECKS_PER_UPDATE: Final = 10
 
 
 @dataclass(frozen=True)
 class ShardSources:
-    """What decides about ownership, as it is known now."""
+    """Accessors of the current state that decides which shards are owned."""
 
     terms: Callable[[], Terms | None]
     runners: Callable[[], Sequence[Vm]]
@@ -38,24 +38,24 @@
 
 
 class OwnershipCache:
-    """Remembers who owns what among the same members."""
+    """Caches the owner of each shard until the members change."""
 
     def __init__(
         self,
         members: Callable[[], Sequence[Member]],
         own_vm: str,
     ) -> None:
-        """Have ranked nothing yet."""
+        """Start with an empty cache."""
         self._members = members
         self._own_vm = own_vm
         self._cached_members: tuple[Member, ...] = ()
         self._owners: dict[tuple[str, int], str] = {}
 
     def is_owned(self, service: str, shard: int) -> bool:
-        """Whether this VM owns a shard among the members of now."""
-        # Ranking hashes every member for every shard. At 350 members and 75
-        # shards, done at each look, that alone would cost a node more than
-        # its share of a core, so it is done again only for new members.
+        """Whether this VM owns a shard among the current members."""
+        # Ranking hashes every member for every shard. With 350 members and 75
+        # shards, ranking at each update would take more than this process's
+        # share of a core, so shards are ranked only when the members change.
         members = tuple(self._members())
         if members != self._cached_members:
             self._cached_members = members
@@ -68,7 +68,7 @@
 
 
 class ShardTable:
-    """Creates a shard's task when it is first owned or asked for."""
+    """Creates a shard's task when the shard is first owned or requested."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
         deps: ShardDeps,
         rng: Random,
     ) -> None:
-        """Serve nothing yet."""
+        """Start without any shard."""
         self._sources = sources
         self._deps = deps
         self._rng = rng
@@ -86,31 +86,32 @@
         self._pause_detector = PauseDetector(deps.clock, DEFAULT_TIMES.fresh_s)
         self._owners = OwnershipCache(sources.members, sources.own_vm)
         self._weights: dict[str, float] = {}
-        self._weights_version = 0  # the terms' version
+        self._weights_version = 0  # version of the terms they come from
         self._posted_runners: dict[tuple[str, int], tuple[Vm, ...]] = {}
 
     def get(self, service: str, shard: int) -> ShardTask | None:
-        """Return a shard's task, or None for one that no terms name.
+        """Return a shard's task, or None if the terms don't declare the shard.
 
-        A gateway may know of a change of owner before this VM does, so a
-        shard is served for whoever asks, owned or not.
+        A gateway may learn of a change of owner before this VM does, so this
+        VM also serves shards that it doesn't own.
         """
         task = self._tasks.get((service, shard))
         if task is not None:
             return task
         terms = self._sources.terms()
-        named = terms.services.get(service) if terms else None
-        if terms is None or named is None or shard >= named.shards:
+        declared = terms.services.get(service) if terms else None
+        if terms is None or declared is None or shard >= declared.shards:
             return None
         self._update_weights(terms)
-        return self._create_task(named, shard)
+        return self._create_task(declared, shard)
 
     def is_settled(self, task: ShardTask) -> bool:
-        """Whether every run of the shard must be known here by now.
+        """Whether this owner knows every run of the shard.
 
-        After a takeover the gateways register their runs anew. Until the
-        grace is over, "nothing lower runs" might only mean "not yet heard
-        of", and a higher tier would be shed beside a lower one.
+        After a takeover the gateways register their runs again. Until the
+        grace period is over, the owner may not know all lower-tier runs yet;
+        if it reported that there are none, a higher tier would be shed while
+        a lower one is being served.
         """
         if (task.service, task.shard) not in self._owned_since:
             return False
@@ -119,46 +120,46 @@
         )
 
     def get_verdict(self, fingerprint: str) -> Verdict:
-        """Whether this content was in flight when runners crashed."""
+        """Return how to treat content, by the crashes it was in flight at."""
         now = self._deps.clock.monotonic()
         return self._deps.crashes.verdict(fingerprint, now)
 
     async def run(self) -> None:
-        """Follow list, terms and members until cancelled."""
-        notes = 0
+        """Apply changes of runners, terms and members until cancelled."""
+        checks = 0
         while True:
-            if notes % PAUSE_CHECKS_PER_UPDATE == 0:
+            if checks % PAUSE_CHECKS_PER_UPDATE == 0:
                 self.update()
             await asyncio.sleep(UPDATE_INTERVAL_S / PAUSE_CHECKS_PER_UPDATE)
             self.mark_running()
-            notes += 1
+            checks += 1
 
     def mark_running(self) -> None:
-        """Note that this process runs; after a long pause, look at once."""
+        """Record that this process runs; update at once after a long pause."""
         if self._pause_detector.was_paused:
             self.update()
         self._pause_detector.mark_running()
 
     def update(self) -> None:
-        """Create what is owned now, hand runners out, move what is not."""
-        paused = self._pause_detector.was_paused
+        """Begin or end ownership of shards and post changes of runners."""
+        was_paused = self._pause_detector.was_paused
         self._pause_detector.mark_running()
         terms = self._sources.terms()
         if terms is None:
             return
         self._update_weights(terms)
-        named = {
+        service_by_shard = {
             (service.name, shard): service
             for service in terms.services.values()
             for shard in range(service.shards)
         }
-        for key in self._owned_since.keys() - named.keys():
+        for key in self._owned_since.keys() - service_by_shard.keys():
             self._end_ownership(key)
-        for (_, shard), service in named.items():
-            self._update_shard(service, shard, paused=paused)
+        for (_, shard), service in service_by_shard.items():
+            self._update_shard(service, shard, was_paused=was_paused)
 
     def loads(self) -> list[ShardView]:
-        """Return the load of the shards owned here."""
+        """Return the load of each shard that this VM owns."""
         views: list[ShardView] = []
         for key in self._owned_since:
             task = self._tasks[key]
@@ -177,32 +178,35 @@
 
     @property
     def tasks(self) -> tuple[ShardTask, ...]:
-        """Every shard served, owned or not."""
+        """The tasks of all shards served, owned or not."""
         return tuple(self._tasks.values())
 
     @property
     def owned(self) -> tuple[tuple[str, int], ...]:
-        """The shards owned here, by service and number."""
+        """The shards that this VM owns, by service and number."""
         return tuple(self._owned_since)
 
     def is_drained(self, service: str, shard: int, runner: str) -> bool:
-        """Whether a runner gets no new work and has none from here."""
+        """Whether a runner has no run granted by this VM and gets no new one.
+
+        Other VMs may have granted it runs.
+        """
         task = self._tasks.get((service, shard))
         if task is None:
             return True
         listed = task.runners.get(runner)
-        closed = listed is None or listed.state is RunnerState.LEAVING
-        return closed and runner not in task.runner_by_hold.values()
+        is_closed = listed is None or listed.state is RunnerState.LEAVING
+        return is_closed and runner not in task.runner_by_hold.values()
 
     def release_all(self) -> None:
-        """Send every hold on to the next owner, before a planned stop."""
+        """Move every hold to the shard's next owner, before a planned stop."""
         self._owned_since.clear()
         for task in self._tasks.values():
             task.post(OwnershipMoved())
 
     def _update_weights(self, terms: Terms) -> None:
-        # One mapping, changed in place, so that new weights hold for the
-        # queues that stand already.
+        # The policies of existing shards share this mapping, so changing it
+        # in place applies the new weights to requests that already wait.
         if terms.version != self._weights_version:
             self._weights_version = terms.version
             self._weights.clear()
@@ -213,13 +217,13 @@
         return self._deps.clock.monotonic()
 
     def _update_shard(
-        self, service: Service, shard: int, *, paused: bool
+        self, service: Service, shard: int, *, was_paused: bool
     ) -> None:
         key = (service.name, shard)
         if self._owners.is_owned(service.name, shard):
-            if paused:
-                # Another may have owned the shard meanwhile. Its runs come
-                # here one by one, as after any takeover.
+            if was_paused:
+                # Another VM may have owned the shard meanwhile. Gateways
+                # register its runs here one by one, as after any takeover.
                 self._owned_since.pop(key, None)
             self._begin_ownership(service, shard)
         elif key in self._owned_since:
@@ -258,7 +262,7 @@
 
     def _post_runners(self, task: ShardTask, service: Service) -> None:
         runners = tuple(
-            self._with_schedulable_state(vm)
+            self._with_effective_state(vm)
             for vm in self._sources.runners()
             if vm.service == service.name
             and shard_of(vm.name, service.shards) == task.shard
@@ -268,9 +272,10 @@
             self._posted_runners[key] = runners
             task.post(RunnersListed(runners))
 
-    def _with_schedulable_state(self, vm: Vm) -> Vm:
-        # Out of the list, its runs would be forgotten while they go on; as
-        # one that leaves, it ends them and gets no more.
+    def _with_effective_state(self, vm: Vm) -> Vm:
+        # An unschedulable runner counts as leaving: it finishes its runs and
+        # gets no new ones. If it were left out, the shard would forget runs
+        # that are still being served.
         if self._sources.is_schedulable(vm.name):
             return vm
         return replace(vm, state=RunnerState.LEAVING)
--- a/bramleybend/scheduler/shard_task.py
+++ b/bramleybend/scheduler/shard_task.py
@@ -1,7 +1,7 @@
-"""One shard's queue: a task that owns its policy and speaks by messages.
+"""The asyncio task that owns one shard's policy and handles its messages.
 
-All decisions are the policy's (`decisions.owner`); this task only feeds it
-what happened and carries out what it decided.
+The policy (`decisions.owner`) makes all decisions. This task passes messages
+to the policy and executes the actions that the policy returns.
 """
 
 import asyncio
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class ShardDeps:
-    """What a shard's task works with."""
+    """Dependencies of a shard's task."""
 
     clock: Clock
     events: EventLog
@@ -54,7 +54,7 @@
 
 
 class ShardTask:
-    """Takes messages one by one, so the policy needs no locks."""
+    """Handles messages one at a time, so the policy needs no locks."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         policy: ShardPolicy,
         deps: ShardDeps,
     ) -> None:
-        """Start with no runners and an empty queue."""
+        """Start without runners and with an empty queue."""
         self.service = service
         self.shard = shard
         self.policy = policy
@@ -78,24 +78,24 @@
         self._replies = ReplySender(service, shard, deps.events, deps.metrics)
 
     def post(self, message: ShardMessage) -> None:
-        """Hand a message over; it is taken in order."""
+        """Queue a message; messages are handled in order."""
         self._inbox.put_nowait(message)
 
     def begin_ownership(self, now: float) -> None:
-        """Begin as owner, with nothing known of the floors before.
+        """Become the owner, without knowing the previous owner's tier floors.
 
-        For as long as they may stand, nothing but the highest tier starts.
+        Only the highest tier may start while such a floor may be in force.
         """
         self._is_owner = True
         self._settling.taken_over_at = now
         self.policy.set_floor(min(Tier), DEFAULT_TIMES.grace_s, now)
 
     def is_settled(self, now: float) -> bool:
-        """Whether every run of the shard must be known here by now."""
+        """Whether this task owns the shard and knows every run of it."""
         return self._is_owner and self._settling.settled(now)
 
     def list_waiting(self) -> list[HoldChannel]:
-        """Return the holds that have no runner yet."""
+        """Return the holds that were not granted a runner yet."""
         return [
             hold
             for key, hold in self.holds.items()
@@ -103,7 +103,7 @@
         ]
 
     async def run(self) -> None:
-        """Take messages until cancelled."""
+        """Handle messages until cancelled."""
         while True:
             message = await self._next_message()
             now = self._deps.clock.monotonic()
@@ -162,29 +162,30 @@
                 return self._handle_floor_request(message, now)
         assert_never(message)
 
-    # What happened
+    # ---- messages
 
     def _handle_slot_request(
-        self, asked: SlotRequested, now: float
+        self, message: SlotRequested, now: float
     ) -> list[Action]:
-        self._add_hold(asked.hold)
+        self._add_hold(message.hold)
         if not self._is_owner:
-            # Some gateway can't reach the owner. Two VMs that both start
-            # lower work would break the owner's floor, so this one starts
-            # only the highest tier, which is below no floor.
+            # A gateway that can't reach the owner asks a fallback. If both
+            # VMs started lower tiers, the owner's floor would be broken, so
+            # the fallback starts only the highest tier, which no floor
+            # excludes.
             grace_s = DEFAULT_TIMES.grace_s
             self.policy.set_floor(min(Tier), grace_s, now)
         ask = replace(
-            asked.ask,
-            request_id=asked.hold.key,
-            excluded=asked.ask.excluded
+            message.ask,
+            request_id=message.hold.key,
+            excluded=message.ask.excluded
             | self._crash_tracker.get_excluded_runners(
-                asked.ask.fingerprint, self.runners
+                message.ask.fingerprint, self.runners
             ),
         )
-        if asked.urgent:
-            # The gateway will shed this request unless something lower
-            # makes room, so nothing lower may start before it.
+        if message.urgent:
+            # The gateway will shed this request unless a lower tier makes
+            # room, so no lower tier may start before it.
             self.policy.set_floor(ask.tier, 1, now)
         return self.policy.ask(ask, now)
 
@@ -192,30 +193,30 @@
         self.holds[hold.key] = hold
         self._replies.send_queued(hold)
 
-    def _handle_run_ended(self, ended: RunEnded, now: float) -> list[Action]:
-        hold = ended.hold
+    def _handle_run_ended(self, message: RunEnded, now: float) -> list[Action]:
+        hold = message.hold
         if self.holds.pop(hold.key, None) is None:
             return []
         runner = self.runner_by_hold.pop(hold.key, '')
         hold.outbox.put_nowait(None)
-        if ended.report.crashed:
-            company = [
+        if message.report.crashed:
+            concurrent = [
                 other.fingerprint
                 for key, other in self.holds.items()
                 if self.runner_by_hold.get(key) == runner
             ]
-            few = len(self.runners) < CONDEMNED
+            has_few_runners = len(self.runners) < CONDEMNED
             self._crash_tracker.record_crash(
-                runner, [hold.fingerprint, *company], few, now
+                runner, [hold.fingerprint, *concurrent], has_few_runners, now
             )
             self._replies.record_event('runner_crashed', hold, runner=runner)
             self._deps.metrics.count(
                 Metric.RUNNER_CRASHES,
                 service=self.service,
             )
-        elif ended.report.outcome == Outcome.DONE:
+        elif message.report.outcome == Outcome.DONE:
             self._crash_tracker.record_finish(hold.fingerprint, now)
-        return self.policy.ended(hold.key, ended.report, now)
+        return self.policy.ended(hold.key, message.report, now)
 
     def _handle_hold_lost(self, hold: HoldChannel, now: float) -> list[Action]:
         if self.holds.pop(hold.key, None) is None:
@@ -237,17 +238,18 @@
         )
 
     def _handle_floor_request(
-        self, asked: FloorRequested, now: float
+        self, message: FloorRequested, now: float
     ) -> list[Action]:
-        lower = self.policy.set_floor(asked.tier, asked.hold_s, now)
-        if not asked.reply.done():
-            asked.reply.set_result(lower)
+        lower_running = self.policy.set_floor(message.tier, message.hold_s, now)
+        if not message.reply.done():
+            message.reply.set_result(lower_running)
         return []
 
     def _handle_ownership_moved(self, now: float) -> list[Action]:
-        """Close every stream; the gateways go to the new owner."""
-        # Runs go on meanwhile. Kept here, they would be unknown to the new
-        # owner, which then might say that nothing lower is being served.
+        """Close every stream, so that the gateways go to the new owner."""
+        # The runs go on. A gateway registers its run with the new owner only
+        # once this stream is closed; until then the new owner might report
+        # that no lower tier is being served.
         self._is_owner = False
         actions: list[Action] = []
         for hold in tuple(self.holds.values()):
@@ -255,7 +257,7 @@
             actions += self._handle_hold_lost(hold, now)
         return actions
 
-    # What was decided
+    # ---- actions
 
     def _apply_actions(self, actions: list[Action]) -> None:
         for action in actions:
--- a/bramleybend/scheduler/suspect_records.py
+++ b/bramleybend/scheduler/suspect_records.py
@@ -1,4 +1,4 @@
-"""Crash suspicion on the wire: to gateways and to other schedulers."""
+"""Crash records on the wire, for gateways and other schedulers."""
 
 from collections.abc import Iterable
 from random import Random
@@ -8,7 +8,7 @@
 
 
 def export_suspects(book: CrashBook) -> list[SuspectRecord]:
-    """Put every record on the wire."""
+    """Encode every crash record."""
     return _encode_suspects(book.export())
 
 
@@ -17,7 +17,7 @@
     records: Iterable[SuspectRecord],
     now: float,
 ) -> None:
-    """Take in what another scheduler knows."""
+    """Merge the crash records of another scheduler."""
     book.merge(
         [
             CrashRecord(
@@ -35,7 +35,7 @@
 def sample_suspects(
     book: CrashBook, rng: Random, limit: int
 ) -> list[SuspectRecord]:
-    """Put a random part of the records on the wire, so messages are bounded."""
+    """Encode a random sample of `limit` records, to bound the message size."""
     records = book.export()
     return _encode_suspects(rng.sample(records, min(limit, len(records))))
 
--- a/bramleybend/scheduler/view_service.py
+++ b/bramleybend/scheduler/view_service.py
@@ -1,4 +1,4 @@
-"""Answers gateways with the view this scheduler decides on."""
+"""The gRPC service by which gateways get this scheduler's view."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class ViewSources:
-    """Where each part of a view comes from."""
+    """Accessors of the parts of a view."""
 
     terms: TermsFollower
     members: Callable[[], Iterable[Member]]
@@ -34,10 +34,10 @@
 
 
 class ViewService(LocalServicer):
-    """Holds a question back until there are newer terms, for a while."""
+    """Answers when there are newer terms or the request's wait has ended."""
 
     def __init__(self, sources: ViewSources, headers: Headers) -> None:
-        """Answer from these sources."""
+        """Build views from these sources."""
         self._headers = headers
         self._sources = sources
 
@@ -46,16 +46,16 @@
         request: ViewRequest,
         context: Context,
     ) -> ViewReply:
-        """Return the view, with the document only if it is news."""
+        """Return the view; only newer terms come with their document."""
         await self._headers.accept(request.header, context)
         terms = self._sources.terms
         if terms.version <= request.known_version:
             await self._wait_for_newer_terms(request.wait_s)
-        news = terms.version > request.known_version
+        has_newer_terms = terms.version > request.known_version
         return ViewReply(
             version=terms.version,
             offset=max(terms.offset, 0),
-            document=terms.document if news else '',
+            document=terms.document if has_newer_terms else '',
             members=[member_record(each) for each in self._sources.members()],
             runners=[runner_record(vm) for vm in self._sources.runners()],
             shards=[shard_record(each) for each in self._sources.shards()],
@@ -72,7 +72,7 @@
 
 
 def member_record(member: Member) -> MemberRecord:
-    """Put a member on the wire."""
+    """Encode a member as a wire record."""
     return MemberRecord(
         vm=member.vm,
         address=member.address,
@@ -84,7 +84,7 @@
 
 
 def shard_record(view: ShardView, owner: str = '') -> ShardRecord:
-    """Put a shard's load on the wire."""
+    """Encode a shard's load as a wire record."""
     return ShardRecord(
         service=view.service,
         shard=view.shard,
@@ -96,6 +96,7 @@
 
 
 def runner_record(vm: Vm) -> RunnerRecord:
+    """Encode a runner as a wire record."""
     return RunnerRecord(
         name=vm.name,
         endpoint=vm.endpoint,
--- a/bramleybend/scheduler/vm_list_poller.py
+++ b/bramleybend/scheduler/vm_list_poller.py
@@ -1,4 +1,4 @@
-"""Follows the VM list; while it is down the last word stays in force."""
+"""Polls the VM list; while that service is down, the last list holds."""
 
 import asyncio
 from dataclasses import replace
@@ -12,13 +12,14 @@
 from bramleybend.metrics import Metric, Metrics
 from bramleybend.models import RunnerState, Vm
 
-# A state that turned back would send work to an upstream on its way out: a
-# lagging list may still show as live what was leaving a moment ago.
+# A list service that lags may show a VM as live that was leaving a moment ago.
+# If the VM's state went back to live, requests would go to an upstream that is
+# about to stop.
 LEAVING_HOLD_S: Final = 30.0
 
 
 class VmListPoller:
-    """Polls the list and keeps what it last said."""
+    """Polls the VM list and keeps the last list that could be used."""
 
     def __init__(
         self,
@@ -28,7 +29,7 @@
         events: EventLog,
         metrics: Metrics,
     ) -> None:
-        """Know no VM yet."""
+        """Know no VMs before the first poll."""
         self.vms: tuple[Vm, ...] = ()
         self.is_available = False
         self.last_read_at = float('-inf')
@@ -41,12 +42,12 @@
 
     @property
     def runners(self) -> tuple[Vm, ...]:
-        """Upstream VMs."""
+        """The upstream VMs on the list."""
         return tuple(vm for vm in self.vms if vm.service != ENTRY_SERVICE)
 
     @property
     def entries(self) -> tuple[Vm, ...]:
-        """The system's own VMs."""
+        """The entry VMs on the list."""
         return tuple(vm for vm in self.vms if vm.service == ENTRY_SERVICE)
 
     async def run(self) -> None:
@@ -56,11 +57,11 @@
             await asyncio.sleep(self._poll_s)
 
     async def poll(self) -> None:
-        """Read the list once."""
+        """Fetch the list once."""
         match await self._client.fetch():
             case Ok(()) if self.vms:
-                # A list service that has just started has nothing yet; taken
-                # at its word it would end all service at once.
+                # A list service that has just started may have no entries
+                # yet. Applying an empty list would stop all requests.
                 self._mark_unavailable('the VM list is empty')
             case Ok(vms):
                 self._apply_list(vms)
@@ -75,10 +76,10 @@
 
     def _apply_list(self, vms: tuple[Vm, ...]) -> None:
         now = self._clock.monotonic()
-        before = {vm.name: vm for vm in self.vms}
+        previous = {vm.name: vm for vm in self.vms}
         vms = tuple(self._keep_leaving(vm, now) for vm in vms)
         for vm in vms:
-            if before.get(vm.name) != vm:
+            if previous.get(vm.name) != vm:
                 self._events.record(
                     'vm_listed',
                     vm=vm.name,
@@ -90,13 +91,13 @@
         self.last_read_at = now
 
     def _keep_leaving(self, vm: Vm, now: float) -> Vm:
-        """Keep a VM leaving that an older copy of the list shows live."""
+        """Return the VM as leaving if it was leaving a short time ago."""
         key = f'{vm.name}@{vm.endpoint}'
         if vm.state is RunnerState.LEAVING:
             self._leaving_seen_at[key] = now
             return vm
-        seen_at = self._leaving_seen_at.get(key)
-        if seen_at is None or now - seen_at > LEAVING_HOLD_S:
+        leaving_seen_at = self._leaving_seen_at.get(key)
+        if leaving_seen_at is None or now - leaving_seen_at > LEAVING_HOLD_S:
             self._leaving_seen_at.pop(key, None)
             return vm
         return replace(vm, state=RunnerState.LEAVING)
