--- a/bramleybend/scheduler/load_permits.py
+++ b/bramleybend/scheduler/load_permits.py
@@ -78,9 +78,9 @@
             return None
         load_id = uuid.uuid4().hex
         permit = LoadPermit(load_id, self._deps.clock.monotonic())
-        record = LoadBegunRecord(load_id=load_id, runner=runner)
+        begun_record = LoadBegunRecord(load_id=load_id, runner=runner)
         # Whether the append succeeded is learned by reading the stream.
-        await self._deps.log.append(LOADS_STREAM, [record.encode()])
+        await self._deps.log.append(LOADS_STREAM, [begun_record.encode()])
         is_readable = await self.refresh(store)
         if is_readable and self._loads.is_permitted(
             load_id, store.loads_at_once
--- a/tests/test_channels.py
+++ b/tests/test_channels.py
@@ -1,4 +1,4 @@
-"""Connections to a process that doesn't run for a moment."""
+"""Calls to a process that is paused for a moment while they connect."""
 
 import asyncio
 import itertools
@@ -28,11 +28,11 @@
 from tests.utils.cluster import free_prefix
 from tests.utils.relay import Cut, Relay
 
-LIMIT_S = 4
+TIMEOUT_S = 4
 _PORTS = itertools.count(7100)
 
 
-class _Process(ControlServicer, PeerServicer):
+class _FakeProcess(ControlServicer, PeerServicer):
     """Answers a status and a gossip message."""
 
     async def Status(
@@ -53,10 +53,10 @@
 
 @pytest_asyncio.fixture
 async def relay() -> AsyncIterator[Relay]:
-    """A relay to a process; cut, it connects and is then silent."""
+    """A relay to a process; while cut, it accepts connections only."""
     server = grpc.aio.server()
-    add_ControlServicer_to_server(_Process(), server)
-    add_PeerServicer_to_server(_Process(), server)
+    add_ControlServicer_to_server(_FakeProcess(), server)
+    add_PeerServicer_to_server(_FakeProcess(), server)
     port = server.add_insecure_port('127.0.0.1:0')
     await server.start()
     relayed = Relay(f'{free_prefix()}.5', next(_PORTS), '127.0.0.1', port)
@@ -76,22 +76,22 @@
 async def test_a_call_outlasts_a_pause_of_a_peer_that_it_connects_to(
     relay: Relay, pause_s: float
 ) -> None:
-    """Guards against a busy peer that is taken for one that is gone."""
+    """Guards against taking a busy peer for one that is unreachable."""
     channels = Channels()
-    pausing = asyncio.create_task(_pause(relay, pause_s))
+    pause_task = asyncio.create_task(_pause(relay, pause_s))
     stub = ControlStub(channels.get(f'{relay.host}:{relay.port}'))
-    reply = await stub.Status(StatusRequest(), timeout=LIMIT_S)
+    reply = await stub.Status(StatusRequest(), timeout=TIMEOUT_S)
     assert reply.json == '{}'
-    await pausing
+    await pause_task
     await channels.close()
 
 
 async def test_a_probe_outlasts_a_pause_that_is_shorter_than_its_limit(
     relay: Relay,
 ) -> None:
-    """Guards against a busy peer that is suspected of being dead."""
+    """Guards against suspecting a busy peer of being dead."""
     wire = GrpcPeerTransport(relay.port)
-    pausing = asyncio.create_task(_pause(relay, 0.2))
+    pause_task = asyncio.create_task(_pause(relay, 0.2))
     assert await wire.gossip(relay.host, GossipMessage(), timeout_s=0.6)
-    await pausing
+    await pause_task
     await wire.close()
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""Schedulers that find each other over gRPC, with peers cut off or killed."""
+"""Membership of schedulers over gRPC, with peers cut off or killed."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable, Iterable, Sequence
@@ -34,13 +34,13 @@
 from tests.utils.waiting import wait_until
 
 PORT = 7002
-NOTICED = {MemberState.SUSPECT, MemberState.DEAD}
+SUSPECT_OR_DEAD = {MemberState.SUSPECT, MemberState.DEAD}
 CLOCK = SystemClock()
 
 
 @dataclass
 class FakeDelegate:
-    """What one node has to tell, and what it was told."""
+    """What one node sends, and what it received."""
 
     address: str
     vms: list[Vm]
@@ -51,7 +51,7 @@
     versions: dict[str, int] = field(default_factory=dict)
 
     def make_header(self) -> Header:
-        """Name this node."""
+        """Return a header that names this node."""
         return Header(
             protocol=PROTOCOL,
             vm=self.address,
@@ -72,19 +72,19 @@
         return self.suspect_records
 
     def merge_suspects(self, records: Iterable[SuspectRecord]) -> None:
-        """Keep what came."""
+        """Keep the records received."""
         self.merged_suspects.update(
             {record.fingerprint: record for record in records}
         )
 
     def on_peer_heard(self, peer: Member, terms_version: int) -> None:
-        """Keep what came."""
+        """Keep the terms version received."""
         self.versions[peer.address] = terms_version
 
 
 @dataclass
 class CutTransport:
-    """A wire that loses messages to some addresses without a word."""
+    """A transport that silently drops messages to some addresses."""
 
     transport: GrpcPeerTransport
     cut_addresses: set[str] = field(default_factory=set)
@@ -95,7 +95,7 @@
         message: GossipMessage,
         timeout_s: float,
     ) -> GossipMessage | None:
-        """Let a message through, or let its time run out."""
+        """Send a message, or wait for its timeout if the address is cut."""
         if address in self.cut_addresses:
             await asyncio.sleep(timeout_s)
             return None
@@ -106,7 +106,7 @@
         address: str,
         request: TermsRequest,
     ) -> TermsReply | None:
-        """Pass on."""
+        """Forward to the actual transport."""
         return await self.transport.fetch_terms(address, request)
 
 
@@ -114,7 +114,7 @@
     """One scheduler's gossip, with a server of its own."""
 
     def __init__(self, address: str, vms: list[Vm], seed: int) -> None:
-        """Know nobody yet."""
+        """Know only this node."""
         own = Member(address, address, 'walton', f'{address}-a', heartbeat=1)
         rng = Random(seed)
         self.address = address
@@ -124,7 +124,7 @@
         deps = GossipDeps(self.members, self.transport, self.delegate, CLOCK)
         self.gossip = Gossip(deps, rng)
         self.server = grpc.aio.server()
-        self._running: asyncio.Task[None] | None = None
+        self._gossip_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Serve and probe."""
@@ -134,17 +134,17 @@
         add_PeerServicer_to_server(service, self.server)
         self.server.add_insecure_port(f'{self.address}:{PORT}')
         await self.server.start()
-        self._running = asyncio.create_task(self.gossip.run())
+        self._gossip_task = asyncio.create_task(self.gossip.run())
 
     async def stop(self) -> None:
-        """Stop without a word."""
-        if self._running is not None:
-            self._running.cancel()
+        """Stop without telling the peers."""
+        if self._gossip_task is not None:
+            self._gossip_task.cancel()
         await self.server.stop(None)
         await self.transport.transport.close()
 
     def state_of(self, address: str) -> MemberState | None:
-        """Return what this node believes of an address."""
+        """Return the state in which this node sees an address."""
         known = self.members.known(CLOCK.monotonic())
         states = {member.address: member.state for member in known}
         return states.get(address)
@@ -170,19 +170,19 @@
 
 
 def _all_meet(nodes: list[GossipNode]) -> Callable[[], bool]:
-    def met() -> bool:
+    def have_met() -> bool:
         now = CLOCK.monotonic()
         return all(len(node.members.alive(now)) == len(nodes) for node in nodes)
 
-    return met
+    return have_met
 
 
 async def test_all_notice_a_killed_peer_within_seconds() -> None:
     """A scheduler dies; connections to its address are refused.
 
-    Whoever probes it next asks helpers, which are refused too, so it is
-    suspected within about a period and its shards go to their fallbacks as
-    soon as the wait is over. The limit is generous for a busy machine.
+    The next node to probe it asks helpers, which are refused too. So it is
+    suspected within about a period, and its shards go to their fallbacks once
+    the suspicion has timed out. The timeouts here allow for a busy machine.
     """
     async with _nodes(6) as nodes:
         victim, *others = nodes
@@ -190,9 +190,10 @@
 
         await wait_until(
             lambda: all(
-                node.state_of(victim.address) in NOTICED for node in others
+                node.state_of(victim.address) in SUSPECT_OR_DEAD
+                for node in others
             ),
-            'all notice',
+            'all suspect it',
             8,
         )
         await wait_until(
@@ -200,16 +201,16 @@
                 node.state_of(victim.address) is MemberState.DEAD
                 for node in others
             ),
-            'all hold it dead',
+            'all see it as dead',
             8,
         )
 
 
 async def test_a_peer_cut_off_one_way_is_reached_by_helpers() -> None:
-    """Messages from one node to one peer vanish; all other paths work.
+    """Messages from one node to one peer are lost; all other paths work.
 
-    The node's probes of the peer run out of time, helpers reach the peer for
-    it, and nobody suspects either of them for longer than a moment.
+    The node's direct probes of the peer time out, but helpers reach the peer,
+    so no node declares it dead.
     """
     async with _nodes(4) as nodes:
         first, second, *_ = nodes
@@ -222,10 +223,10 @@
 
 
 async def test_a_peer_cut_off_both_ways_comes_back() -> None:
-    """One node loses all others for a while, and then hears them again.
+    """One node is cut off from all others for a while, and then reconnected.
 
-    Each side holds the other dead. The address is still listed, so it is
-    tried again; the node hears that it was held dead and takes it back.
+    Each side declares the other dead. The address is still listed, so it is
+    tried again; the node learns that it was declared dead and refutes that.
     """
     async with _nodes(4) as nodes:
         lost, *others = nodes
@@ -237,7 +238,7 @@
                 node.state_of(lost.address) is MemberState.DEAD
                 for node in others
             ),
-            'the others hold it dead',
+            'the others see it as dead',
         )
 
         for node in nodes:
@@ -248,7 +249,7 @@
 
 @dataclass
 class PausedTransport:
-    """No answer comes; at the given call the whole process is paused."""
+    """Gives no replies; at the given call the whole process is paused."""
 
     clock: ManualClock
     paused_at: int
@@ -260,10 +261,10 @@
         message: GossipMessage,
         timeout_s: float,
     ) -> GossipMessage | None:
-        """Let the time run out, or much more than that."""
+        """Let the timeout pass, or a pause that is much longer."""
         self.calls += 1
-        paused = self.calls == self.paused_at
-        self.clock.advance(60 if paused else timeout_s)
+        is_paused = self.calls == self.paused_at
+        self.clock.advance(60 if is_paused else timeout_s)
         return await asyncio.sleep(0, None)
 
     async def fetch_terms(
@@ -271,7 +272,7 @@
         address: str,
         request: TermsRequest,
     ) -> TermsReply | None:
-        """Give no answer."""
+        """Give no reply."""
         return await asyncio.sleep(0, None)
 
 
@@ -279,37 +280,37 @@
     ('paused_at', 'state'),
     [
         (0, MemberState.SUSPECT),
-        (1, MemberState.ALIVE),  # in the probe itself
-        (2, MemberState.ALIVE),  # while helpers are asked
+        (1, MemberState.ALIVE),  # during the direct probe
+        (2, MemberState.ALIVE),  # during the indirect probes
     ],
 )
-async def test_a_pause_of_this_process_blames_no_peer(
+async def test_a_pause_of_this_process_suspects_no_peer(
     paused_at: int,
     state: MemberState,
 ) -> None:
-    """This process is paused for a minute with a probe under way.
+    """This process is paused for a minute during a probe.
 
-    When it goes on, the probe's time has run out. The answer may have come
-    and gone meanwhile, so the silence says nothing of the peer; without a
-    pause the same silence makes it a suspect.
+    When the process resumes, the probe has timed out. The reply may have been
+    lost in the pause, so the timeout says nothing about the peer; without a
+    pause the same timeout makes the peer a suspect.
     """
     clock = ManualClock(datetime(2026, 12, 2, tzinfo=UTC))
-    wire = PausedTransport(clock, paused_at)
+    transport = PausedTransport(clock, paused_at)
     own, peer, helper = (
         Member(f'entry-{idx}', f'10.0.0.{idx}', 'walton', 'a', heartbeat=1)
         for idx in range(3)
     )
     members = Members(own, Random(1), 0)
     members.on_records([peer, helper], 0)
-    deps = GossipDeps(members, wire, FakeDelegate('10.0.0.0', []), clock)
+    deps = GossipDeps(members, transport, FakeDelegate('10.0.0.0', []), clock)
 
     await Gossip(deps, Random(1)).probe(Outgoing(peer.address, (own,)))
 
-    held = {member.vm: member.state for member in members.known(0)}
-    assert held[peer.vm] is state
+    states = {member.vm: member.state for member in members.known(0)}
+    assert states[peer.vm] is state
 
 
-async def test_news_reaches_every_node() -> None:
+async def test_gossip_reaches_every_node() -> None:
     async with _nodes(6) as nodes:
         source, *others = nodes
         source.delegate.terms_version = 7
@@ -326,7 +327,7 @@
             ),
         ]
 
-        def spread() -> bool:
+        def is_spread() -> bool:
             now = CLOCK.monotonic()
             return all(
                 node.delegate.versions.get(source.address) == 7
@@ -336,7 +337,7 @@
                 for node in others
             )
 
-        await wait_until(spread, 'all have heard')
+        await wait_until(is_spread, 'all have received it')
 
 
 async def test_a_peer_of_another_protocol_is_refused_by_name() -> None:
@@ -350,7 +351,7 @@
                 assert exc.code() is grpc.StatusCode.FAILED_PRECONDITION
                 assert 'entry-9 speaks protocol 99' in str(exc.details())
             else:
-                raise AssertionError('the message was taken in')
+                raise AssertionError('the message was accepted')
 
 
 async def test_a_message_without_a_sender_changes_nothing() -> None:
--- a/tests/test_order_issuer.py
+++ b/tests/test_order_issuer.py
@@ -1,4 +1,4 @@
-"""One issuer, round by round: what it orders, and when it must not."""
+"""Orders that an issuer sends to an engine, and when it must send none."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
@@ -40,19 +40,23 @@
 from tests.cli.world import DOWN, LOST, FakeLog
 
 KEY = ShardKey('llm', 0, 1)
-CLAIMS = 'orders-llm'
-HELD = EngineState('m', '1', frozenset(), EngineRole.MIXED, loading=False)
+CLAIMS_STREAM = 'orders-llm'
+INITIAL_STATE = EngineState(
+    'm', '1', frozenset(), EngineRole.MIXED, loading=False
+)
 NEW_VERSION = EngineTarget('m', '2')
 NEW_ROLE = EngineTarget('m', '1', (), EngineRole.DECODE)
-LOAD = LoadModel('m', '2')
+LOAD_NEW_VERSION = LoadModel('m', '2')
 FENCE_ONLY = SetRole(EngineRole.MIXED)
 
 
 class FakeLogService:
-    """A log of several streams that is down as a whole."""
+    """A log service with several streams that are down together."""
 
     def __init__(self, clock: ManualClock) -> None:
-        self.streams = {name: FakeLog(clock) for name in (CLAIMS, LOADS_STREAM)}
+        self.streams = {
+            name: FakeLog(clock) for name in (CLAIMS_STREAM, LOADS_STREAM)
+        }
         self.is_down = False
         self.append_delay_s = float(0)
         self._clock = clock
@@ -81,12 +85,12 @@
 
 @dataclass
 class FakeEngines:
-    """Engines that check fences and load within a round."""
+    """Engines that check fences and finish a load within a round."""
 
     states: dict[str, EngineState] = field(default_factory=dict)
     orders: list[Order] = field(default_factory=list)
     fence: int = -1
-    error: Problem | None = None  # to the next orders, taken or not
+    error: Problem | None = None  # returned for orders, executed or not
     ignores_orders: bool = False
 
     async def state(self, vm: Vm) -> Result[EngineState, Problem]:
@@ -106,11 +110,11 @@
         self.fence = fence
         self.orders.append(order)
         if not self.ignores_orders:
-            self.states[vm.name] = _after(self.states[vm.name], order)
+            self.states[vm.name] = _apply_order(self.states[vm.name], order)
         return Err(self.error) if self.error else Ok(None)
 
 
-def _after(state: EngineState, order: Order) -> EngineState:
+def _apply_order(state: EngineState, order: Order) -> EngineState:
     match order:
         case LoadModel(model, version):
             return replace(state, model=model, version=version)
@@ -120,13 +124,13 @@
 
 
 class IssuerFixture:
-    """An issuer of one engine with everything around it in memory."""
+    """An issuer of one engine, with fakes for all that it uses."""
 
     def __init__(self) -> None:
         self.clock = ManualClock(datetime(2026, 12, 1, tzinfo=UTC))
         self.log = FakeLogService(self.clock)
-        self.engines = FakeEngines({'e': HELD})
-        self.is_fresh = True
+        self.engines = FakeEngines({'e': INITIAL_STATE})
+        self.are_terms_fresh = True
         self.is_drained = True
         deps = OrderDeps(
             'vm',
@@ -135,26 +139,28 @@
             EventLog('scheduler', 'a1', self.clock),
             NullMetrics(),
         )
-        port = OrderSources(
+        sources = OrderSources(
             lambda: None,
-            lambda: self.is_fresh,
+            lambda: self.are_terms_fresh,
             lambda: (),
             lambda: (),
             lambda *_: self.is_drained,
         )
         self.permits = LoadPermits(deps)
-        self.issuer = OrderIssuer(KEY, port, deps, self.permits, self.engines)
+        self.issuer = OrderIssuer(
+            KEY, sources, deps, self.permits, self.engines
+        )
 
     async def run_rounds(
         self,
         target: EngineTarget,
         *,
-        checks: bool = True,
+        checks_fence: bool = True,
         count: int = 8,
     ) -> list[Order]:
-        """Play some rounds; return the orders that the engine took."""
+        """Run some rounds; return the orders that the engine accepted."""
         vm = Vm('e', '127.0.0.1', 1, 'llm', 'walton', RunnerState.LIVE)
-        plan = EnginePlan(target, checks, WeightStore(), (vm,))
+        plan = EnginePlan(target, checks_fence, WeightStore(), (vm,))
         before = len(self.engines.orders)
         for _ in range(count):
             await self.permits.refresh(plan.weight_store)
@@ -163,125 +169,135 @@
         return self.engines.orders[before:]
 
     def add_other_claim(self) -> None:
-        """Let another VM claim the shard."""
+        """Append another VM's claim on the shard."""
         other = ClaimRecord(claim_id='other', shard=0, shards=1, by='vm-2')
-        self.log.streams[CLAIMS].records.append(other.encode())
+        self.log.streams[CLAIMS_STREAM].records.append(other.encode())
 
 
-async def test_a_fence_is_planted_before_the_first_real_order() -> None:
-    bench = IssuerFixture()
+async def test_a_fence_is_installed_before_the_first_change() -> None:
+    fixture = IssuerFixture()
 
-    assert await bench.run_rounds(NEW_VERSION) == [FENCE_ONLY, LOAD]
-    assert not bench.issuer.unschedulable
-    assert not bench.issuer.mismatch_count
+    assert await fixture.run_rounds(NEW_VERSION) == [
+        FENCE_ONLY,
+        LOAD_NEW_VERSION,
+    ]
+    assert not fixture.issuer.unschedulable
+    assert not fixture.issuer.mismatch_count
 
 
-async def test_nothing_is_planted_where_fences_are_ignored() -> None:
-    assert await IssuerFixture().run_rounds(NEW_VERSION, checks=False) == [LOAD]
+async def test_no_fence_is_installed_where_engines_ignore_fences() -> None:
+    assert await IssuerFixture().run_rounds(
+        NEW_VERSION, checks_fence=False
+    ) == [LOAD_NEW_VERSION]
 
 
 async def test_a_claim_whose_reply_was_lost_is_read_back() -> None:
-    bench = IssuerFixture()
-    bench.log.streams[CLAIMS].lose_replies = 1
+    fixture = IssuerFixture()
+    fixture.log.streams[CLAIMS_STREAM].lose_replies = 1
 
-    assert await bench.run_rounds(NEW_ROLE) == [
+    assert await fixture.run_rounds(NEW_ROLE) == [
         FENCE_ONLY,
         SetRole(EngineRole.DECODE),
     ]
-    assert len(bench.log.streams[CLAIMS].records) == 1
+    assert len(fixture.log.streams[CLAIMS_STREAM].records) == 1
 
 
-async def test_a_claim_that_never_landed_is_made_again() -> None:
-    bench = IssuerFixture()
-    bench.log.streams[CLAIMS].lose_records = 1
+async def test_a_claim_that_was_not_appended_is_appended_again() -> None:
+    fixture = IssuerFixture()
+    fixture.log.streams[CLAIMS_STREAM].lose_records = 1
 
-    assert not await bench.run_rounds(NEW_ROLE, count=3)
-    assert await bench.run_rounds(NEW_ROLE) == [
+    assert not await fixture.run_rounds(NEW_ROLE, count=3)
+    assert await fixture.run_rounds(NEW_ROLE) == [
         FENCE_ONLY,
         SetRole(EngineRole.DECODE),
     ]
 
 
-async def test_without_the_log_nobody_begins_to_order() -> None:
-    bench = IssuerFixture()
-    bench.log.is_down = True
+async def test_no_orders_begin_without_the_log() -> None:
+    fixture = IssuerFixture()
+    fixture.log.is_down = True
 
-    assert not await bench.run_rounds(NEW_ROLE)
-    assert not bench.issuer.unschedulable
+    assert not await fixture.run_rounds(NEW_ROLE)
+    assert not fixture.issuer.unschedulable
 
 
-@pytest.mark.parametrize('checks', [True, False])
+@pytest.mark.parametrize('checks_fence', [True, False])
 async def test_a_holder_goes_on_without_the_log_where_fences_are_checked(
-    checks: bool,
+    checks_fence: bool,
 ) -> None:
-    bench = IssuerFixture()
-    await bench.run_rounds(EngineTarget('m', '1'), checks=checks)
-    bench.log.is_down = True
+    fixture = IssuerFixture()
+    await fixture.run_rounds(EngineTarget('m', '1'), checks_fence=checks_fence)
+    fixture.log.is_down = True
 
-    orders = await bench.run_rounds(NEW_ROLE, checks=checks)
+    orders = await fixture.run_rounds(NEW_ROLE, checks_fence=checks_fence)
 
-    assert orders == [SetRole(EngineRole.DECODE)] * checks
+    assert orders == [SetRole(EngineRole.DECODE)] * checks_fence
 
 
 async def test_no_engine_leaves_service_for_a_load_without_the_log() -> None:
-    bench = IssuerFixture()
-    await bench.run_rounds(EngineTarget('m', '1'))
-    bench.log.is_down = True
+    fixture = IssuerFixture()
+    await fixture.run_rounds(EngineTarget('m', '1'))
+    fixture.log.is_down = True
 
     for _ in range(5):
-        assert not await bench.run_rounds(NEW_VERSION, count=1)
-        assert not bench.issuer.unschedulable
+        assert not await fixture.run_rounds(NEW_VERSION, count=1)
+        assert not fixture.issuer.unschedulable
 
 
-async def test_an_overtaken_issuer_stops_at_its_next_look() -> None:
-    bench = IssuerFixture()
-    await bench.run_rounds(EngineTarget('m', '1'))
-    bench.add_other_claim()
+async def test_a_superseded_issuer_stops_in_its_next_round() -> None:
+    fixture = IssuerFixture()
+    await fixture.run_rounds(EngineTarget('m', '1'))
+    fixture.add_other_claim()
 
-    assert not await bench.run_rounds(NEW_ROLE, checks=False, count=1)
+    assert not await fixture.run_rounds(NEW_ROLE, checks_fence=False, count=1)
 
 
-async def test_old_terms_are_no_reason_to_order() -> None:
-    bench = IssuerFixture()
-    bench.is_fresh = False
+async def test_outdated_terms_cause_no_orders() -> None:
+    fixture = IssuerFixture()
+    fixture.are_terms_fresh = False
 
-    assert not await bench.run_rounds(NEW_ROLE)
+    assert not await fixture.run_rounds(NEW_ROLE)
 
 
-async def test_an_engine_at_work_is_not_ordered_but_gets_nothing_new() -> None:
-    bench = IssuerFixture()
-    bench.is_drained = False
+async def test_a_busy_engine_gets_no_order_and_no_new_work() -> None:
+    fixture = IssuerFixture()
+    fixture.is_drained = False
 
-    assert await bench.run_rounds(NEW_VERSION) == [FENCE_ONLY]
-    assert bench.issuer.unschedulable == {'e'}
+    assert await fixture.run_rounds(NEW_VERSION) == [FENCE_ONLY]
+    assert fixture.issuer.unschedulable == {'e'}
 
 
-async def test_a_lost_reply_of_an_order_is_settled_by_the_state() -> None:
-    bench = IssuerFixture()
-    await bench.run_rounds(EngineTarget('m', '1'))
-    bench.engines.error = LOST
+async def test_a_lost_reply_of_an_order_is_resolved_by_the_engine_state() -> (
+    None
+):
+    fixture = IssuerFixture()
+    await fixture.run_rounds(EngineTarget('m', '1'))
+    fixture.engines.error = LOST
 
-    assert await bench.run_rounds(NEW_VERSION) == [LOAD]
-    assert not bench.issuer.unschedulable
-    assert bench.permits.count_available(WeightStore()) == 2
+    assert await fixture.run_rounds(NEW_VERSION) == [LOAD_NEW_VERSION]
+    assert not fixture.issuer.unschedulable
+    assert fixture.permits.count_available(WeightStore()) == 2
 
 
-async def test_an_order_that_does_nothing_is_given_again_later() -> None:
-    bench = IssuerFixture()
-    bench.engines.ignores_orders = True
+async def test_an_order_without_effect_is_sent_again_later() -> None:
+    fixture = IssuerFixture()
+    fixture.engines.ignores_orders = True
 
-    assert await bench.run_rounds(NEW_VERSION) == [FENCE_ONLY, LOAD]
-    assert not bench.issuer.unschedulable
-    assert bench.permits.count_available(WeightStore()) == 2
-    bench.clock.advance(RETRY_DELAY_S)
-    assert LOAD in await bench.run_rounds(NEW_VERSION)
+    assert await fixture.run_rounds(NEW_VERSION) == [
+        FENCE_ONLY,
+        LOAD_NEW_VERSION,
+    ]
+    assert not fixture.issuer.unschedulable
+    assert fixture.permits.count_available(WeightStore()) == 2
+    fixture.clock.advance(RETRY_DELAY_S)
+    assert LOAD_NEW_VERSION in await fixture.run_rounds(NEW_VERSION)
 
 
-async def test_a_permit_that_came_late_is_given_back() -> None:
-    bench = IssuerFixture()
-    await bench.run_rounds(EngineTarget('m', '1'))
-    bench.log.append_delay_s = PERMIT_USE_S
+async def test_a_permit_that_came_late_is_released() -> None:
+    fixture = IssuerFixture()
+    await fixture.run_rounds(EngineTarget('m', '1'))
+    fixture.log.append_delay_s = PERMIT_USE_S
 
-    assert not await bench.run_rounds(NEW_VERSION)
-    bench.log.append_delay_s = 0
-    assert await bench.run_rounds(NEW_VERSION) == [LOAD]
+    assert not await fixture.run_rounds(NEW_VERSION)
+    fixture.log.append_delay_s = 0
+    assert await fixture.run_rounds(NEW_VERSION) == [LOAD_NEW_VERSION]
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""Who owns which shard, as VMs come and go."""
+"""Owners of shards as VMs join, leave and restart."""
 
 from collections import Counter
 
@@ -64,9 +64,11 @@
 def test_a_restarted_vm_gets_its_own_shards_back() -> None:
     members = _members(6, 3)
     first = members[0]
-    again = Member(first.vm, first.address, first.domain, 'next', heartbeat=9)
+    restarted = Member(
+        first.vm, first.address, first.domain, 'next', heartbeat=9
+    )
 
-    assert _owners([again, *members[1:]]) == _owners(members)
+    assert _owners([restarted, *members[1:]]) == _owners(members)
 
 
 def test_the_order_in_which_members_are_known_does_not_matter() -> None:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""What a scheduler believes of its peers, and learns through them."""
+"""A scheduler's view of its peers and the terms it fetches from them."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -25,9 +25,9 @@
 
 @dataclass
 class FakeTransport:
-    """Answers for terms, and loses all gossip."""
+    """Returns newer terms and drops all gossip."""
 
-    asked_addresses: list[str] = field(default_factory=list)
+    fetched_from: list[str] = field(default_factory=list)
 
     async def gossip(
         self,
@@ -35,7 +35,7 @@
         message: GossipMessage,
         timeout_s: float,
     ) -> GossipMessage | None:
-        """Lose the message."""
+        """Drop the message."""
         return await asyncio.sleep(0, None)
 
     async def fetch_terms(
@@ -44,30 +44,30 @@
         request: TermsRequest,
     ) -> TermsReply | None:
         """Return newer terms."""
-        self.asked_addresses.append(address)
+        self.fetched_from.append(address)
         return TermsReply(version=8, offset=12, document='document')
 
 
 @dataclass
 class FakeTerms:
-    """Counts what it is told."""
+    """Counts the calls of its methods."""
 
     version: int = 7
     peer_heard_count: int = 0
     learn_count: int = 0
 
     def heard_peer(self) -> None:
-        """Count word of a peer with the same terms."""
+        """Count a message of a peer with the same terms."""
         self.peer_heard_count += 1
 
     async def learn_from_peer(self) -> None:
-        """Count word of a peer with newer terms."""
+        """Count a request to fetch a peer's newer terms."""
         self.learn_count += 1
 
 
 @dataclass
 class PeersFixture:
-    """One scheduler's peers, with all around them faked."""
+    """One scheduler's `Peers` with fakes for all that they use."""
 
     clock: ManualClock
     transport: FakeTransport
@@ -86,9 +86,9 @@
     )
 
 
-def _bench(*vms: Vm) -> PeersFixture:
+def _make_fixture(*vms: Vm) -> PeersFixture:
     clock = ManualClock(datetime(2026, 12, 2, tzinfo=UTC))
-    wire, terms = FakeTransport(), FakeTerms()
+    transport, terms = FakeTransport(), FakeTerms()
     sources = PeerSources(
         IDENTITY,
         cast(TermsFollower, terms),
@@ -96,59 +96,59 @@
         lambda: vms,
         lambda: (),
     )
-    peers = Peers(sources, cast(PeerTransport, wire), clock, Random(1))
-    return PeersFixture(clock, wire, terms, peers)
+    peers = Peers(sources, cast(PeerTransport, transport), clock, Random(1))
+    return PeersFixture(clock, transport, terms, peers)
 
 
 def _peer(**changes: MemberState) -> Member:
     return Member('entry-1', '10.0.0.2', 'gulberg', 'b', heartbeat=1, **changes)
 
 
-def _alive(bench: PeersFixture) -> set[str]:
-    return {member.vm for member in bench.peers.list_owner_candidates()}
+def _owner_candidates(fixture: PeersFixture) -> set[str]:
+    return {member.vm for member in fixture.peers.list_owner_candidates()}
 
 
-def test_a_starting_scheduler_counts_whom_the_list_shows() -> None:
-    """A scheduler starts and knows nobody; its gateway asks for owners.
+def test_a_starting_scheduler_counts_the_listed_vms() -> None:
+    """A scheduler starts without members while its gateway asks for owners.
 
-    Ranking itself alone, it would own every shard beside the true owners.
-    So for a while it counts the listed VMs, until gossip has had its time.
+    If it ranked only itself, it would own every shard alongside the actual
+    owners. So it counts the listed VMs until gossip has brought the members.
     """
-    bench = _bench(_vm(0), _vm(1), _vm(2, RunnerState.LEAVING))
+    fixture = _make_fixture(_vm(0), _vm(1), _vm(2, RunnerState.LEAVING))
 
-    assert _alive(bench) == {'entry-0', 'entry-1'}
-    bench.clock.advance(JOIN_PERIOD_S + 1)
-    assert _alive(bench) == {'entry-0'}
+    assert _owner_candidates(fixture) == {'entry-0', 'entry-1'}
+    fixture.clock.advance(JOIN_PERIOD_S + 1)
+    assert _owner_candidates(fixture) == {'entry-0'}
 
 
-def test_word_of_gossip_goes_before_the_list() -> None:
-    bench = _bench(_vm(0), _vm(1))
+def test_gossip_overrides_the_vm_list() -> None:
+    fixture = _make_fixture(_vm(0), _vm(1))
 
-    bench.peers.members.on_records([_peer(state=MemberState.LEAVING)], 0)
+    fixture.peers.members.on_records([_peer(state=MemberState.LEAVING)], 0)
 
-    assert _alive(bench) == {'entry-0'}
+    assert _owner_candidates(fixture) == {'entry-0'}
 
 
-async def test_terms_are_fetched_from_the_peer_that_is_ahead() -> None:
-    bench = _bench(_vm(0), _vm(1), _vm(2))
-    bench.peers.delegate.on_peer_heard(_peer(), 8)
+async def test_terms_are_fetched_from_the_peer_with_newer_ones() -> None:
+    fixture = _make_fixture(_vm(0), _vm(1), _vm(2))
+    fixture.peers.delegate.on_peer_heard(_peer(), 8)
     await asyncio.sleep(0)
 
-    found = await bench.peers.fetch_terms()
+    found = await fixture.peers.fetch_terms()
 
-    assert bench.terms.learn_count == 1
-    assert bench.transport.asked_addresses == ['10.0.0.2']
+    assert fixture.terms.learn_count == 1
+    assert fixture.transport.fetched_from == ['10.0.0.2']
     assert found is not None
     assert found.version == 8
 
 
-async def test_only_a_peer_with_the_same_terms_shows_that_none_are_missed() -> (
+async def test_only_a_peer_with_equal_terms_confirms_that_none_are_missed() -> (
     None
 ):
-    bench = _bench()
+    fixture = _make_fixture()
 
     for version in (6, 7):
-        bench.peers.delegate.on_peer_heard(_peer(), version)
+        fixture.peers.delegate.on_peer_heard(_peer(), version)
 
-    assert bench.terms.peer_heard_count == 1
-    assert not bench.terms.learn_count
+    assert fixture.terms.peer_heard_count == 1
+    assert not fixture.terms.learn_count
--- a/tests/test_remote_loads.py
+++ b/tests/test_remote_loads.py
@@ -1,4 +1,4 @@
-"""Loads heard of from peers, and how far they are passed on."""
+"""Loads received from peers, and when they are relayed."""
 
 from random import Random
 
@@ -17,45 +17,45 @@
     )
 
 
-def _running(shards: RemoteLoads, now: float) -> int:
-    return shards.get_views(now)['briefing-llm', 0].running
+def _running_on_shard_0(loads: RemoteLoads, now: float) -> int:
+    return loads.get_views(now)['briefing-llm', 0].running
 
 
-def test_only_word_from_the_owner_itself_is_passed_on() -> None:
-    shards = RemoteLoads(Random(1))
-    shards.add_records('a', [_record(0, 'a'), _record(1, 'b')], 0)
+def test_only_records_from_the_owner_are_relayed() -> None:
+    loads = RemoteLoads(Random(1))
+    loads.add_records('a', [_record(0, 'a'), _record(1, 'b')], 0)
 
-    assert [record.shard for record in shards.sample_for_relay(0)] == [0]
-    assert not shards.sample_for_relay(RELAY_WINDOW_S + 1)
+    assert [record.shard for record in loads.sample_for_relay(0)] == [0]
+    assert not loads.sample_for_relay(RELAY_WINDOW_S + 1)
 
 
-def test_relayed_word_does_not_replace_fresh_word_of_the_owner() -> None:
-    shards = RemoteLoads(Random(1))
-    shards.add_records('a', [_record(0, 'a', running=5)], 0)
-    shards.add_records('b', [_record(0, 'a', running=1)], 1)
+def test_relayed_record_does_not_replace_fresh_record_of_the_owner() -> None:
+    loads = RemoteLoads(Random(1))
+    loads.add_records('a', [_record(0, 'a', running=5)], 0)
+    loads.add_records('b', [_record(0, 'a', running=1)], 1)
 
-    assert _running(shards, 1) == 5
+    assert _running_on_shard_0(loads, 1) == 5
 
 
-def test_relayed_word_replaces_what_has_grown_old() -> None:
-    shards = RemoteLoads(Random(1))
-    shards.add_records('a', [_record(0, 'a', running=5)], 0)
-    shards.add_records('b', [_record(0, 'a', running=1)], RELAY_WINDOW_S + 1)
+def test_relayed_record_replaces_an_old_one() -> None:
+    loads = RemoteLoads(Random(1))
+    loads.add_records('a', [_record(0, 'a', running=5)], 0)
+    loads.add_records('b', [_record(0, 'a', running=1)], RELAY_WINDOW_S + 1)
 
-    assert _running(shards, RELAY_WINDOW_S + 1) == 1
+    assert _running_on_shard_0(loads, RELAY_WINDOW_S + 1) == 1
 
 
 def test_a_new_owner_replaces_the_old_one_at_once() -> None:
-    shards = RemoteLoads(Random(1))
-    shards.add_records('a', [_record(0, 'a', running=5)], 0)
-    shards.add_records('b', [_record(0, 'b', running=2)], 1)
+    loads = RemoteLoads(Random(1))
+    loads.add_records('a', [_record(0, 'a', running=5)], 0)
+    loads.add_records('b', [_record(0, 'b', running=2)], 1)
 
-    assert _running(shards, 1) == 2
+    assert _running_on_shard_0(loads, 1) == 2
 
 
-def test_what_is_passed_on_is_bounded_and_old_word_is_dropped() -> None:
-    shards = RemoteLoads(Random(1))
-    shards.add_records('a', [_record(shard, 'a') for shard in range(100)], 0)
+def test_relay_is_bounded_and_old_records_are_dropped() -> None:
+    loads = RemoteLoads(Random(1))
+    loads.add_records('a', [_record(shard, 'a') for shard in range(100)], 0)
 
-    assert len(shards.sample_for_relay(0)) == MAX_RELAYED
-    assert not shards.get_views(MAX_AGE_S + 1)
+    assert len(loads.sample_for_relay(0)) == MAX_RELAYED
+    assert not loads.get_views(MAX_AGE_S + 1)
--- a/tests/test_shard_table.py
+++ b/tests/test_shard_table.py
@@ -1,8 +1,9 @@
-"""When an owner may say that nothing lower runs on its shard.
+"""When an owner may report that no lower tier runs on its shard.
 
-The caller of a higher tier sees `not run` for want of capacity while a lower
-tier's request is served elsewhere, if an owner says so too early: after it
-took over, after it was paused, after a run has left it for another owner.
+If an owner reports this too early, a higher tier's request is shed for lack of
+capacity (its caller sees `not run`) while a lower tier's request is served.
+Too early is: shortly after a takeover, after a pause of the owner, or after a
+run has moved from it to another owner.
 """
 
 from datetime import UTC, datetime
@@ -73,7 +74,7 @@
         return self.shards.is_settled(self.task)
 
     def run_unpaused(self, seconds: float) -> None:
-        """Let time pass as it does for a process that is not paused."""
+        """Let time pass with regular updates, as in an unpaused process."""
         end = self.clock.monotonic() + seconds
         self.shards.update()
         while self.clock.monotonic() < end:
@@ -82,61 +83,63 @@
 
 
 @pytest.fixture
-async def world() -> ShardTableFixture:
-    made = ShardTableFixture()
-    made.run_unpaused(DEFAULT_TIMES.grace_s)
-    return made
+async def table() -> ShardTableFixture:
+    table = ShardTableFixture()
+    table.run_unpaused(DEFAULT_TIMES.grace_s)
+    return table
 
 
 async def test_new_owner_is_settled_only_after_the_grace() -> None:
-    world = ShardTableFixture()
-    world.run_unpaused(DEFAULT_TIMES.fresh_s)
-    assert not world.is_settled
-    world.run_unpaused(DEFAULT_TIMES.hold_s)
+    table = ShardTableFixture()
+    table.run_unpaused(DEFAULT_TIMES.fresh_s)
+    assert not table.is_settled
+    table.run_unpaused(DEFAULT_TIMES.hold_s)
 
-    assert world.is_settled
+    assert table.is_settled
 
 
-async def test_paused_owner_starts_anew(world: ShardTableFixture) -> None:
-    assert world.is_settled
-    world.clock.advance(DEFAULT_TIMES.fresh_s)
-    assert not world.is_settled  # also before it has looked again
-    world.run_unpaused(DEFAULT_TIMES.fresh_s)
-    assert not world.is_settled
-    world.run_unpaused(DEFAULT_TIMES.hold_s)
+async def test_paused_owner_must_settle_again(table: ShardTableFixture) -> None:
+    assert table.is_settled
+    table.clock.advance(DEFAULT_TIMES.fresh_s)
+    assert not table.is_settled  # also before the next update
+    table.run_unpaused(DEFAULT_TIMES.fresh_s)
+    assert not table.is_settled
+    table.run_unpaused(DEFAULT_TIMES.hold_s)
 
-    assert world.is_settled
+    assert table.is_settled
 
 
-@pytest.mark.parametrize(('short_by_s', 'is_anew'), [(0.2, False), (0, True)])
+@pytest.mark.parametrize(
+    ('short_by_s', 'must_settle_again'), [(0.2, False), (0, True)]
+)
 async def test_a_pause_is_not_counted_longer_than_it_was(
-    world: ShardTableFixture, short_by_s: float, is_anew: bool
+    table: ShardTableFixture, short_by_s: float, must_settle_again: bool
 ) -> None:
-    """Guards against low tiers that wait out a takeover that nobody made."""
+    """Guards against holding low tiers back although no takeover happened."""
     for _ in range(PAUSE_CHECKS_PER_UPDATE - 1):
-        world.clock.advance(UPDATE_INTERVAL_S / PAUSE_CHECKS_PER_UPDATE)
-        world.shards.mark_running()
-    world.clock.advance(DEFAULT_TIMES.fresh_s - short_by_s)
-    world.shards.mark_running()
-    assert world.is_settled is not is_anew
+        table.clock.advance(UPDATE_INTERVAL_S / PAUSE_CHECKS_PER_UPDATE)
+        table.shards.mark_running()
+    table.clock.advance(DEFAULT_TIMES.fresh_s - short_by_s)
+    table.shards.mark_running()
+    assert table.is_settled is not must_settle_again
 
 
-async def test_run_that_left_unsettles_its_owner(
-    world: ShardTableFixture,
+async def test_run_that_moved_away_unsettles_its_owner(
+    table: ShardTableFixture,
 ) -> None:
     hold = HoldChannel('draft#1', 'draft', Tier.BULK)
-    now = world.clock.monotonic()
-    world.task._handle_message(RunAdopted(hold, DRAFT, 'engine-1'), now)
-    assert world.is_settled
-    world.task._handle_message(HoldLost(hold), now)
-    assert not world.is_settled
-    world.run_unpaused(DEFAULT_TIMES.grace_s)
+    now = table.clock.monotonic()
+    table.task._handle_message(RunAdopted(hold, DRAFT, 'engine-1'), now)
+    assert table.is_settled
+    table.task._handle_message(HoldLost(hold), now)
+    assert not table.is_settled
+    table.run_unpaused(DEFAULT_TIMES.grace_s)
 
-    assert world.is_settled
+    assert table.is_settled
 
 
-async def test_who_is_no_owner_is_never_settled() -> None:
-    world = ShardTableFixture(Member('entry-2', '10.0.0.2', 'sof-b', 'b2'))
-    world.run_unpaused(DEFAULT_TIMES.grace_s)
+async def test_a_vm_that_is_not_the_owner_is_never_settled() -> None:
+    table = ShardTableFixture(Member('entry-2', '10.0.0.2', 'sof-b', 'b2'))
+    table.run_unpaused(DEFAULT_TIMES.grace_s)
 
-    assert not world.is_settled
+    assert not table.is_settled
