--- a/bramleybend/scheduler/core.py
+++ b/bramleybend/scheduler/core.py
@@ -16,21 +16,21 @@
 from bramleybend.identity import Identity, make_identity
 from bramleybend.loop_watch import LoopWatch
 from bramleybend.metrics import Metric, make_metrics
-from bramleybend.scheduler.vm_list_poller import VmListPoller
 from bramleybend.scheduler.order_deps import OrderDeps, OrderSources
-from bramleybend.scheduler.order_manager import OrderManager, make_orders
+from bramleybend.scheduler.order_manager import OrderManager, make_order_manager
 from bramleybend.scheduler.owner_service import OwnerService
 from bramleybend.scheduler.peer_transport import GrpcPeerTransport
 from bramleybend.scheduler.peers import PeerSources, make_peers
 from bramleybend.scheduler.scheduler_control import SchedulerControl
-from bramleybend.scheduler.shard_task import ShardDeps
 from bramleybend.scheduler.shard_table import (
-    ShardTable,
     ShardSources,
-    make_shards,
+    ShardTable,
+    make_shard_table,
 )
+from bramleybend.scheduler.shard_task import ShardDeps
 from bramleybend.scheduler.suspect_records import export_suspects
 from bramleybend.scheduler.view_service import ViewService, ViewSources
+from bramleybend.scheduler.vm_list_poller import VmListPoller
 from bramleybend.settings import Settings
 from bramleybend.state.terms_follower import FollowerPort, TermsFollower
 from bramleybend.wire.bramleybend_pb2_grpc import (
@@ -38,11 +38,12 @@
     add_LocalServicer_to_server,
     add_OwnerServicer_to_server,
 )
-from bramleybend.wire.headers import Headers
 from bramleybend.wire.channels import SERVER_OPTIONS
+from bramleybend.wire.headers import Headers
 
 # Gateways learn within one view, 0.5 s, that this owner is leaving. Requests
-# that arrive later are still served; the next owner learns of their runs.
+# that arrive later are still served, and their gateways register the runs with
+# the next owner.
 LEAVE_NOTICE_S: Final = 2.0
 RELEASE_WAIT_S: Final = 0.05  # for the shard tasks to close their streams
 GAUGE_INTERVAL_S: Final = 1.0
@@ -64,7 +65,7 @@
         self._headers = Headers(
             identity,
             self.events,
-            lambda: self.terms.version,
+            lambda: self.terms_follower.version,
         )
         self.crashes = CrashBook()
         self.vm_list_poller = VmListPoller(
@@ -74,20 +75,20 @@
             self.events,
             self._metrics,
         )
-        self.terms = self._make_terms()
-        self.orders = self._make_orders()
-        self.shards = self._make_shards()
+        self.terms_follower = self._make_terms_follower()
+        self.order_manager = self._make_order_manager()
+        self.shard_table = self._make_shard_table()
         self._peer_transport = GrpcPeerTransport(cfg.scheduler_port)
         self.peers = make_peers(
             self._peer_sources(), self._peer_transport, clock
         )
-        self._grpc: grpc.aio.Server
+        self._grpc_server: grpc.aio.Server
 
     async def start(self) -> None:
         """Open the gRPC port and start the background tasks."""
-        self._grpc = grpc.aio.server(options=SERVER_OPTIONS)
+        self._grpc_server = grpc.aio.server(options=SERVER_OPTIONS)
         self._add_services()
-        await self._grpc.start()
+        await self._grpc_server.start()
         self._start_tasks()
         self.events.record('started', vm=self._cfg.vm)
 
@@ -100,11 +101,11 @@
         self.events.record('draining')
         self.peers.announce_leaving()
         await asyncio.sleep(LEAVE_NOTICE_S)
-        self.shards.release_all()
+        self.shard_table.release_all()
         await asyncio.sleep(RELEASE_WAIT_S)
         for task in self._tasks:
             task.cancel()
-        await self._grpc.stop(GRPC_STOP_GRACE_S)
+        await self._grpc_server.stop(GRPC_STOP_GRACE_S)
         await self._peer_transport.close()
         self.events.record('stopped')
 
@@ -114,9 +115,12 @@
         The load of a shard that this VM doesn't own comes by gossip; it is 0
         for a shard of which nothing is known.
         """
-        own = {(each.service, each.shard): each for each in self.shards.loads()}
+        own = {
+            (each.service, each.shard): each
+            for each in self.shard_table.list_owned_loads()
+        }
         remote = self.peers.get_remote_loads()
-        terms = self.terms.terms
+        terms = self.terms_follower.terms
         if terms is None:
             return []
         return [
@@ -129,35 +133,35 @@
 
     def _add_services(self) -> None:
         add_OwnerServicer_to_server(
-            OwnerService(self.shards, self._clock, self._headers),
-            self._grpc,
+            OwnerService(self.shard_table, self._clock, self._headers),
+            self._grpc_server,
         )
         add_LocalServicer_to_server(
             ViewService(self._view_sources(), self._headers),
-            self._grpc,
+            self._grpc_server,
         )
         add_ControlServicer_to_server(
             ControlService(SchedulerControl(self), self.events),
-            self._grpc,
+            self._grpc_server,
         )
-        self.peers.add_service(self._grpc)
-        self._grpc.add_insecure_port(
+        self.peers.add_service(self._grpc_server)
+        self._grpc_server.add_insecure_port(
             f'{self._cfg.address}:{self._cfg.scheduler_port}',
         )
 
     def _start_tasks(self) -> None:
         for work in (
             self.vm_list_poller.run(),
-            self.terms.follow(),
+            self.terms_follower.follow(),
             self.peers.run(),
-            self.shards.run(),
-            self.orders.run(),
+            self.shard_table.run(),
+            self.order_manager.run(),
             self._send_gauges(),
             LoopWatch(self.events, self._clock).work(),
         ):
             self._tasks.append(asyncio.create_task(work))
 
-    def _make_terms(self) -> TermsFollower:
+    def _make_terms_follower(self) -> TermsFollower:
         return TermsFollower(
             FollowerPort(
                 make_http_log(self._cfg.log_service),
@@ -169,14 +173,14 @@
             self._metrics,
         )
 
-    def _make_shards(self) -> ShardTable:
-        return make_shards(
+    def _make_shard_table(self) -> ShardTable:
+        return make_shard_table(
             ShardSources(
-                lambda: self.terms.terms,
+                lambda: self.terms_follower.terms,
                 lambda: self.vm_list_poller.runners,
                 lambda: self.peers.list_owner_candidates(),
                 self.identity.vm,
-                self.orders.is_schedulable,
+                self.order_manager.is_schedulable,
             ),
             ShardDeps(
                 self._clock,
@@ -186,16 +190,16 @@
             ),
         )
 
-    def _make_orders(self) -> OrderManager:
-        return make_orders(
+    def _make_order_manager(self) -> OrderManager:
+        return make_order_manager(
             OrderSources(
-                lambda: self.terms.terms,
+                lambda: self.terms_follower.terms,
                 lambda: (
                     self.peers.terms_age_s() <= self._cfg.terms_stale_after_s
                 ),
                 lambda: self.vm_list_poller.runners,
-                lambda: self.shards.owned,
-                lambda *runner: self.shards.is_drained(*runner),
+                lambda: self.shard_table.owned_shards,
+                lambda *runner: self.shard_table.is_drained(*runner),
             ),
             OrderDeps(
                 self.identity.vm,
@@ -209,15 +213,15 @@
     def _peer_sources(self) -> PeerSources:
         return PeerSources(
             self.identity,
-            self.terms,
+            self.terms_follower,
             self.crashes,
-            lambda: self.vm_list_poller.entries,
-            lambda: self.shards.loads(),
+            lambda: self.vm_list_poller.entry_vms,
+            lambda: self.shard_table.list_owned_loads(),
         )
 
     def _view_sources(self) -> ViewSources:
         return ViewSources(
-            self.terms,
+            self.terms_follower,
             lambda: self.peers.list_contacts(),
             lambda: self.vm_list_poller.runners,
             self.list_shard_views,
@@ -232,7 +236,9 @@
     async def _send_gauges(self) -> None:
         while True:
             await asyncio.sleep(GAUGE_INTERVAL_S)
-            self._metrics.gauge(Metric.TERMS_VERSION, self.terms.version)
+            self._metrics.gauge(
+                Metric.TERMS_VERSION, self.terms_follower.version
+            )
             self._metrics.gauge(
                 Metric.MEMBERS, len(self.peers.list_owner_candidates())
             )
--- a/bramleybend/scheduler/crash_tracker.py
+++ b/bramleybend/scheduler/crash_tracker.py
@@ -26,10 +26,9 @@
     ) -> frozenset[str]:
         """Return the runners to exclude for content, if others are left.
 
-        Content that crashed a runner is placed on the same runner again by
-        its prefix. Repeated crashes of one runner don't prove that the content
-        is at fault, so it would go on crashing that runner without ever being
-        refused.
+        Prefix affinity places content on the runner that it has just crashed.
+        Repeated crashes of one runner don't prove that the content is at
+        fault, so it would go on crashing that runner and never be refused.
         """
         crashed = self._book.runners(fingerprint)
         others = [name for name in runners if name not in crashed]
@@ -44,10 +43,10 @@
     ) -> None:
         """Mark all content that was in flight on the runner as suspect.
 
-        Any of it may have caused the crash, or the runner itself.
-        Content is refused after crashes of several runners. With
-        `has_few_runners` the shard has fewer runners than that, so each crash
-        of a runner counts separately.
+        The crash may have been caused by any of it, or by the runner itself,
+        so content is refused only after crashes of several runners. With
+        `has_few_runners` the shard has fewer runners than that takes, and each
+        crash of one runner counts separately.
         """
         crash_number, last_reported_at = self._last_crashes.get(
             runner, (0, -inf)
--- a/bramleybend/scheduler/gossip.py
+++ b/bramleybend/scheduler/gossip.py
@@ -13,8 +13,8 @@
 from bramleybend.clock import Clock
 from bramleybend.models import Vm
 from bramleybend.scheduler.member_records import decode_members, encode_members
-from bramleybend.scheduler.remote_loads import RemoteLoads
 from bramleybend.scheduler.peer_transport import PeerTransport
+from bramleybend.scheduler.remote_loads import RemoteLoads
 from bramleybend.state.member import Member
 from bramleybend.state.membership import PERIOD_S, Members, Outgoing
 from bramleybend.wire.bramleybend_pb2 import (
@@ -93,7 +93,7 @@
             self._start_task(self.probe(outgoing))
 
     async def handle_message(self, message: GossipMessage) -> GossipMessage:
-        """Process a peer's message, send its indirect probe, and reply."""
+        """Send the probe that a peer asks for, process its message, reply."""
         answered = False
         if message.probe:
             answered = await self._probe_for_peer(message.probe)
@@ -135,11 +135,11 @@
         outgoing: Outgoing,
         timeout_s: float,
     ) -> bool | None:
-        """Send a message; return whether its target answered.
+        """Send a message and return whether it was answered.
 
-        An indirect probe's target is the peer that the helper is to probe.
-        Return None if a pause of this process makes a missing reply
-        meaningless.
+        For an indirect probe, return whether the helper reached the peer that
+        it was asked to probe. Return None if there is no reply and this
+        process was paused, which says nothing about the peer.
         """
         message = self._build_message(outgoing.records, outgoing.probe)
         started_at = self._clock.monotonic()
--- a/bramleybend/scheduler/load_permits.py
+++ b/bramleybend/scheduler/load_permits.py
@@ -26,8 +26,8 @@
     def is_fresh(self, now: float) -> bool:
         """Whether a load may still begin under this permit.
 
-        Other VMs count a load until a timeout after they read its record. A
-        load that begins late could go on after they stopped counting it.
+        Other VMs count a load as open until a timeout, which starts when they
+        read its record. A load that begins late could outlast the timeout.
         """
         return now - self.requested_at < PERMIT_USE_S
 
--- a/bramleybend/scheduler/order_deps.py
+++ b/bramleybend/scheduler/order_deps.py
@@ -16,7 +16,6 @@
 from bramleybend.metrics import Metrics
 from bramleybend.models import EngineTarget, Terms, Vm, WeightStore
 
-
 OwnedShard: TypeAlias = tuple[str, int]  # service and shard
 
 
@@ -79,8 +78,8 @@
     apply: Callable[[LogRecord], None],
 ) -> bool:
     """Apply all records up to the log's tail; return whether that succeeded."""
-    more = True
-    while more:
+    is_behind_tail = True
+    while is_behind_tail:
         reply = await log.read(stream, state.position)
         if isinstance(reply, Err):
             return False
@@ -88,5 +87,5 @@
         state.see_first_offset(batch.first_offset)
         for record in batch.records:
             apply(record)
-        more = len(batch.records) >= READ_LIMIT
+        is_behind_tail = len(batch.records) >= READ_LIMIT
     return True
--- a/bramleybend/scheduler/order_issuer.py
+++ b/bramleybend/scheduler/order_issuer.py
@@ -22,19 +22,19 @@
 )
 from bramleybend.errors import ErrorKind
 from bramleybend.models import EngineTarget, Vm
-from bramleybend.scheduler.load_permits import LoadPermits
 from bramleybend.scheduler.engine_changes import (
-    EngineChange,
     ChangePhase,
+    EngineChange,
+    collect_load_ids,
     count_draining,
     is_order_finished,
-    collect_load_ids,
     make_engine_views,
 )
+from bramleybend.scheduler.load_permits import LoadPermits
 from bramleybend.scheduler.order_deps import (
+    EnginePlan,
     OrderDeps,
     OrderSources,
-    EnginePlan,
     ShardKey,
 )
 from bramleybend.scheduler.order_sender import OrderSender
--- a/bramleybend/scheduler/order_manager.py
+++ b/bramleybend/scheduler/order_manager.py
@@ -12,9 +12,9 @@
 from bramleybend.models import RunnerState, Terms, Vm
 from bramleybend.scheduler.load_permits import LoadPermits
 from bramleybend.scheduler.order_deps import (
+    EnginePlan,
     OrderDeps,
     OrderSources,
-    EnginePlan,
     ShardKey,
 )
 from bramleybend.scheduler.order_issuer import OrderIssuer
@@ -108,7 +108,7 @@
             )
 
 
-def make_orders(sources: OrderSources, deps: OrderDeps) -> OrderManager:
+def make_order_manager(sources: OrderSources, deps: OrderDeps) -> OrderManager:
     """Build a manager that sends orders over HTTP."""
     return OrderManager(sources, deps, HttpEngineOrders())
 
--- a/bramleybend/scheduler/order_sender.py
+++ b/bramleybend/scheduler/order_sender.py
@@ -10,9 +10,9 @@
 from bramleybend.models import Vm
 from bramleybend.scheduler.order_claims import ClaimHolder
 from bramleybend.scheduler.order_deps import (
+    EnginePlan,
     OrderDeps,
     OrderSources,
-    EnginePlan,
     ShardKey,
 )
 
--- a/bramleybend/scheduler/owner_service.py
+++ b/bramleybend/scheduler/owner_service.py
@@ -11,16 +11,16 @@
 from bramleybend.decisions.quarantine import Verdict
 from bramleybend.models import Ask, Tier
 from bramleybend.scheduler.shard_messages import (
-    RunAdopted,
-    SlotRequested,
     FirstTokenSeen,
     FloorRequested,
     HoldChannel,
     HoldLost,
+    RunAdopted,
     RunEnded,
+    SlotRequested,
 )
-from bramleybend.scheduler.shard_task import ShardTask
 from bramleybend.scheduler.shard_table import ShardTable
+from bramleybend.scheduler.shard_task import ShardTask
 from bramleybend.wire.bramleybend_pb2 import (
     AskMessage,
     FloorReply,
@@ -59,7 +59,7 @@
         first = await anext(aiter(request_iterator))
         await self._headers.accept(first.header, context)
         ask = first.ask if first.HasField('ask') else first.adopt.ask
-        task = self._shards.get(ask.service, ask.shard)
+        task = self._shards.get_task(ask.service, ask.shard)
         if task is None:
             await context.abort(
                 grpc.StatusCode.NOT_FOUND,
@@ -86,7 +86,7 @@
     ) -> FloorReply:
         """Set a tier floor for a while and count the runs below it."""
         await self._headers.accept(request.header, context)
-        task = self._shards.get(request.service, request.shard)
+        task = self._shards.get_task(request.service, request.shard)
         if task is None:
             return FloorReply(settled=False)
         reply: asyncio.Future[int] = asyncio.Future()
--- a/bramleybend/scheduler/peer_transport.py
+++ b/bramleybend/scheduler/peer_transport.py
@@ -20,7 +20,7 @@
 
 MAX_CHANNELS: Final = 32
 FETCH_TIMEOUT_S: Final = 2.0
-MAX_TERMS_BYTES: Final = 33_554_432  # bytes; any document of terms fits
+MAX_TERMS_BYTES: Final = 33_554_432  # fits any terms document
 # Longer than a probe's timeout; otherwise a peer whose process is paused for a
 # moment would look unreachable.
 CONNECT_TIMEOUT_MS: Final = 1000
--- a/bramleybend/scheduler/peers.py
+++ b/bramleybend/scheduler/peers.py
@@ -37,8 +37,8 @@
 MAX_SENT_SHARDS: Final = 64
 MAX_SENT_SUSPECTS: Final = 16
 # A new process knows no members. It would own every shard alongside the actual
-# owners, or name no owner to its gateway. While gossip brings the member
-# table, it also counts the listed VMs of which no peer has said otherwise.
+# owners, or name no owner to its gateway. Until gossip has brought the member
+# table, it also counts the listed VMs of which gossip has brought no record.
 JOIN_PERIOD_S: Final = 10.0
 
 
--- a/bramleybend/scheduler/remote_loads.py
+++ b/bramleybend/scheduler/remote_loads.py
@@ -15,7 +15,7 @@
 
 RELAY_WINDOW_S: Final = 3.0  # how long a record from its owner is relayed
 MAX_AGE_S: Final = 30.0
-MAX_RELAYED: Final = 16
+MAX_RELAYED_RECORDS: Final = 16
 
 
 @dataclass(frozen=True)
@@ -28,7 +28,10 @@
 
 
 class RemoteLoads:
-    """The newest load record of each shard that other VMs own."""
+    """One load record for each shard that other VMs own.
+
+    A record from the owner itself is kept while it is fresh.
+    """
 
     def __init__(self, rng: Random) -> None:
         """Start without any records."""
@@ -60,7 +63,7 @@
             for load in self._loads.values()
             if load.is_from_owner and now - load.received_at <= RELAY_WINDOW_S
         ]
-        return self._rng.sample(fresh, min(MAX_RELAYED, len(fresh)))
+        return self._rng.sample(fresh, min(MAX_RELAYED_RECORDS, len(fresh)))
 
     def get_views(self, now: float) -> dict[tuple[str, int], ShardView]:
         """Return views of the records that aren't too old, by shard.
--- a/bramleybend/scheduler/reply_sender.py
+++ b/bramleybend/scheduler/reply_sender.py
@@ -15,7 +15,7 @@
 
 
 class ReplySender:
-    """Sends replies on one shard's holds; each decision records an event."""
+    """Sends replies on one shard's holds and records events of decisions."""
 
     def __init__(
         self,
--- a/bramleybend/scheduler/scheduler_control.py
+++ b/bramleybend/scheduler/scheduler_control.py
@@ -9,10 +9,10 @@
 
 
 class SchedulerControl:
-    """Operators' interface to a scheduler."""
+    """Reports a scheduler's status to operators and drains it for them."""
 
     def __init__(self, scheduler: 'Scheduler') -> None:
-        """Report on and drain this scheduler."""
+        """Control this scheduler."""
         self._scheduler = scheduler
 
     def status(self) -> dict[str, object]:
@@ -23,9 +23,9 @@
             'vm': scheduler.identity.vm,
             'incarnation': scheduler.identity.incarnation,
             'domain': scheduler.identity.domain,
-            'terms_version': scheduler.terms.version,
+            'terms_version': scheduler.terms_follower.version,
             'terms_age_s': scheduler.peers.terms_age_s(),
-            'log_ok': scheduler.terms.log_ok,
+            'log_ok': scheduler.terms_follower.log_ok,
             'list_ok': scheduler.vm_list_poller.is_available,
             'draining': scheduler.stopping.is_set(),
             'members': [
@@ -46,7 +46,7 @@
                     'waiting': view.waiting,
                     'limit': view.limit,
                 }
-                for view in scheduler.shards.loads()
+                for view in scheduler.shard_table.list_owned_loads()
             ],
             'runners': [
                 {
@@ -59,7 +59,7 @@
             ],
             'queues': self._count_waiting_by_tier(),
             'in_flight': sum(
-                len(task.holds) for task in scheduler.shards.tasks
+                len(task.holds) for task in scheduler.shard_table.tasks
             ),
         }
 
@@ -69,7 +69,7 @@
 
     def _count_waiting_by_tier(self) -> dict[str, int]:
         counts = dict.fromkeys((str(int(tier)) for tier in Tier), 0)
-        for task in self._scheduler.shards.tasks:
+        for task in self._scheduler.shard_table.tasks:
             for hold in task.list_waiting():
                 counts[str(int(hold.tier))] += 1
         return counts
--- a/bramleybend/scheduler/shard_messages.py
+++ b/bramleybend/scheduler/shard_messages.py
@@ -12,7 +12,7 @@
 class HoldChannel:
     """The stream on which a gateway holds, or waits for, one slot.
 
-    `None` in the outbox ends the stream.
+    The key is unique to the stream. `None` in the outbox ends the stream.
     """
 
     key: str
@@ -83,7 +83,10 @@
 
 @dataclass(frozen=True)
 class FloorRequested:
-    """A gateway asks, before it sheds, how many runs have a lower tier."""
+    """A gateway sets a tier floor and asks how many runs are below it.
+
+    It does so before it sheds a request.
+    """
 
     tier: Tier
     hold_s: float
--- a/bramleybend/scheduler/shard_table.py
+++ b/bramleybend/scheduler/shard_table.py
@@ -12,11 +12,11 @@
 from bramleybend.decisions.ownership import owners_of, shard_of
 from bramleybend.decisions.quarantine import Verdict
 from bramleybend.models import RunnerState, Service, Terms, Vm
+from bramleybend.scheduler.pause_detector import PauseDetector
 from bramleybend.scheduler.shard_messages import (
     OwnershipMoved,
     RunnersListed,
 )
-from bramleybend.scheduler.pause_detector import PauseDetector
 from bramleybend.scheduler.shard_task import ShardDeps, ShardTask
 from bramleybend.state.member import Member
 
@@ -86,10 +86,10 @@
         self._pause_detector = PauseDetector(deps.clock, DEFAULT_TIMES.fresh_s)
         self._owners = OwnershipCache(sources.members, sources.own_vm)
         self._weights: dict[str, float] = {}
-        self._weights_version = 0  # version of the terms they come from
+        self._weights_version = 0  # of the terms that the weights come from
         self._posted_runners: dict[tuple[str, int], tuple[Vm, ...]] = {}
 
-    def get(self, service: str, shard: int) -> ShardTask | None:
+    def get_task(self, service: str, shard: int) -> ShardTask | None:
         """Return a shard's task, or None if the terms don't declare the shard.
 
         A gateway may learn of a change of owner before this VM does, so this
@@ -120,7 +120,7 @@
         )
 
     def get_verdict(self, fingerprint: str) -> Verdict:
-        """Return how to treat content, by the crashes it was in flight at."""
+        """Return whether content is clear, suspect or refused after crashes."""
         now = self._deps.clock.monotonic()
         return self._deps.crashes.verdict(fingerprint, now)
 
@@ -158,7 +158,7 @@
         for (_, shard), service in service_by_shard.items():
             self._update_shard(service, shard, was_paused=was_paused)
 
-    def loads(self) -> list[ShardView]:
+    def list_owned_loads(self) -> list[ShardView]:
         """Return the load of each shard that this VM owns."""
         views: list[ShardView] = []
         for key in self._owned_since:
@@ -182,14 +182,14 @@
         return tuple(self._tasks.values())
 
     @property
-    def owned(self) -> tuple[tuple[str, int], ...]:
+    def owned_shards(self) -> tuple[tuple[str, int], ...]:
         """The shards that this VM owns, by service and number."""
         return tuple(self._owned_since)
 
     def is_drained(self, service: str, shard: int, runner: str) -> bool:
-        """Whether a runner has no run granted by this VM and gets no new one.
+        """Whether a runner has no run granted by this VM and will get none.
 
-        Other VMs may have granted it runs.
+        The runner may still have runs that other VMs granted.
         """
         task = self._tasks.get((service, shard))
         if task is None:
@@ -281,6 +281,6 @@
         return replace(vm, state=RunnerState.LEAVING)
 
 
-def make_shards(sources: ShardSources, deps: ShardDeps) -> ShardTable:
+def make_shard_table(sources: ShardSources, deps: ShardDeps) -> ShardTable:
     """Build a scheduler's table of shards."""
     return ShardTable(sources, deps, Random())
--- a/bramleybend/scheduler/shard_task.py
+++ b/bramleybend/scheduler/shard_task.py
@@ -26,19 +26,19 @@
 from bramleybend.metrics import Metric, Metrics
 from bramleybend.models import RunnerState, Tier, Vm
 from bramleybend.scheduler.crash_tracker import CrashTracker
+from bramleybend.scheduler.reply_sender import ReplySender
 from bramleybend.scheduler.shard_messages import (
-    RunAdopted,
-    SlotRequested,
     FirstTokenSeen,
     FloorRequested,
     HoldChannel,
     HoldLost,
     OwnershipMoved,
+    RunAdopted,
     RunEnded,
     RunnersListed,
     ShardMessage,
+    SlotRequested,
 )
-from bramleybend.scheduler.reply_sender import ReplySender
 
 MAX_IDLE_S: Final = 0.5
 
--- a/bramleybend/scheduler/view_service.py
+++ b/bramleybend/scheduler/view_service.py
@@ -46,7 +46,7 @@
         request: ViewRequest,
         context: Context,
     ) -> ViewReply:
-        """Return the view; only newer terms come with their document."""
+        """Return the view, with the document if its terms are newer."""
         await self._headers.accept(request.header, context)
         terms = self._sources.terms
         if terms.version <= request.known_version:
@@ -56,9 +56,11 @@
             version=terms.version,
             offset=max(terms.offset, 0),
             document=terms.document if has_newer_terms else '',
-            members=[member_record(each) for each in self._sources.members()],
-            runners=[runner_record(vm) for vm in self._sources.runners()],
-            shards=[shard_record(each) for each in self._sources.shards()],
+            members=[
+                make_member_record(each) for each in self._sources.members()
+            ],
+            runners=[make_runner_record(vm) for vm in self._sources.runners()],
+            shards=[make_shard_record(each) for each in self._sources.shards()],
             suspects=self._sources.suspects(),
             age_s=self._sources.terms_age_s(),
         )
@@ -71,7 +73,7 @@
             return
 
 
-def member_record(member: Member) -> MemberRecord:
+def make_member_record(member: Member) -> MemberRecord:
     """Encode a member as a wire record."""
     return MemberRecord(
         vm=member.vm,
@@ -83,7 +85,7 @@
     )
 
 
-def shard_record(view: ShardView, owner: str = '') -> ShardRecord:
+def make_shard_record(view: ShardView, owner: str = '') -> ShardRecord:
     """Encode a shard's load as a wire record."""
     return ShardRecord(
         service=view.service,
@@ -95,7 +97,7 @@
     )
 
 
-def runner_record(vm: Vm) -> RunnerRecord:
+def make_runner_record(vm: Vm) -> RunnerRecord:
     """Encode a runner as a wire record."""
     return RunnerRecord(
         name=vm.name,
--- a/bramleybend/scheduler/vm_list_poller.py
+++ b/bramleybend/scheduler/vm_list_poller.py
@@ -15,7 +15,7 @@
 # A list service that lags may show a VM as live that was leaving a moment ago.
 # If the VM's state went back to live, requests would go to an upstream that is
 # about to stop.
-LEAVING_HOLD_S: Final = 30.0
+MIN_LEAVING_S: Final = 30.0
 
 
 class VmListPoller:
@@ -46,7 +46,7 @@
         return tuple(vm for vm in self.vms if vm.service != ENTRY_SERVICE)
 
     @property
-    def entries(self) -> tuple[Vm, ...]:
+    def entry_vms(self) -> tuple[Vm, ...]:
         """The entry VMs on the list."""
         return tuple(vm for vm in self.vms if vm.service == ENTRY_SERVICE)
 
@@ -97,7 +97,7 @@
             self._leaving_seen_at[key] = now
             return vm
         leaving_seen_at = self._leaving_seen_at.get(key)
-        if leaving_seen_at is None or now - leaving_seen_at > LEAVING_HOLD_S:
+        if leaving_seen_at is None or now - leaving_seen_at > MIN_LEAVING_S:
             self._leaving_seen_at.pop(key, None)
             return vm
         return replace(vm, state=RunnerState.LEAVING)
--- a/tests/benchmarks/capacity_control.py
+++ b/tests/benchmarks/capacity_control.py
@@ -14,11 +14,11 @@
 
 from bramleybend.clients.http_vm_list import ListBody
 from bramleybend.clock import SystemClock
-from bramleybend.declarations import parse_terms
 from bramleybend.decisions.actions import RunnerInfo, RunReport, ShardView
 from bramleybend.decisions.owner import ShardPolicy, make_shard_policy
 from bramleybend.decisions.ownership import owners_of
 from bramleybend.decisions.quarantine import CrashBook
+from bramleybend.declarations import parse_terms
 from bramleybend.events import KEPT_EVENTS, EventLog
 from bramleybend.gateway.view import ViewFollower
 from bramleybend.identity import Identity
@@ -31,12 +31,12 @@
     Tier,
     Vm,
 )
+from bramleybend.scheduler.shard_table import ShardSources, ShardTable
 from bramleybend.scheduler.shard_task import ShardDeps
-from bramleybend.scheduler.shard_table import ShardTable, ShardSources
 from bramleybend.scheduler.view_service import (
-    runner_record,
-    member_record,
-    shard_record,
+    make_member_record,
+    make_runner_record,
+    make_shard_record,
 )
 from bramleybend.wire.bramleybend_pb2 import ViewReply
 from bramleybend.wire.channels import Channels
@@ -234,9 +234,9 @@
     ]
     return ViewReply(
         version=1,
-        members=[member_record(each) for each in make_members(nodes)],
-        runners=[runner_record(vm) for vm in _runners(nodes)],
-        shards=[shard_record(each) for each in shards],
+        members=[make_member_record(each) for each in make_members(nodes)],
+        runners=[make_runner_record(vm) for vm in _runners(nodes)],
+        shards=[make_shard_record(each) for each in shards],
     )
 
 
--- a/tests/test_order_issuer.py
+++ b/tests/test_order_issuer.py
@@ -26,12 +26,12 @@
     Vm,
     WeightStore,
 )
-from bramleybend.scheduler.load_permits import LoadPermits
 from bramleybend.scheduler.engine_changes import RETRY_DELAY_S
+from bramleybend.scheduler.load_permits import LoadPermits
 from bramleybend.scheduler.order_deps import (
+    EnginePlan,
     OrderDeps,
     OrderSources,
-    EnginePlan,
     ShardKey,
 )
 from bramleybend.scheduler.order_issuer import OrderIssuer
--- a/tests/test_remote_loads.py
+++ b/tests/test_remote_loads.py
@@ -4,7 +4,7 @@
 
 from bramleybend.scheduler.remote_loads import (
     MAX_AGE_S,
-    MAX_RELAYED,
+    MAX_RELAYED_RECORDS,
     RELAY_WINDOW_S,
     RemoteLoads,
 )
@@ -57,5 +57,5 @@
     loads = RemoteLoads(Random(1))
     loads.add_records('a', [_record(shard, 'a') for shard in range(100)], 0)
 
-    assert len(loads.sample_for_relay(0)) == MAX_RELAYED
+    assert len(loads.sample_for_relay(0)) == MAX_RELAYED_RECORDS
     assert not loads.get_views(MAX_AGE_S + 1)
--- a/tests/test_shard_table.py
+++ b/tests/test_shard_table.py
@@ -18,17 +18,17 @@
 from bramleybend.metrics import NullMetrics
 from bramleybend.models import Ask, Service, ServiceKind, Terms, Tier
 from bramleybend.scheduler.shard_messages import (
-    RunAdopted,
     HoldChannel,
     HoldLost,
+    RunAdopted,
 )
-from bramleybend.scheduler.shard_task import ShardDeps, ShardTask
 from bramleybend.scheduler.shard_table import (
-    UPDATE_INTERVAL_S,
     PAUSE_CHECKS_PER_UPDATE,
-    ShardTable,
+    UPDATE_INTERVAL_S,
     ShardSources,
+    ShardTable,
 )
+from bramleybend.scheduler.shard_task import ShardDeps, ShardTask
 from bramleybend.state.member import Member
 
 POOL = Service('bend-lm', ServiceKind.ENGINE, slots=2)
@@ -65,7 +65,7 @@
 
     @property
     def task(self) -> ShardTask:
-        task = self.shards.get(POOL.name, 0)
+        task = self.shards.get_task(POOL.name, 0)
         assert task is not None
         return task
 
