--- a/bramleybend/scheduler/gossip.py
+++ b/bramleybend/scheduler/gossip.py
@@ -35,7 +35,10 @@
 
 
 class GossipDelegate(Protocol):
-    """What messages carry besides membership; every part is bounded."""
+    """Provides and receives what messages carry besides membership.
+
+    Each part that it provides is bounded in size.
+    """
 
     def make_header(self) -> Header:
         """Return the header, with the version of the terms in force."""
@@ -53,7 +56,7 @@
         """Merge the crash records that a peer sent."""
 
     def on_peer_heard(self, peer: Member, terms_version: int) -> None:
-        """Handle a message of a peer that holds these terms."""
+        """Handle a message from a peer that holds this version of the terms."""
 
 
 @dataclass(frozen=True)
@@ -106,7 +109,7 @@
         return self._build_message(reply, answered=answered)
 
     async def probe(self, outgoing: Outgoing) -> None:
-        """Probe a peer, then through helpers if it doesn't answer."""
+        """Probe a peer; if it doesn't answer, probe it through helpers."""
         answered = await self._exchange(outgoing, PROBE_TIMEOUT_S)
         if answered is None:
             return
--- a/bramleybend/scheduler/load_permits.py
+++ b/bramleybend/scheduler/load_permits.py
@@ -48,11 +48,11 @@
             self._deps.log,
             LOADS_STREAM,
             self._loads,
-            self._apply,
+            self._apply_record,
         )
         if not self._is_log_readable:
             return False
-        self._expire(store)
+        self._expire_loads(store)
         await self._append_ends()
         return True
 
@@ -112,12 +112,12 @@
             for load_id in load_ids:
                 self._deps.events.record('load_ended', load=load_id)
 
-    def _apply(self, record: LogRecord) -> None:
+    def _apply_record(self, record: LogRecord) -> None:
         now = self._deps.clock.monotonic()
         if self._loads.apply(record.offset, record.data, now).is_err():
             self._deps.metrics.count(Metric.BAD_RECORDS, stream=LOADS_STREAM)
 
-    def _expire(self, store: WeightStore) -> None:
+    def _expire_loads(self, store: WeightStore) -> None:
         now = self._deps.clock.monotonic()
         timeout_s = store.load_timeout.total_seconds()
         for load in self._loads.expire(now, timeout_s):
--- a/bramleybend/scheduler/order_claims.py
+++ b/bramleybend/scheduler/order_claims.py
@@ -81,7 +81,7 @@
             self._deps.log,
             self._stream,
             self._claims,
-            self._apply,
+            self._apply_record,
         )
         if (self._claims.fence, self._claims.superseded) != previous:
             self._record_claim_event()
@@ -95,7 +95,7 @@
             **self._event_fields(),
         )
 
-    def _apply(self, record: LogRecord) -> None:
+    def _apply_record(self, record: LogRecord) -> None:
         if self._claims.apply(record.offset, record.data).is_err():
             self._deps.metrics.count(Metric.BAD_RECORDS, stream='orders')
 
--- a/bramleybend/scheduler/peers.py
+++ b/bramleybend/scheduler/peers.py
@@ -54,7 +54,7 @@
 
 
 class SchedulerGossipDelegate:
-    """Collects what this scheduler sends and applies what peers send."""
+    """Provides this scheduler's state to peers and applies what they send."""
 
     def __init__(self, sources: PeerSources, clock: Clock, rng: Random) -> None:
         """Send the state of the sources."""
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -151,7 +151,7 @@
 
 
 @asynccontextmanager
-async def _nodes(size: int) -> AsyncIterator[list[GossipNode]]:
+async def _running_nodes(size: int) -> AsyncIterator[list[GossipNode]]:
     prefix = free_prefix()
     addresses = [f'{prefix}.{index + 11}' for index in range(size)]
     vms = [
@@ -162,19 +162,21 @@
     for node in nodes:
         await node.start()
     try:
-        await wait_until(_all_meet(nodes), 'all nodes know each other')
+        await wait_until(
+            _all_know_each_other(nodes), 'all nodes know each other'
+        )
         yield nodes
     finally:
         for node in nodes:
             await node.stop()
 
 
-def _all_meet(nodes: list[GossipNode]) -> Callable[[], bool]:
-    def have_met() -> bool:
+def _all_know_each_other(nodes: list[GossipNode]) -> Callable[[], bool]:
+    def is_complete() -> bool:
         now = CLOCK.monotonic()
         return all(len(node.members.alive(now)) == len(nodes) for node in nodes)
 
-    return have_met
+    return is_complete
 
 
 async def test_all_notice_a_killed_peer_within_seconds() -> None:
@@ -184,7 +186,7 @@
     suspected within about a period, and its shards go to their fallbacks once
     the suspicion has timed out. The timeouts here allow for a busy machine.
     """
-    async with _nodes(6) as nodes:
+    async with _running_nodes(6) as nodes:
         victim, *others = nodes
         await victim.stop()
 
@@ -212,7 +214,7 @@
     The node's direct probes of the peer time out, but helpers reach the peer,
     so no node declares it dead.
     """
-    async with _nodes(4) as nodes:
+    async with _running_nodes(4) as nodes:
         first, second, *_ = nodes
         first.transport.cut_addresses.add(second.address)
 
@@ -228,7 +230,7 @@
     Each side declares the other dead. The address is still listed, so it is
     tried again; the node learns that it was declared dead and refutes that.
     """
-    async with _nodes(4) as nodes:
+    async with _running_nodes(4) as nodes:
         lost, *others = nodes
         lost.transport.cut_addresses.update(node.address for node in others)
         for node in others:
@@ -244,7 +246,9 @@
         for node in nodes:
             node.transport.cut_addresses.clear()
 
-        await wait_until(_all_meet(nodes), 'all know each other again')
+        await wait_until(
+            _all_know_each_other(nodes), 'all know each other again'
+        )
 
 
 @dataclass
@@ -311,7 +315,7 @@
 
 
 async def test_gossip_reaches_every_node() -> None:
-    async with _nodes(6) as nodes:
+    async with _running_nodes(6) as nodes:
         source, *others = nodes
         source.delegate.terms_version = 7
         source.delegate.suspect_records = [
@@ -341,7 +345,7 @@
 
 
 async def test_a_peer_of_another_protocol_is_refused_by_name() -> None:
-    async with _nodes(1) as nodes:
+    async with _running_nodes(1) as nodes:
         endpoint = f'{nodes[0].address}:{PORT}'
         message = GossipMessage(header=Header(protocol=99, vm='entry-9'))
         async with grpc.aio.insecure_channel(endpoint) as channel:
@@ -355,7 +359,7 @@
 
 
 async def test_a_message_without_a_sender_changes_nothing() -> None:
-    async with _nodes(1) as nodes:
+    async with _running_nodes(1) as nodes:
         reply = await nodes[0].gossip.handle_message(GossipMessage())
 
         assert not reply.members
--- a/tests/test_shard_table.py
+++ b/tests/test_shard_table.py
@@ -33,8 +33,8 @@
 
 POOL = Service('bend-lm', ServiceKind.ENGINE, slots=2)
 TERMS = Terms(1, 'zvukopat', {POOL.name: POOL}, {}, {})
-OWN = Member('entry-1', '10.0.0.1', 'sof-a', 'a1')
-DRAFT = Ask(
+OWN_MEMBER = Member('entry-1', '10.0.0.1', 'sof-a', 'a1')
+BULK_ASK = Ask(
     request_id='draft#1',
     service=POOL.name,
     tier=Tier.BULK,
@@ -50,10 +50,10 @@
 class ShardTableFixture:
     """One scheduler's shards on a clock that the test moves."""
 
-    def __init__(self, owner: Member = OWN) -> None:
+    def __init__(self, owner: Member = OWN_MEMBER) -> None:
         self.clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
         self.shards = ShardTable(
-            ShardSources(lambda: TERMS, tuple, lambda: (owner,), OWN.vm),
+            ShardSources(lambda: TERMS, tuple, lambda: (owner,), OWN_MEMBER.vm),
             ShardDeps(
                 self.clock,
                 EventLog('scheduler', 'a1', self.clock),
@@ -129,7 +129,7 @@
 ) -> None:
     hold = HoldChannel('draft#1', 'draft', Tier.BULK)
     now = table.clock.monotonic()
-    table.task._handle_message(RunAdopted(hold, DRAFT, 'engine-1'), now)
+    table.task._handle_message(RunAdopted(hold, BULK_ASK, 'engine-1'), now)
     assert table.is_settled
     table.task._handle_message(HoldLost(hold), now)
     assert not table.is_settled
