--- a/bramleybend/scheduler/shard_messages.py
+++ b/bramleybend/scheduler/shard_messages.py
@@ -64,7 +64,11 @@
 
 @dataclass(frozen=True)
 class HoldLost:
-    """A stream ended without a report: its gateway gave up or died."""
+    """A stream closed.
+
+    If the end of its run was not reported, the gateway gave up or died, or the
+    run moved to another owner.
+    """
 
     hold: HoldChannel
 
