--- a/bramleybend/scheduler/core.py
+++ b/bramleybend/scheduler/core.py
@@ -1,4 +1,4 @@
-"""Builds a scheduler from its parts, runs it and stops it."""
+"""The scheduler process: builds its parts, starts them and stops them."""
 
 import asyncio
 from typing import Any, Final
@@ -16,21 +16,21 @@
 from bramleybend.identity import Identity, make_identity
 from bramleybend.loop_watch import LoopWatch
 from bramleybend.metrics import Metric, make_metrics
-from bramleybend.scheduler.list_watch import ListWatch
-from bramleybend.scheduler.order_deps import OrderDeps, OrderPort
-from bramleybend.scheduler.orders import OrderManager, make_orders
+from bramleybend.scheduler.order_deps import OrderDeps, OrderSources
+from bramleybend.scheduler.order_manager import OrderManager, make_order_manager
 from bramleybend.scheduler.owner_service import OwnerService
-from bramleybend.scheduler.peer_wire import GrpcPeerWire
+from bramleybend.scheduler.peer_transport import GrpcPeerTransport
 from bramleybend.scheduler.peers import PeerSources, make_peers
-from bramleybend.scheduler.process import SchedulerProcess
-from bramleybend.scheduler.shard_task import ShardDeps
-from bramleybend.scheduler.shards import (
+from bramleybend.scheduler.scheduler_control import SchedulerControl
+from bramleybend.scheduler.shard_table import (
+    ShardSources,
     ShardTable,
-    Surroundings,
-    make_shards,
+    make_shard_table,
 )
-from bramleybend.scheduler.suspects import exported
+from bramleybend.scheduler.shard_task import ShardDeps
+from bramleybend.scheduler.suspect_records import export_suspects
 from bramleybend.scheduler.view_service import ViewService, ViewSources
+from bramleybend.scheduler.vm_list_poller import VmListPoller
 from bramleybend.settings import Settings
 from bramleybend.state.terms_follower import FollowerPort, TermsFollower
 from bramleybend.wire.bramleybend_pb2_grpc import (
@@ -38,22 +38,23 @@
     add_LocalServicer_to_server,
     add_OwnerServicer_to_server,
 )
-from bramleybend.wire.headers import Headers
 from bramleybend.wire.channels import SERVER_OPTIONS
+from bramleybend.wire.headers import Headers
 
-# Gateways hear of the leaving owner within one view, 0.5 s; asks that come
-# later are still served, and their runs registered with the next owner.
-LEAVE_S: Final = 2.0
-LEAVE_POLL_S: Final = 0.05
+# Gateways learn within one view, 0.5 s, that this owner is leaving. Requests
+# that arrive later are still served, and their gateways register the runs with
+# the next owner.
+LEAVE_NOTICE_S: Final = 2.0
+RELEASE_WAIT_S: Final = 0.05  # for the shard tasks to close their streams
 GAUGE_INTERVAL_S: Final = 1.0
-GRPC_GRACE_S: Final = 0.5
+GRPC_STOP_GRACE_S: Final = 0.5
 
 
 class Scheduler:
     """One scheduler process."""
 
     def __init__(self, cfg: Settings, identity: Identity, clock: Clock) -> None:
-        """Wire the parts; nothing runs yet."""
+        """Connect the parts; nothing runs before `start`."""
         self.stopping = asyncio.Event()
         self.identity = identity
         self.events = EventLog('scheduler', identity.incarnation, clock)
@@ -64,58 +65,67 @@
         self._headers = Headers(
             identity,
             self.events,
-            lambda: self.terms.version,
+            lambda: self.terms_follower.version,
         )
         self.crashes = CrashBook()
-        self.listed = ListWatch(
+        self.vm_list_poller = VmListPoller(
             make_http_vm_list(cfg.vm_list),
             cfg.list_poll_s,
             clock,
             self.events,
             self._metrics,
         )
-        self.terms = self._make_terms()
-        self.orders = self._make_orders()
-        self.shards = self._make_shards()
-        self._wire = GrpcPeerWire(cfg.scheduler_port)
-        self.peers = make_peers(self._peer_sources(), self._wire, clock)
-        self._grpc: grpc.aio.Server
+        self.terms_follower = self._make_terms_follower()
+        self.order_manager = self._make_order_manager()
+        self.shard_table = self._make_shard_table()
+        self._peer_transport = GrpcPeerTransport(cfg.scheduler_port)
+        self.peers = make_peers(
+            self._peer_sources(), self._peer_transport, clock
+        )
+        self._grpc_server: grpc.aio.Server
 
     async def start(self) -> None:
-        """Listen, and follow list, terms and peers."""
-        self._grpc = grpc.aio.server(options=SERVER_OPTIONS)
+        """Open the gRPC port and start the background tasks."""
+        self._grpc_server = grpc.aio.server(options=SERVER_OPTIONS)
         self._add_services()
-        await self._grpc.start()
-        self._spawn_all()
+        await self._grpc_server.start()
+        self._start_tasks()
         self.events.record('started', vm=self._cfg.vm)
 
     def reload(self) -> None:
-        """Keep the settings: flags and variables stay as they were."""
+        """Keep the settings; flags and environment variables can't change."""
         self.events.record('reload_ignored')
 
     async def stop(self) -> None:
-        """Hand every shard on, then leave."""
+        """Announce the stop, release every shard, then stop serving."""
         self.events.record('draining')
-        self.peers.leave()
-        await asyncio.sleep(LEAVE_S)
-        self.shards.release()
-        await asyncio.sleep(LEAVE_POLL_S)
+        self.peers.announce_leaving()
+        await asyncio.sleep(LEAVE_NOTICE_S)
+        self.shard_table.release_all()
+        await asyncio.sleep(RELEASE_WAIT_S)
         for task in self._tasks:
             task.cancel()
-        await self._grpc.stop(GRPC_GRACE_S)
-        await self._wire.close()
+        await self._grpc_server.stop(GRPC_STOP_GRACE_S)
+        await self._peer_transport.close()
         self.events.record('stopped')
 
-    def known_loads(self) -> list[ShardView]:
-        """Return the load of every shard: own, heard of, or unknown."""
-        own = {(each.service, each.shard): each for each in self.shards.loads()}
-        heard = self.peers.loads()
-        terms = self.terms.terms
+    def list_shard_views(self) -> list[ShardView]:
+        """Return a view of every declared shard.
+
+        The load of a shard that this VM doesn't own comes by gossip; it is 0
+        for a shard of which nothing is known.
+        """
+        own = {
+            (each.service, each.shard): each
+            for each in self.shard_table.list_owned_loads()
+        }
+        remote = self.peers.get_remote_loads()
+        terms = self.terms_follower.terms
         if terms is None:
             return []
         return [
             own.get((service.name, shard))
-            or heard.get((service.name, shard))
+            or remote.get((service.name, shard))
             or ShardView(service.name, shard, 0, 0, 0, 0)
             for service in terms.services.values()
             for shard in range(service.shards)
@@ -123,54 +133,54 @@
 
     def _add_services(self) -> None:
         add_OwnerServicer_to_server(
-            OwnerService(self.shards, self._clock, self._headers),
-            self._grpc,
+            OwnerService(self.shard_table, self._clock, self._headers),
+            self._grpc_server,
         )
         add_LocalServicer_to_server(
             ViewService(self._view_sources(), self._headers),
-            self._grpc,
+            self._grpc_server,
         )
         add_ControlServicer_to_server(
-            ControlService(SchedulerProcess(self), self.events),
-            self._grpc,
+            ControlService(SchedulerControl(self), self.events),
+            self._grpc_server,
         )
-        self.peers.serve(self._grpc)
-        self._grpc.add_insecure_port(
+        self.peers.add_service(self._grpc_server)
+        self._grpc_server.add_insecure_port(
             f'{self._cfg.address}:{self._cfg.scheduler_port}',
         )
 
-    def _spawn_all(self) -> None:
+    def _start_tasks(self) -> None:
         for work in (
-            self.listed.watch(),
-            self.terms.follow(),
-            self.peers.follow(),
-            self.shards.watch(),
-            self.orders.follow(),
+            self.vm_list_poller.run(),
+            self.terms_follower.follow(),
+            self.peers.run(),
+            self.shard_table.run(),
+            self.order_manager.run(),
             self._send_gauges(),
             LoopWatch(self.events, self._clock).work(),
         ):
             self._tasks.append(asyncio.create_task(work))
 
-    def _make_terms(self) -> TermsFollower:
+    def _make_terms_follower(self) -> TermsFollower:
         return TermsFollower(
             FollowerPort(
                 make_http_log(self._cfg.log_service),
                 lambda: self.peers.fetch_terms(),
-                self._is_renewer,
+                self._is_terms_renewer,
             ),
             self._clock,
             self.events,
             self._metrics,
         )
 
-    def _make_shards(self) -> ShardTable:
-        return make_shards(
-            Surroundings(
-                lambda: self.terms.terms,
-                lambda: self.listed.runners,
-                lambda: self.peers.alive(),
+    def _make_shard_table(self) -> ShardTable:
+        return make_shard_table(
+            ShardSources(
+                lambda: self.terms_follower.terms,
+                lambda: self.vm_list_poller.runners,
+                lambda: self.peers.list_owner_candidates(),
                 self.identity.vm,
-                self.orders.is_fit,
+                self.order_manager.is_schedulable,
             ),
             ShardDeps(
                 self._clock,
@@ -180,16 +190,16 @@
             ),
         )
 
-    def _make_orders(self) -> OrderManager:
-        return make_orders(
-            OrderPort(
-                lambda: self.terms.terms,
+    def _make_order_manager(self) -> OrderManager:
+        return make_order_manager(
+            OrderSources(
+                lambda: self.terms_follower.terms,
                 lambda: (
                     self.peers.terms_age_s() <= self._cfg.terms_stale_after_s
                 ),
-                lambda: self.listed.runners,
-                lambda: self.shards.owned,
-                lambda *runner: self.shards.is_drained(*runner),
+                lambda: self.vm_list_poller.runners,
+                lambda: self.shard_table.owned_shards,
+                lambda *runner: self.shard_table.is_drained(*runner),
             ),
             OrderDeps(
                 self.identity.vm,
@@ -203,35 +213,39 @@
     def _peer_sources(self) -> PeerSources:
         return PeerSources(
             self.identity,
-            self.terms,
+            self.terms_follower,
             self.crashes,
-            lambda: self.listed.entries,
-            lambda: self.shards.loads(),
+            lambda: self.vm_list_poller.entry_vms,
+            lambda: self.shard_table.list_owned_loads(),
         )
 
     def _view_sources(self) -> ViewSources:
         return ViewSources(
-            self.terms,
-            lambda: self.peers.met(),
-            lambda: self.listed.runners,
-            self.known_loads,
-            lambda: exported(self.crashes),
+            self.terms_follower,
+            lambda: self.peers.list_contacts(),
+            lambda: self.vm_list_poller.runners,
+            self.list_shard_views,
+            lambda: export_suspects(self.crashes),
             self.peers.terms_age_s,
         )
 
-    def _is_renewer(self) -> bool:
-        ranked = owners_of('terms', 0, self.peers.alive())
+    def _is_terms_renewer(self) -> bool:
+        ranked = owners_of('terms', 0, self.peers.list_owner_candidates())
         return bool(ranked) and (ranked[0].vm == self.identity.vm)
 
     async def _send_gauges(self) -> None:
         while True:
             await asyncio.sleep(GAUGE_INTERVAL_S)
-            self._metrics.gauge(Metric.TERMS_VERSION, self.terms.version)
-            self._metrics.gauge(Metric.MEMBERS, len(self.peers.alive()))
+            self._metrics.gauge(
+                Metric.TERMS_VERSION, self.terms_follower.version
+            )
+            self._metrics.gauge(
+                Metric.MEMBERS, len(self.peers.list_owner_candidates())
+            )
             self._metrics.gauge(Metric.TERMS_AGE, self.peers.terms_age_s())
 
 
 def make_scheduler(cfg: Settings, clock: Clock) -> Scheduler:
-    """Build a scheduler; it gets a new incarnation with every start."""
+    """Build a scheduler with a new incarnation id."""
     identity = make_identity(cfg.vm, cfg.domain, str(cfg.address))
     return Scheduler(cfg, identity, clock)
--- a/bramleybend/scheduler/gossip.py
+++ b/bramleybend/scheduler/gossip.py
@@ -1,7 +1,7 @@
-"""The task that probes peers and carries news between schedulers.
+"""The task that probes peers and exchanges gossip between schedulers.
 
-It owns the `Members` state: everything here runs on one event loop, and no
-await stands between reading that state and writing it.
+It owns the `Members` state: all code here runs on one event loop, and no await
+stands between reading that state and writing it.
 """
 
 import asyncio
@@ -12,9 +12,9 @@
 
 from bramleybend.clock import Clock
 from bramleybend.models import Vm
-from bramleybend.scheduler.gossip_records import read_members, write_members
-from bramleybend.scheduler.heard_shards import HeardShards
-from bramleybend.scheduler.peer_wire import PeerWire
+from bramleybend.scheduler.member_records import decode_members, encode_members
+from bramleybend.scheduler.peer_transport import PeerTransport
+from bramleybend.scheduler.remote_loads import RemoteLoads
 from bramleybend.state.member import Member
 from bramleybend.state.membership import PERIOD_S, Members, Outgoing
 from bramleybend.wire.bramleybend_pb2 import (
@@ -25,97 +25,104 @@
 )
 
 PROBE_TIMEOUT_S: Final = 0.3
-# A helper's own probe takes up to the first; the rest is the way there.
-HELPER_TIMEOUT_S: Final = 0.4
-# An answer that took this much longer than its limit was held up here: the
-# process was paused, and the silence says nothing of the peer.
-HELD_UP_S: Final = 0.5
-LIST_POLLS: Final = 20
+# The helper's probe of the target takes up to PROBE_TIMEOUT_S; the rest is for
+# the round trip to the helper.
+INDIRECT_PROBE_TIMEOUT_S: Final = 0.4
+# A call that ends this long after its timeout was delayed by a pause of this
+# process. A missing reply then says nothing about the peer.
+MIN_PAUSE_S: Final = 0.5
+MAX_LIST_POLLS: Final = 20
 
 
-class News(Protocol):
-    """What rides on the probes besides membership; all of it bounded."""
+class GossipDelegate(Protocol):
+    """Provides and receives what messages carry besides membership.
 
-    def header(self) -> Header:
+    Each part that it provides is bounded in size.
+    """
+
+    def make_header(self) -> Header:
         """Return the header, with the version of the terms in force."""
 
-    def listed(self) -> Sequence[Vm]:
+    def get_listed_vms(self) -> Sequence[Vm]:
         """Return the entry VMs on the VM list."""
 
-    def own_shards(self) -> Iterable[ShardRecord]:
-        """Return the loads of the shards owned here."""
+    def sample_owned_shards(self) -> Iterable[ShardRecord]:
+        """Return loads of shards that this VM owns."""
 
-    def suspects(self) -> Iterable[SuspectRecord]:
-        """Return some records of requests that crashed runners."""
+    def sample_suspects(self) -> Iterable[SuspectRecord]:
+        """Return some records of content that was in flight at crashes."""
 
-    def take_suspects(self, records: Iterable[SuspectRecord]) -> None:
-        """Take in such records of a peer."""
+    def merge_suspects(self, records: Iterable[SuspectRecord]) -> None:
+        """Merge the crash records that a peer sent."""
 
-    def heard_from(self, peer: Member, terms_version: int) -> None:
-        """Note that a peer spoke and which terms it has."""
+    def on_peer_heard(self, peer: Member, terms_version: int) -> None:
+        """Handle a message from a peer that holds this version of the terms."""
 
 
 @dataclass(frozen=True)
 class GossipDeps:
-    """What the task works with."""
+    """Dependencies of the gossip task."""
 
     members: Members
-    wire: PeerWire
-    news: News
+    transport: PeerTransport
+    delegate: GossipDelegate
     clock: Clock
 
 
 class Gossip:
-    """Probes on a timer and answers the probes of others."""
+    """Probes peers once a period and answers their probes."""
 
     def __init__(self, deps: GossipDeps, rng: Random) -> None:
-        """Send nothing until run."""
-        self.shards = HeardShards(rng)
+        """Send nothing before `run`."""
+        self.remote_loads = RemoteLoads(rng)
         self._members = deps.members
-        self._wire = deps.wire
-        self._news = deps.news
+        self._transport = deps.transport
+        self._delegate = deps.delegate
         self._clock = deps.clock
-        self._probes: set[asyncio.Task[None]] = set()
+        self._probe_tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
         """Probe once a period until cancelled."""
         await self._wait_for_list()
         while True:
-            self.probe_now()
+            self.send_probes()
             await asyncio.sleep(PERIOD_S)
 
-    def probe_now(self) -> None:
-        """Begin a period's probes; also used to announce leaving at once."""
+    def send_probes(self) -> None:
+        """Start this period's probes; also called to announce a stop."""
         now = self._clock.monotonic()
-        self._members.learn_listed(self._news.listed(), now)
+        self._members.learn_listed(self._delegate.get_listed_vms(), now)
         for outgoing in self._members.tick(now):
-            self._spawn(self.probe(outgoing))
+            self._start_task(self.probe(outgoing))
 
-    async def answer(self, message: GossipMessage) -> GossipMessage:
-        """Take in a peer's message, probe for it if asked, and reply."""
+    async def handle_message(self, message: GossipMessage) -> GossipMessage:
+        """Send the probe that a peer asks for, process its message, reply."""
         answered = False
         if message.probe:
             answered = await self._probe_for_peer(message.probe)
-        members = read_members(message.members)
+        members = decode_members(message.members)
         if not members:
-            return self._message(())
-        self._take_news(members[0], message)
+            return self._build_message(())
+        self._process_payload(members[0], message)
         now = self._clock.monotonic()
         reply = self._members.on_message(members[0], members[1:], now)
-        return self._message(reply, answered=answered)
+        return self._build_message(reply, answered=answered)
 
     async def probe(self, outgoing: Outgoing) -> None:
-        """Probe a peer, by helpers if it doesn't answer."""
+        """Probe a peer; if it doesn't answer, probe it through helpers."""
         answered = await self._exchange(outgoing, PROBE_TIMEOUT_S)
         if answered is None:
             return
         now = self._clock.monotonic()
         target = outgoing.target
-        asks = self._members.on_probe_result(target, answered, now)
-        if not asks:
+        indirect_probes = self._members.on_probe_result(target, answered, now)
+        if not indirect_probes:
             return
         reached = await asyncio.gather(
-            *(self._exchange(ask, HELPER_TIMEOUT_S) for ask in asks),
+            *(
+                self._exchange(indirect, INDIRECT_PROBE_TIMEOUT_S)
+                for indirect in indirect_probes
+            ),
         )
         if None in reached:
             return
@@ -123,29 +130,36 @@
         self._members.on_indirect_result(target, any(reached), now)
 
     async def _probe_for_peer(self, address: str) -> bool:
-        own = Outgoing(address, (self._members.own.member,))
-        return bool(await self._exchange(own, PROBE_TIMEOUT_S))
+        outgoing = Outgoing(address, (self._members.own.member,))
+        return bool(await self._exchange(outgoing, PROBE_TIMEOUT_S))
 
     async def _exchange(
         self,
         outgoing: Outgoing,
         timeout_s: float,
     ) -> bool | None:
-        """Whether the answer wanted came; None if that can't be said."""
-        message = self._message(outgoing.records, outgoing.probe)
-        began = self._clock.monotonic()
-        reply = await self._wire.gossip(outgoing.target, message, timeout_s)
+        """Send a message and return whether it was answered.
+
+        For an indirect probe, return whether the helper reached the peer that
+        it was asked to probe. Return None if there is no reply and this
+        process was paused, which says nothing about the peer.
+        """
+        message = self._build_message(outgoing.records, outgoing.probe)
+        started_at = self._clock.monotonic()
+        reply = await self._transport.gossip(
+            outgoing.target, message, timeout_s
+        )
         now = self._clock.monotonic()
         if reply is None:
-            held_up = now - began > timeout_s + HELD_UP_S
-            return None if held_up else False
-        members = read_members(reply.members)
+            was_paused = now - started_at > timeout_s + MIN_PAUSE_S
+            return None if was_paused else False
+        members = decode_members(reply.members)
         if members:
-            self._take_news(members[0], reply)
+            self._process_payload(members[0], reply)
             self._members.on_records(members, now)
         return reply.probe_answered if outgoing.probe else True
 
-    def _message(
+    def _build_message(
         self,
         records: Iterable[Member],
         probe: str = '',
@@ -153,31 +167,36 @@
         answered: bool = False,
     ) -> GossipMessage:
         now = self._clock.monotonic()
-        shards = [*self._news.own_shards(), *self.shards.to_relay(now)]
+        shards = [
+            *self._delegate.sample_owned_shards(),
+            *self.remote_loads.sample_for_relay(now),
+        ]
         return GossipMessage(
-            header=self._news.header(),
-            members=write_members(records),
-            suspects=self._news.suspects(),
+            header=self._delegate.make_header(),
+            members=encode_members(records),
+            suspects=self._delegate.sample_suspects(),
             shards=shards,
             probe=probe,
             probe_answered=answered,
         )
 
-    def _take_news(self, sender: Member, message: GossipMessage) -> None:
+    def _process_payload(self, sender: Member, message: GossipMessage) -> None:
         now = self._clock.monotonic()
-        self.shards.take(message.header.incarnation, message.shards, now)
-        self._news.take_suspects(message.suspects)
-        self._news.heard_from(sender, message.header.terms_version)
+        self.remote_loads.add_records(
+            message.header.incarnation, message.shards, now
+        )
+        self._delegate.merge_suspects(message.suspects)
+        self._delegate.on_peer_heard(sender, message.header.terms_version)
 
     async def _wait_for_list(self) -> None:
-        # The list is read while this starts; without it the first period
-        # would pass with nobody to probe.
-        for _ in range(LIST_POLLS):
-            if self._news.listed():
+        # The VM list is still being read when this task starts. Without the
+        # list no peer would be probed in the first period.
+        for _ in range(MAX_LIST_POLLS):
+            if self._delegate.get_listed_vms():
                 return
-            await asyncio.sleep(PERIOD_S / LIST_POLLS)
+            await asyncio.sleep(PERIOD_S / MAX_LIST_POLLS)
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
-        self._probes.add(task)
-        task.add_done_callback(self._probes.discard)
+        self._probe_tasks.add(task)
+        task.add_done_callback(self._probe_tasks.discard)
--- a/bramleybend/scheduler/gossip_records.py
+++ b/bramleybend/scheduler/member_records.py
@@ -1,15 +1,15 @@
-"""Members on the wire and back."""
+"""Encoding of members as wire records and back."""
 
 from collections.abc import Iterable
 
 from bramleybend.state.member import Member, MemberState
 from bramleybend.wire.bramleybend_pb2 import MemberRecord
 
-STATES = frozenset(MemberState)
+KNOWN_STATES = frozenset(MemberState)
 
 
-def write_members(members: Iterable[Member]) -> list[MemberRecord]:
-    """Put members on the wire."""
+def encode_members(members: Iterable[Member]) -> list[MemberRecord]:
+    """Encode members as wire records."""
     return [
         MemberRecord(
             vm=member.vm,
@@ -23,8 +23,8 @@
     ]
 
 
-def read_members(records: Iterable[MemberRecord]) -> list[Member]:
-    """Read members, without those in a state this release doesn't know."""
+def decode_members(records: Iterable[MemberRecord]) -> list[Member]:
+    """Decode members; skip those in a state that this release can't read."""
     return [
         Member(
             vm=record.vm,
@@ -35,5 +35,5 @@
             state=MemberState(record.state),
         )
         for record in records
-        if record.state in STATES
+        if record.state in KNOWN_STATES
     ]
--- a/bramleybend/scheduler/order_deps.py
+++ b/bramleybend/scheduler/order_deps.py
@@ -1,4 +1,4 @@
-"""What all parts of the issuer of engine orders work with."""
+"""Dependencies and inputs shared by the issuers of engine orders."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -16,22 +16,21 @@
 from bramleybend.metrics import Metrics
 from bramleybend.models import EngineTarget, Terms, Vm, WeightStore
 
-
-Owned: TypeAlias = tuple[str, int]  # service and shard
+OwnedShard: TypeAlias = tuple[str, int]  # service and shard
 
 
 @dataclass(frozen=True)
 class ShardKey:
-    """One shard under one number of shards."""
+    """A shard of a service that is divided into `shard_count` shards."""
 
     service: str
     shard: int
-    shards: int
+    shard_count: int
 
 
 @dataclass(frozen=True)
 class OrderDeps:
-    """The process's own parts."""
+    """The parts of this process that issuers use."""
 
     vm: str
     log: LogService
@@ -41,52 +40,52 @@
 
 
 @dataclass(frozen=True)
-class OrderPort:
-    """What issuers need to know of the scheduler around them."""
+class OrderSources:
+    """Accessors of the scheduler's state that issuers need."""
 
     terms: Callable[[], Terms | None]
-    is_fresh: Callable[[], bool]  # the terms may be acted on
+    are_terms_fresh: Callable[[], bool]  # recent enough to act on
     runners: Callable[[], Sequence[Vm]]
-    owned: Callable[[], Sequence[Owned]]
+    owned_shards: Callable[[], Sequence[OwnedShard]]
     is_drained: Callable[[str, int, str], bool]  # service, shard, runner
 
 
 @dataclass(frozen=True)
-class Plan:
-    """What one round of an issuer works towards."""
+class EnginePlan:
+    """The declared state of a shard's engines, for one round of its issuer."""
 
     target: EngineTarget
     checks_fence: bool
-    store: WeightStore
+    weight_store: WeightStore
     vms: Sequence[Vm]
 
 
-class Book(Protocol):
-    """Rules that are fed a stream's records in order."""
+class StreamState(Protocol):
+    """State that is built from a stream's records in order."""
 
     @property
     def position(self) -> int:
         """The next offset to apply."""
 
     def see_first_offset(self, first_offset: int) -> None:
-        """Note what the log has forgotten."""
+        """Handle that the log no longer has records before this offset."""
 
 
 async def read_to_tail(
     log: LogService,
     stream: str,
-    book: Book,
+    state: StreamState,
     apply: Callable[[LogRecord], None],
 ) -> bool:
-    """Apply all records up to the tail; return whether the log let us."""
-    more = True
-    while more:
-        reply = await log.read(stream, book.position)
+    """Apply all records up to the log's tail; return whether that succeeded."""
+    is_behind_tail = True
+    while is_behind_tail:
+        reply = await log.read(stream, state.position)
         if isinstance(reply, Err):
             return False
         batch = reply.ok_value
-        book.see_first_offset(batch.first_offset)
+        state.see_first_offset(batch.first_offset)
         for record in batch.records:
             apply(record)
-        more = len(batch.records) >= READ_LIMIT
+        is_behind_tail = len(batch.records) >= READ_LIMIT
     return True
--- a/bramleybend/scheduler/order_sender.py
+++ b/bramleybend/scheduler/order_sender.py
@@ -1,4 +1,4 @@
-"""Gives orders under a claim, and stops when the claim is lost."""
+"""Sends orders to engines under a claim, and stops when it is lost."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -8,65 +8,67 @@
 from bramleybend.errors import ErrorKind, Problem
 from bramleybend.metrics import Metric
 from bramleybend.models import Vm
-from bramleybend.scheduler.order_claims import ClaimKeeper
+from bramleybend.scheduler.order_claims import ClaimHolder
 from bramleybend.scheduler.order_deps import (
+    EnginePlan,
     OrderDeps,
-    OrderPort,
-    Plan,
+    OrderSources,
     ShardKey,
 )
 
 
 class OrderSender:
-    """Sends one shard's orders with the fence of the claim on it."""
+    """Sends one shard's orders with the fence of its claim."""
 
     def __init__(
         self,
         key: ShardKey,
-        port: OrderPort,
+        sources: OrderSources,
         deps: OrderDeps,
         engines: EngineOrders,
     ) -> None:
-        """Claim nothing yet."""
-        self.planted: set[str] = set()  # engines that know the present fence
+        """Start without a claim."""
+        # Engines that have received the fence of the current claim.
+        self.fenced_engines: set[str] = set()
         self._key = key
-        self._port = port
+        self._sources = sources
         self._deps = deps
         self._engines = engines
-        self._claims = ClaimKeeper(key, deps)
+        self._claims = ClaimHolder(key, deps)
 
-    async def may_issue(self, plan: Plan) -> bool:
-        """Read the claims again, and say whether orders may go out now."""
-        if not self._port.is_fresh():
+    async def acquire_claim(self, plan: EnginePlan) -> bool:
+        """Refresh or acquire the claim; return whether orders may be sent."""
+        if not self._sources.are_terms_fresh():
             return False
-        held = self._claims.fence
-        may = await self._claims.may_issue(checks_fence=plan.checks_fence)
-        if self._claims.fence != held:
-            self.planted.clear()
-        return may
+        previous_fence = self._claims.fence
+        may_send = await self._claims.acquire(checks_fence=plan.checks_fence)
+        if self._claims.fence != previous_fence:
+            self.fenced_engines.clear()
+        return may_send
 
-    async def plant(
+    async def install_fence(
         self,
-        plan: Plan,
+        plan: EnginePlan,
         states: Mapping[str, EngineState],
     ) -> None:
-        """Make every engine know this issuer before any other order.
+        """Send this issuer's fence to every engine before any other order.
 
-        Until then an issuer that was paused, and wakes, would be obeyed by
-        engines that this one has found nothing to order of. The order sets
-        the role that the engine has, so it changes nothing but the fence.
+        Otherwise an engine that needs no order would never see the new fence,
+        and would still obey an earlier issuer that wakes from a pause. The
+        order sets the role that the engine already has, so it changes nothing
+        but the fence.
         """
         if not plan.checks_fence:
             return
         for vm in plan.vms:
             state = states.get(vm.name)
-            if state is None or vm.name in self.planted:
+            if state is None or vm.name in self.fenced_engines:
                 continue
             if await self.send(vm, SetRole(state.role)) is None:
-                self.planted.add(vm.name)
+                self.fenced_engines.add(vm.name)
 
     async def send(self, vm: Vm, order: Order) -> Problem | None:
-        """Give one order; a higher fence at the engine ends the claim."""
+        """Send one order; if the engine knows a higher fence, end the claim."""
         fence = self._claims.fence
         if fence is None:
             return Problem(
@@ -75,17 +77,19 @@
                 'its next holder goes on',
             )
         kind = order_fields(order)['kind']
-        self.note('order_sent', vm, kind=kind, fence=fence)
+        self.record_event('order_sent', vm, kind=kind, fence=fence)
         problem = (await self._engines.send(vm, fence, order)).err()
         outcome = problem.kind if problem else 'accepted'
         self._deps.metrics.count(Metric.ORDERS, kind=kind, outcome=outcome)
         if problem is not None:
-            self.note('order_refused', vm, kind=problem.kind, fence=fence)
+            self.record_event(
+                'order_refused', vm, kind=problem.kind, fence=fence
+            )
             if problem.kind is ErrorKind.CONFLICT:
-                self._claims.drop()
+                self._claims.abandon()
         return problem
 
-    def note(self, event: str, vm: Vm, **fields: Any) -> None:
+    def record_event(self, event: str, vm: Vm, **fields: Any) -> None:
         """Record an event about one engine of the shard."""
         self._deps.events.record(
             event,
--- a/bramleybend/scheduler/owner_service.py
+++ b/bramleybend/scheduler/owner_service.py
@@ -1,4 +1,4 @@
-"""The gRPC side of ownership: gateways ask, hold and give back slots."""
+"""The gRPC service by which gateways request, hold and release slots."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -10,17 +10,17 @@
 from bramleybend.decisions.actions import RunReport
 from bramleybend.decisions.quarantine import Verdict
 from bramleybend.models import Ask, Tier
-from bramleybend.scheduler.messages import (
-    Adopted,
-    Asked,
+from bramleybend.scheduler.shard_messages import (
     FirstTokenSeen,
-    FloorAsked,
+    FloorRequested,
     HoldChannel,
     HoldLost,
+    RunAdopted,
     RunEnded,
+    SlotRequested,
 )
+from bramleybend.scheduler.shard_table import ShardTable
 from bramleybend.scheduler.shard_task import ShardTask
-from bramleybend.scheduler.shards import ShardTable
 from bramleybend.wire.bramleybend_pb2 import (
     AskMessage,
     FloorReply,
@@ -36,7 +36,7 @@
 
 
 class OwnerService(OwnerServicer):
-    """Turns streams into messages for the shards' tasks."""
+    """Turns gateways' streams into messages for the shards' tasks."""
 
     def __init__(
         self,
@@ -44,105 +44,108 @@
         clock: Clock,
         headers: Headers,
     ) -> None:
-        """Serve the shards of one scheduler."""
+        """Serve the shards of this scheduler."""
         self._headers = headers
         self._shards = shards
         self._clock = clock
-        self._numbers = count()
+        self._hold_numbers = count()
 
     async def Hold(
         self,
         request_iterator: AsyncIterator[HoldRequest],
         context: Context,
     ) -> AsyncIterator[HoldReply]:
-        """Serve one request's stream, from its ask to its end."""
+        """Serve one request's stream, from its ask to the end of its run."""
         first = await anext(aiter(request_iterator))
         await self._headers.accept(first.header, context)
         ask = first.ask if first.HasField('ask') else first.adopt.ask
-        shard = self._shards.get(ask.service, ask.shard)
-        if shard is None:
+        task = self._shards.get_task(ask.service, ask.shard)
+        if task is None:
             await context.abort(
                 grpc.StatusCode.NOT_FOUND,
                 f'no service {ask.service}; publish terms that name it',
             )
             return
-        hold = self._hold(ask)
-        self._begin(shard, hold, first)
-        reading = asyncio.create_task(_read(request_iterator, shard, hold))
+        hold = self._make_hold(ask)
+        self._post_first_request(task, hold, first)
+        reader = asyncio.create_task(
+            _post_requests(request_iterator, task, hold)
+        )
         try:
             while (reply := await hold.outbox.get()) is not None:
                 reply.header.CopyFrom(self._headers.make())
                 yield reply
         finally:
-            reading.cancel()
-            shard.post(HoldLost(hold))
+            reader.cancel()
+            task.post(HoldLost(hold))
 
     async def SetFloor(
         self,
         request: FloorRequest,
         context: Context,
     ) -> FloorReply:
-        """Start nothing lower for a while and say what runs below."""
+        """Set a tier floor for a while and count the runs below it."""
         await self._headers.accept(request.header, context)
-        shard = self._shards.get(request.service, request.shard)
-        if shard is None:
+        task = self._shards.get_task(request.service, request.shard)
+        if task is None:
             return FloorReply(settled=False)
         reply: asyncio.Future[int] = asyncio.Future()
-        shard.post(FloorAsked(Tier(request.tier), request.hold_s, reply))
-        lower = await reply
-        # A run may have left while the question was in the queue: then it is
-        # neither counted here nor, perhaps, known to the next owner yet.
+        task.post(FloorRequested(Tier(request.tier), request.hold_s, reply))
+        lower_running = await reply
+        # A run may have moved away while the request was queued. It is not
+        # counted here then, and the next owner may not know it yet, so the
+        # shard counts as unsettled.
         return FloorReply(
             header=self._headers.make(),
-            settled=self._shards.settled(shard),
-            lower_running=lower,
+            settled=self._shards.is_settled(task),
+            lower_running=lower_running,
         )
 
-    def _hold(self, ask: AskMessage) -> HoldChannel:
-        # The same request may ask twice, after a reply was lost, so the
-        # stream and not the request is what holds a slot.
+    def _make_hold(self, ask: AskMessage) -> HoldChannel:
+        # A request may be sent twice, after a reply was lost. So a slot is
+        # held by the stream, and the key is unique to the stream.
         return HoldChannel(
-            f'{ask.request_id}#{next(self._numbers)}',
+            f'{ask.request_id}#{next(self._hold_numbers)}',
             ask.request_id,
             Tier(ask.tier),
             ask.fingerprint,
         )
 
-    def _begin(
+    def _post_first_request(
         self,
-        shard: ShardTask,
+        task: ShardTask,
         hold: HoldChannel,
         first: HoldRequest,
     ) -> None:
         now = self._clock.monotonic()
         if first.HasField('adopt'):
-            ask = _ask_of(first.adopt.ask, now)
-            shard.post(Adopted(hold, ask, first.adopt.runner))
+            ask = _parse_ask(first.adopt.ask, now)
+            task.post(RunAdopted(hold, ask, first.adopt.runner))
             return
-        verdict = self._shards.verdict(hold.fingerprint)
+        verdict = self._shards.get_verdict(hold.fingerprint)
         if verdict is Verdict.REFUSED:
-            _refuse_content(hold)
+            _refuse_quarantined(hold)
             return
-        suspect = verdict is Verdict.SUSPECT
-        ask = _ask_of(first.ask, now, suspect=suspect)
-        shard.post(Asked(hold, ask, first.ask.urgent))
+        is_suspect = verdict is Verdict.SUSPECT
+        ask = _parse_ask(first.ask, now, is_suspect=is_suspect)
+        task.post(SlotRequested(hold, ask, first.ask.urgent))
 
 
-def _refuse_content(hold: HoldChannel) -> None:
+def _refuse_quarantined(hold: HoldChannel) -> None:
     refused = Refused(reason='quarantined', quarantined=True)
     hold.outbox.put_nowait(HoldReply(queued=Queued()))
     hold.outbox.put_nowait(HoldReply(refused=refused))
     hold.outbox.put_nowait(None)
 
 
-async def _read(
+async def _post_requests(
     requests: AsyncIterator[HoldRequest],
-    shard: ShardTask,
+    task: ShardTask,
     hold: HoldChannel,
 ) -> None:
     async for request in requests:
         if request.HasField('first_token'):
-            shard.post(
+            task.post(
                 FirstTokenSeen(
                     hold,
                     request.first_token.prompt_tokens,
@@ -150,10 +153,12 @@
                 ),
             )
         elif request.HasField('ended'):
-            shard.post(RunEnded(hold, _report_of(request)))
+            task.post(RunEnded(hold, _parse_report(request)))
 
 
-def _ask_of(message: AskMessage, now: float, *, suspect: bool = False) -> Ask:
+def _parse_ask(
+    message: AskMessage, now: float, *, is_suspect: bool = False
+) -> Ask:
     return Ask(
         request_id=message.request_id,
         service=message.service,
@@ -165,12 +170,12 @@
         deadline=now + message.timeout_s,
         cancellable=message.cancellable,
         fingerprint=message.fingerprint,
-        suspect=suspect,
+        suspect=is_suspect,
         excluded=frozenset(message.excluded),
     )
 
 
-def _report_of(request: HoldRequest) -> RunReport:
+def _parse_report(request: HoldRequest) -> RunReport:
     ended = request.ended
     return RunReport(
         outcome=ended.outcome,
--- a/bramleybend/scheduler/peer_wire.py
+++ b/bramleybend/scheduler/peer_transport.py
@@ -1,8 +1,8 @@
-"""Messages to other schedulers, over channels of their own.
+"""Transport of messages to other schedulers, with its own gRPC channels.
 
-Probes go to every peer in turn. Among hundreds they would push the channels
-that gateways and floors use out of a shared cache, and a probe must not wait
-behind their streams either.
+Probes go to every peer in turn. With hundreds of peers they would evict the
+channels of gateways and tier-floor rounds from a shared cache, and a probe
+must not wait behind the streams on those channels.
 """
 
 import asyncio
@@ -20,22 +20,23 @@
 
 MAX_CHANNELS: Final = 32
 FETCH_TIMEOUT_S: Final = 2.0
-MAX_TERMS: Final = 33_554_432  # bytes; any document of terms fits
-# Over a probe's own limit, or a peer that isn't run for a moment looks lost.
+MAX_TERMS_BYTES: Final = 33_554_432  # fits any terms document
+# Longer than a probe's timeout; otherwise a peer whose process is paused for a
+# moment would look unreachable.
 CONNECT_TIMEOUT_MS: Final = 1000
-# A peer that comes back must be met by the next probe, not after a backoff.
-OPTIONS: Final = (
+# Backoffs are short, so that the next probe reaches a peer that has come back.
+CHANNEL_OPTIONS: Final = (
     ('grpc.initial_reconnect_backoff_ms', 100),
     ('grpc.min_reconnect_backoff_ms', CONNECT_TIMEOUT_MS),
     ('grpc.max_reconnect_backoff_ms', 500),
     ('grpc.use_local_subchannel_pool', 1),
     ('grpc.enable_http_proxy', 0),
-    ('grpc.max_receive_message_length', MAX_TERMS),
+    ('grpc.max_receive_message_length', MAX_TERMS_BYTES),
 )
 
 
-class PeerWire(Protocol):
-    """How messages reach a peer; None stands for no answer in time."""
+class PeerTransport(Protocol):
+    """Sends messages to a peer; None stands for no reply in time."""
 
     async def gossip(
         self,
@@ -43,21 +44,21 @@
         message: GossipMessage,
         timeout_s: float,
     ) -> GossipMessage | None:
-        """Exchange news with a peer."""
+        """Send a gossip message and return the peer's reply."""
 
     async def fetch_terms(
         self,
         address: str,
         request: TermsRequest,
     ) -> TermsReply | None:
-        """Ask a peer for its terms."""
+        """Fetch the terms that a peer holds."""
 
 
-class GrpcPeerWire:
-    """Keeps the channels used last; the others are closed."""
+class GrpcPeerTransport:
+    """Keeps the most recently used channels open and closes the others."""
 
     def __init__(self, port: int) -> None:
-        """Reach every peer at the same port."""
+        """Send to the same port of every peer."""
         self._port = port
         self._channels: OrderedDict[str, grpc.aio.Channel] = OrderedDict()
         self._closing: set[asyncio.Task[None]] = set()
@@ -68,7 +69,7 @@
         message: GossipMessage,
         timeout_s: float,
     ) -> GossipMessage | None:
-        """Exchange news with a peer."""
+        """Send a gossip message and return the peer's reply."""
         try:
             reply: GossipMessage = await self._stub(address).Gossip(
                 message,
@@ -83,7 +84,7 @@
         address: str,
         request: TermsRequest,
     ) -> TermsReply | None:
-        """Ask a peer for its terms."""
+        """Fetch the terms that a peer holds."""
         try:
             reply: TermsReply = await self._stub(address).FetchTerms(
                 request,
@@ -104,14 +105,14 @@
         if channel is None:
             channel = grpc.aio.insecure_channel(
                 f'{address}:{self._port}',
-                options=OPTIONS,
+                options=CHANNEL_OPTIONS,
             )
         self._channels[address] = channel
         if len(self._channels) > MAX_CHANNELS:
-            self._close_oldest()
+            self._evict_oldest()
         return PeerStub(channel)
 
-    def _close_oldest(self) -> None:
+    def _evict_oldest(self) -> None:
         oldest = self._channels.popitem(last=False)[1]
         task = asyncio.create_task(oldest.close(FETCH_TIMEOUT_S))
         self._closing.add(task)
--- a/bramleybend/scheduler/replies.py
+++ b/bramleybend/scheduler/reply_sender.py
@@ -1,10 +1,10 @@
-"""What a shard's task tells the gateways, and the record of each decision."""
+"""Replies of a shard's task to gateways, with the events of its decisions."""
 
 from bramleybend.decisions.actions import Refuse
 from bramleybend.events import EventLog
 from bramleybend.metrics import Metric, Metrics
 from bramleybend.models import Tier, Vm
-from bramleybend.scheduler.messages import HoldChannel
+from bramleybend.scheduler.shard_messages import HoldChannel
 from bramleybend.wire.bramleybend_pb2 import (
     Granted,
     HoldReply,
@@ -14,8 +14,8 @@
 )
 
 
-class Replies:
-    """Answers holds of one shard; every answer leaves an event."""
+class ReplySender:
+    """Sends replies on one shard's holds and records events of decisions."""
 
     def __init__(
         self,
@@ -24,30 +24,30 @@
         events: EventLog,
         metrics: Metrics,
     ) -> None:
-        """Speak for one shard."""
+        """Label events with this service and shard."""
         self._service = service
         self._shard = shard
         self._events = events
         self._metrics = metrics
 
-    def queued(self, hold: HoldChannel) -> None:
-        """Say at once that the ask was heard."""
+    def send_queued(self, hold: HoldChannel) -> None:
+        """Confirm at once that the request was received."""
         hold.outbox.put_nowait(HoldReply(queued=Queued()))
 
-    def granted(self, hold: HoldChannel, runner: Vm) -> None:
-        """Give a slot."""
+    def send_grant(self, hold: HoldChannel, runner: Vm) -> None:
+        """Grant a slot of a runner."""
         grant = Granted(runner=runner.name, endpoint=runner.endpoint)
         hold.outbox.put_nowait(HoldReply(granted=grant))
-        self.note('grant', hold, runner=runner.name)
+        self.record_event('grant', hold, runner=runner.name)
 
-    def preempted(self, hold: HoldChannel, for_tier: Tier) -> None:
-        """Ask for a slot back."""
+    def send_preemption(self, hold: HoldChannel, for_tier: Tier) -> None:
+        """Ask the gateway to cancel its run for a higher tier."""
         preempted = Preempted(for_tier=for_tier)
         hold.outbox.put_nowait(HoldReply(preempted=preempted))
-        self.note('preempt', hold, for_tier=int(for_tier))
+        self.record_event('preempt', hold, for_tier=int(for_tier))
 
-    def refused(self, hold: HoldChannel, refusal: Refuse) -> None:
-        """Turn an ask away and end its stream."""
+    def send_refusal(self, hold: HoldChannel, refusal: Refuse) -> None:
+        """Refuse a request and end its stream."""
         refused = Refused(
             reason=refusal.reason,
             retry_after_s=refusal.retry_after.total_seconds(),
@@ -60,10 +60,12 @@
             reason=refusal.reason,
             tier=int(hold.tier),
         )
-        self.note('refuse', hold, reason=refusal.reason)
+        self.record_event('refuse', hold, reason=refusal.reason)
 
-    def note(self, event: str, hold: HoldChannel, **fields: object) -> None:
-        """Record an event of one hold."""
+    def record_event(
+        self, event: str, hold: HoldChannel, **fields: object
+    ) -> None:
+        """Record an event about one hold."""
         self._events.record(
             event,
             hold.request_id,
--- a/bramleybend/scheduler/process.py
+++ b/bramleybend/scheduler/scheduler_control.py
@@ -1,4 +1,4 @@
-"""A scheduler as operators see it."""
+"""Status and drain of a scheduler, for operators."""
 
 from typing import TYPE_CHECKING
 
@@ -8,11 +8,11 @@
     from bramleybend.scheduler.core import Scheduler
 
 
-class SchedulerProcess:
-    """What operators may ask of a scheduler."""
+class SchedulerControl:
+    """Reports a scheduler's status to operators and drains it for them."""
 
     def __init__(self, scheduler: 'Scheduler') -> None:
-        """Report on this scheduler."""
+        """Control this scheduler."""
         self._scheduler = scheduler
 
     def status(self) -> dict[str, object]:
@@ -23,10 +23,10 @@
             'vm': scheduler.identity.vm,
             'incarnation': scheduler.identity.incarnation,
             'domain': scheduler.identity.domain,
-            'terms_version': scheduler.terms.version,
+            'terms_version': scheduler.terms_follower.version,
             'terms_age_s': scheduler.peers.terms_age_s(),
-            'log_ok': scheduler.terms.log_ok,
-            'list_ok': scheduler.listed.ok,
+            'log_ok': scheduler.terms_follower.log_ok,
+            'list_ok': scheduler.vm_list_poller.is_available,
             'draining': scheduler.stopping.is_set(),
             'members': [
                 {
@@ -35,7 +35,7 @@
                     'domain': member.domain,
                     'state': member.state,
                 }
-                for member in scheduler.peers.known()
+                for member in scheduler.peers.list_known()
             ],
             'shards': [
                 {
@@ -46,7 +46,7 @@
                     'waiting': view.waiting,
                     'limit': view.limit,
                 }
-                for view in scheduler.shards.loads()
+                for view in scheduler.shard_table.list_owned_loads()
             ],
             'runners': [
                 {
@@ -55,21 +55,21 @@
                     'service': vm.service,
                     'state': vm.state,
                 }
-                for vm in scheduler.listed.runners
+                for vm in scheduler.vm_list_poller.runners
             ],
-            'queues': self._queues(),
+            'queues': self._count_waiting_by_tier(),
             'in_flight': sum(
-                len(task.holds) for task in scheduler.shards.tasks
+                len(task.holds) for task in scheduler.shard_table.tasks
             ),
         }
 
     def drain(self) -> None:
-        """Begin a planned stop."""
+        """Start a planned stop."""
         self._scheduler.stopping.set()
 
-    def _queues(self) -> dict[str, int]:
-        waiting = dict.fromkeys((str(int(tier)) for tier in Tier), 0)
-        for task in self._scheduler.shards.tasks:
-            for hold in task.waiting():
-                waiting[str(int(hold.tier))] += 1
-        return waiting
+    def _count_waiting_by_tier(self) -> dict[str, int]:
+        counts = dict.fromkeys((str(int(tier)) for tier in Tier), 0)
+        for task in self._scheduler.shard_table.tasks:
+            for hold in task.list_waiting():
+                counts[str(int(hold.tier))] += 1
+        return counts
--- a/bramleybend/scheduler/messages.py
+++ b/bramleybend/scheduler/shard_messages.py
@@ -1,4 +1,4 @@
-"""What the tasks of a scheduler tell a shard's task."""
+"""Messages to a shard's task from the other parts of a scheduler."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -10,9 +10,9 @@
 
 @dataclass(eq=False)
 class HoldChannel:
-    """One gateway stream, as its shard sees it.
+    """The stream on which a gateway holds, or waits for, one slot.
 
-    `None` in the outbox ends the stream.
+    The key is unique to the stream. `None` in the outbox ends the stream.
     """
 
     key: str
@@ -25,8 +25,11 @@
 
 
 @dataclass(frozen=True)
-class Asked:
-    """A gateway wants a slot."""
+class SlotRequested:
+    """A gateway requests a slot.
+
+    It is urgent if the gateway sheds the request unless a slot is found.
+    """
 
     hold: HoldChannel
     ask: Ask
@@ -34,8 +37,8 @@
 
 
 @dataclass(frozen=True)
-class Adopted:
-    """A gateway registers a run whose owner was lost."""
+class RunAdopted:
+    """A gateway registers a run that a previous owner granted."""
 
     hold: HoldChannel
     ask: Ask
@@ -44,7 +47,7 @@
 
 @dataclass(frozen=True)
 class FirstTokenSeen:
-    """A run's prefill is over."""
+    """A run produced its first token: its prefill has ended."""
 
     hold: HoldChannel
     prompt_tokens: int
@@ -53,7 +56,7 @@
 
 @dataclass(frozen=True)
 class RunEnded:
-    """A gateway gives a slot back."""
+    """A run ended, and its gateway releases the slot."""
 
     hold: HoldChannel
     report: RunReport
@@ -61,26 +64,33 @@
 
 @dataclass(frozen=True)
 class HoldLost:
-    """A stream ended without a word: its gateway gave up or died."""
+    """A stream closed.
+
+    If the end of its run was not reported, the gateway gave up or died, or the
+    run moved to another owner.
+    """
 
     hold: HoldChannel
 
 
 @dataclass(frozen=True)
 class RunnersListed:
-    """The shard's runners as the VM list now has them."""
+    """The shard's runners changed."""
 
     runners: tuple[Vm, ...]
 
 
 @dataclass(frozen=True)
 class OwnershipMoved:
-    """Another VM owns the shard now; every hold must move there."""
+    """Another VM owns the shard now; every hold must move to it."""
 
 
 @dataclass(frozen=True)
-class FloorAsked:
-    """A gateway wants to shed and asks what runs below its tier."""
+class FloorRequested:
+    """A gateway sets a tier floor and asks how many runs are below it.
+
+    It does so before it sheds a request.
+    """
 
     tier: Tier
     hold_s: float
@@ -88,12 +98,12 @@
 
 
 ShardMessage = (
-    Asked
-    | Adopted
+    SlotRequested
+    | RunAdopted
     | FirstTokenSeen
     | RunEnded
     | HoldLost
     | RunnersListed
     | OwnershipMoved
-    | FloorAsked
+    | FloorRequested
 )
--- a/bramleybend/scheduler/shard_task.py
+++ b/bramleybend/scheduler/shard_task.py
@@ -1,7 +1,7 @@
-"""One shard's queue: a task that owns its policy and speaks by messages.
+"""The asyncio task that owns one shard's policy and handles its messages.
 
-All decisions are the policy's (`decisions.owner`); this task only feeds it
-what happened and carries out what it decided.
+The policy (`decisions.owner`) makes all decisions. This task passes messages
+to the policy and executes the actions that the policy returns.
 """
 
 import asyncio
@@ -25,27 +25,27 @@
 from bramleybend.events import EventLog
 from bramleybend.metrics import Metric, Metrics
 from bramleybend.models import RunnerState, Tier, Vm
-from bramleybend.scheduler.crash_watch import CrashWatch
-from bramleybend.scheduler.messages import (
-    Adopted,
-    Asked,
+from bramleybend.scheduler.crash_tracker import CrashTracker
+from bramleybend.scheduler.reply_sender import ReplySender
+from bramleybend.scheduler.shard_messages import (
     FirstTokenSeen,
-    FloorAsked,
+    FloorRequested,
     HoldChannel,
     HoldLost,
     OwnershipMoved,
+    RunAdopted,
     RunEnded,
     RunnersListed,
     ShardMessage,
+    SlotRequested,
 )
-from bramleybend.scheduler.replies import Replies
 
-IDLE_TICK_S: Final = 0.5
+MAX_IDLE_S: Final = 0.5
 
 
 @dataclass(frozen=True)
 class ShardDeps:
-    """What a shard's task works with."""
+    """Dependencies of a shard's task."""
 
     clock: Clock
     events: EventLog
@@ -54,7 +54,7 @@
 
 
 class ShardTask:
-    """Takes messages one by one, so the policy needs no locks."""
+    """Handles messages one at a time, so the policy needs no locks."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         policy: ShardPolicy,
         deps: ShardDeps,
     ) -> None:
-        """Start with no runners and an empty queue."""
+        """Start without runners and with an empty queue."""
         self.service = service
         self.shard = shard
         self.policy = policy
@@ -71,61 +71,65 @@
         self._deps = deps
         self._inbox: asyncio.Queue[ShardMessage] = asyncio.Queue()
         self.runners: dict[str, Vm] = {}
-        self.where: dict[str, str] = {}
+        self.runner_by_hold: dict[str, str] = {}
         self._is_owner = False
         self._settling = Settling()
-        self._crashes = CrashWatch(deps.crashes)
-        self._replies = Replies(service, shard, deps.events, deps.metrics)
+        self._crash_tracker = CrashTracker(deps.crashes)
+        self._replies = ReplySender(service, shard, deps.events, deps.metrics)
 
     def post(self, message: ShardMessage) -> None:
-        """Hand a message over; it is taken in order."""
+        """Queue a message; messages are handled in order."""
         self._inbox.put_nowait(message)
 
     def begin_ownership(self, now: float) -> None:
-        """Begin as owner, with nothing known of the floors before.
+        """Become the owner, without knowing the previous owner's tier floors.
 
-        For as long as they may stand, nothing but the highest tier starts.
+        Only the highest tier may start while such a floor may be in force.
         """
         self._is_owner = True
         self._settling.taken_over_at = now
         self.policy.set_floor(min(Tier), DEFAULT_TIMES.grace_s, now)
 
     def is_settled(self, now: float) -> bool:
-        """Whether every run of the shard must be known here by now."""
+        """Whether this task owns the shard and knows every run of it."""
         return self._is_owner and self._settling.settled(now)
 
-    def waiting(self) -> list[HoldChannel]:
-        """Return the holds that have no runner yet."""
+    def list_waiting(self) -> list[HoldChannel]:
+        """Return the holds that were not granted a runner yet."""
         return [
-            hold for key, hold in self.holds.items() if key not in self.where
+            hold
+            for key, hold in self.holds.items()
+            if key not in self.runner_by_hold
         ]
 
-    async def work(self) -> None:
-        """Take messages until cancelled."""
+    async def run(self) -> None:
+        """Handle messages until cancelled."""
         while True:
             message = await self._next_message()
             now = self._deps.clock.monotonic()
             if message is not None:
-                self._perform(self._handle(message, now))
-            self._perform(self.policy.tick(now))
+                self._apply_actions(self._handle_message(message, now))
+            self._apply_actions(self.policy.tick(now))
 
     async def _next_message(self) -> ShardMessage | None:
         now = self._deps.clock.monotonic()
         wake = self.policy.next_wake(now)
-        wait_s = IDLE_TICK_S if wake is None else max(wake - now, 0)
+        wait_s = MAX_IDLE_S if wake is None else max(wake - now, 0)
         try:
-            async with asyncio.timeout(min(wait_s, IDLE_TICK_S)):
+            async with asyncio.timeout(min(wait_s, MAX_IDLE_S)):
                 return await self._inbox.get()
         except TimeoutError:
             return None
 
-    def _handle(self, message: ShardMessage, now: float) -> list[Action]:
+    def _handle_message(
+        self, message: ShardMessage, now: float
+    ) -> list[Action]:
         match message:
-            case Asked():
-                return self._ask(message, now)
-            case Adopted(hold, ask, runner):
-                self._open(hold)
-                self.where[hold.key] = runner
+            case SlotRequested():
+                return self._handle_slot_request(message, now)
+            case RunAdopted(hold, ask, runner):
+                self._add_hold(hold)
+                self.runner_by_hold[hold.key] = runner
                 return self.policy.adopt(
                     replace(ask, request_id=hold.key),
                     runner,
@@ -139,84 +143,91 @@
                     now,
                 )
             case RunEnded():
-                return self._ended(message, now)
+                return self._handle_run_ended(message, now)
             case HoldLost(hold):
-                return self._lost(hold, now)
+                return self._handle_hold_lost(hold, now)
             case RunnersListed(runners):
-                return self._listed(runners, now)
+                return self._handle_runners_listed(runners, now)
         return self._handle_ownership(message, now)
 
     def _handle_ownership(
         self,
-        message: OwnershipMoved | FloorAsked,
+        message: OwnershipMoved | FloorRequested,
         now: float,
     ) -> list[Action]:
         match message:
             case OwnershipMoved():
-                return self._moved(now)
-            case FloorAsked():
-                return self._floor(message, now)
+                return self._handle_ownership_moved(now)
+            case FloorRequested():
+                return self._handle_floor_request(message, now)
         assert_never(message)
 
-    # What happened
+    # ---- messages
 
-    def _ask(self, asked: Asked, now: float) -> list[Action]:
-        self._open(asked.hold)
+    def _handle_slot_request(
+        self, message: SlotRequested, now: float
+    ) -> list[Action]:
+        self._add_hold(message.hold)
         if not self._is_owner:
-            # Some gateway can't reach the owner. Two VMs that both start
-            # lower work would break the owner's floor, so this one starts
-            # only the highest tier, which is below no floor.
+            # A gateway that can't reach the owner asks a fallback. If both
+            # VMs started lower tiers, the owner's floor would be broken, so
+            # the fallback starts only the highest tier, which no floor
+            # excludes.
             grace_s = DEFAULT_TIMES.grace_s
             self.policy.set_floor(min(Tier), grace_s, now)
         ask = replace(
-            asked.ask,
-            request_id=asked.hold.key,
-            excluded=asked.ask.excluded
-            | self._crashes.kept_from(asked.ask.fingerprint, self.runners),
+            message.ask,
+            request_id=message.hold.key,
+            excluded=message.ask.excluded
+            | self._crash_tracker.get_excluded_runners(
+                message.ask.fingerprint, self.runners
+            ),
         )
-        if asked.urgent:
-            # The gateway will shed this request unless something lower
-            # makes room, so nothing lower may start before it.
+        if message.urgent:
+            # The gateway will shed this request unless a lower tier makes
+            # room, so no lower tier may start before it.
             self.policy.set_floor(ask.tier, 1, now)
         return self.policy.ask(ask, now)
 
-    def _open(self, hold: HoldChannel) -> None:
+    def _add_hold(self, hold: HoldChannel) -> None:
         self.holds[hold.key] = hold
-        self._replies.queued(hold)
+        self._replies.send_queued(hold)
 
-    def _ended(self, ended: RunEnded, now: float) -> list[Action]:
-        hold = ended.hold
+    def _handle_run_ended(self, message: RunEnded, now: float) -> list[Action]:
+        hold = message.hold
         if self.holds.pop(hold.key, None) is None:
             return []
-        runner = self.where.pop(hold.key, '')
+        runner = self.runner_by_hold.pop(hold.key, '')
         hold.outbox.put_nowait(None)
-        if ended.report.crashed:
-            company = [
+        if message.report.crashed:
+            concurrent = [
                 other.fingerprint
                 for key, other in self.holds.items()
-                if self.where.get(key) == runner
+                if self.runner_by_hold.get(key) == runner
             ]
-            few = len(self.runners) < CONDEMNED
-            self._crashes.crashed(
-                runner, [hold.fingerprint, *company], few, now
+            has_few_runners = len(self.runners) < CONDEMNED
+            self._crash_tracker.record_crash(
+                runner, [hold.fingerprint, *concurrent], has_few_runners, now
             )
-            self._replies.note('runner_crashed', hold, runner=runner)
+            self._replies.record_event('runner_crashed', hold, runner=runner)
             self._deps.metrics.count(
                 Metric.RUNNER_CRASHES,
                 service=self.service,
             )
-        elif ended.report.outcome == Outcome.DONE:
-            self._crashes.finished(hold.fingerprint, now)
-        return self.policy.ended(hold.key, ended.report, now)
+        elif message.report.outcome == Outcome.DONE:
+            self._crash_tracker.record_finish(hold.fingerprint, now)
+        return self.policy.ended(hold.key, message.report, now)
 
-    def _lost(self, hold: HoldChannel, now: float) -> list[Action]:
+    def _handle_hold_lost(self, hold: HoldChannel, now: float) -> list[Action]:
         if self.holds.pop(hold.key, None) is None:
             return []
-        if self.where.pop(hold.key, None) is not None:
+        if self.runner_by_hold.pop(hold.key, None) is not None:
             self._settling.lose_run(now)
         return self.policy.withdraw(hold.key, now)
 
-    def _listed(self, runners: tuple[Vm, ...], now: float) -> list[Action]:
+    def _handle_runners_listed(
+        self, runners: tuple[Vm, ...], now: float
+    ) -> list[Action]:
         self.runners = {vm.name: vm for vm in runners}
         return self.policy.runners(
             [
@@ -226,38 +237,41 @@
             now,
         )
 
-    def _floor(self, asked: FloorAsked, now: float) -> list[Action]:
-        lower = self.policy.set_floor(asked.tier, asked.hold_s, now)
-        if not asked.reply.done():
-            asked.reply.set_result(lower)
+    def _handle_floor_request(
+        self, message: FloorRequested, now: float
+    ) -> list[Action]:
+        lower_running = self.policy.set_floor(message.tier, message.hold_s, now)
+        if not message.reply.done():
+            message.reply.set_result(lower_running)
         return []
 
-    def _moved(self, now: float) -> list[Action]:
-        """Close every stream; the gateways go to the new owner."""
-        # Runs go on meanwhile. Kept here, they would be unknown to the new
-        # owner, which then might say that nothing lower is being served.
+    def _handle_ownership_moved(self, now: float) -> list[Action]:
+        """Close every stream, so that the gateways go to the new owner."""
+        # The runs go on. A gateway registers its run with the new owner only
+        # once this stream is closed; until then the new owner might report
+        # that no lower tier is being served.
         self._is_owner = False
         actions: list[Action] = []
         for hold in tuple(self.holds.values()):
             hold.outbox.put_nowait(None)
-            actions += self._lost(hold, now)
+            actions += self._handle_hold_lost(hold, now)
         return actions
 
-    # What was decided
+    # ---- actions
 
-    def _perform(self, actions: list[Action]) -> None:
+    def _apply_actions(self, actions: list[Action]) -> None:
         for action in actions:
             hold = self.holds.get(action.request_id)
             if hold is not None:
-                self._carry_out(action, hold)
+                self._apply_action(action, hold)
 
-    def _carry_out(self, action: Action, hold: HoldChannel) -> None:
+    def _apply_action(self, action: Action, hold: HoldChannel) -> None:
         match action:
             case Grant(_, runner):
-                self.where[hold.key] = runner
-                self._replies.granted(hold, self.runners[runner])
+                self.runner_by_hold[hold.key] = runner
+                self._replies.send_grant(hold, self.runners[runner])
             case Refuse():
                 self.holds.pop(hold.key, None)
-                self._replies.refused(hold, action)
+                self._replies.send_refusal(hold, action)
             case Preempt(_, for_tier):
-                self._replies.preempted(hold, for_tier)
+                self._replies.send_preemption(hold, for_tier)
--- a/bramleybend/scheduler/suspects.py
+++ b/bramleybend/scheduler/suspect_records.py
@@ -1,4 +1,4 @@
-"""Crash suspicion on the wire: to gateways and to other schedulers."""
+"""Crash records on the wire, for gateways and other schedulers."""
 
 from collections.abc import Iterable
 from random import Random
@@ -7,17 +7,17 @@
 from bramleybend.wire.bramleybend_pb2 import SuspectRecord
 
 
-def exported(book: CrashBook) -> list[SuspectRecord]:
-    """Put every record on the wire."""
-    return _on_wire(book.export())
+def export_suspects(book: CrashBook) -> list[SuspectRecord]:
+    """Encode every crash record."""
+    return _encode_suspects(book.export())
 
 
-def merge(
+def merge_suspects(
     book: CrashBook,
     records: Iterable[SuspectRecord],
     now: float,
 ) -> None:
-    """Take in what another scheduler knows."""
+    """Merge the crash records of another scheduler."""
     book.merge(
         [
             CrashRecord(
@@ -32,13 +32,15 @@
     )
 
 
-def sampled(book: CrashBook, rng: Random, limit: int) -> list[SuspectRecord]:
-    """Put a random part of the records on the wire, so messages are bounded."""
+def sample_suspects(
+    book: CrashBook, rng: Random, limit: int
+) -> list[SuspectRecord]:
+    """Encode a random sample of `limit` records, to bound the message size."""
     records = book.export()
-    return _on_wire(rng.sample(records, min(limit, len(records))))
+    return _encode_suspects(rng.sample(records, min(limit, len(records))))
 
 
-def _on_wire(records: Iterable[CrashRecord]) -> list[SuspectRecord]:
+def _encode_suspects(records: Iterable[CrashRecord]) -> list[SuspectRecord]:
     return [
         SuspectRecord(
             fingerprint=record.fingerprint,
--- a/bramleybend/scheduler/view_service.py
+++ b/bramleybend/scheduler/view_service.py
@@ -1,4 +1,4 @@
-"""Answers gateways with the view this scheduler decides on."""
+"""The gRPC service by which gateways get this scheduler's view."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -23,21 +23,21 @@
 
 @dataclass(frozen=True)
 class ViewSources:
-    """Where each part of a view comes from."""
+    """Accessors of the parts of a view."""
 
     terms: TermsFollower
     members: Callable[[], Iterable[Member]]
     runners: Callable[[], Iterable[Vm]]
     shards: Callable[[], Iterable[ShardView]]
     suspects: Callable[[], Iterable[SuspectRecord]]
-    age_s: Callable[[], float]
+    terms_age_s: Callable[[], float]
 
 
 class ViewService(LocalServicer):
-    """Holds a question back until there are newer terms, for a while."""
+    """Answers when there are newer terms or the request's wait has ended."""
 
     def __init__(self, sources: ViewSources, headers: Headers) -> None:
-        """Answer from these sources."""
+        """Build views from these sources."""
         self._headers = headers
         self._sources = sources
 
@@ -46,24 +46,26 @@
         request: ViewRequest,
         context: Context,
     ) -> ViewReply:
-        """Return the view, with the document only if it is news."""
+        """Return the view, with the document if its terms are newer."""
         await self._headers.accept(request.header, context)
         terms = self._sources.terms
         if terms.version <= request.known_version:
-            await self._wait_for_news(request.wait_s)
-        news = terms.version > request.known_version
+            await self._wait_for_newer_terms(request.wait_s)
+        has_newer_terms = terms.version > request.known_version
         return ViewReply(
             version=terms.version,
             offset=max(terms.offset, 0),
-            document=terms.document if news else '',
-            members=[member_record(each) for each in self._sources.members()],
-            runners=[_runner(vm) for vm in self._sources.runners()],
-            shards=[shard_record(each) for each in self._sources.shards()],
+            document=terms.document if has_newer_terms else '',
+            members=[
+                make_member_record(each) for each in self._sources.members()
+            ],
+            runners=[make_runner_record(vm) for vm in self._sources.runners()],
+            shards=[make_shard_record(each) for each in self._sources.shards()],
             suspects=self._sources.suspects(),
-            age_s=self._sources.age_s(),
+            age_s=self._sources.terms_age_s(),
         )
 
-    async def _wait_for_news(self, wait_s: float) -> None:
+    async def _wait_for_newer_terms(self, wait_s: float) -> None:
         try:
             async with asyncio.timeout(wait_s):
                 await self._sources.terms.changed()
@@ -71,8 +73,8 @@
             return
 
 
-def member_record(member: Member) -> MemberRecord:
-    """Put a member on the wire."""
+def make_member_record(member: Member) -> MemberRecord:
+    """Encode a member as a wire record."""
     return MemberRecord(
         vm=member.vm,
         address=member.address,
@@ -83,8 +85,8 @@
     )
 
 
-def shard_record(view: ShardView, owner: str = '') -> ShardRecord:
-    """Put a shard's load on the wire."""
+def make_shard_record(view: ShardView, owner: str = '') -> ShardRecord:
+    """Encode a shard's load as a wire record."""
     return ShardRecord(
         service=view.service,
         shard=view.shard,
@@ -95,7 +97,8 @@
     )
 
 
-def _runner(vm: Vm) -> RunnerRecord:
+def make_runner_record(vm: Vm) -> RunnerRecord:
+    """Encode a runner as a wire record."""
     return RunnerRecord(
         name=vm.name,
         endpoint=vm.endpoint,
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""Schedulers that find each other over gRPC, with peers cut off or killed."""
+"""Membership of schedulers over gRPC, with peers cut off or killed."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable, Iterable, Sequence
@@ -14,7 +14,7 @@
 from bramleybend.models import RunnerState, Vm
 from bramleybend.scheduler.gossip import Gossip, GossipDeps
 from bramleybend.scheduler.peer_service import PeerService
-from bramleybend.scheduler.peer_wire import GrpcPeerWire
+from bramleybend.scheduler.peer_transport import GrpcPeerTransport
 from bramleybend.state.member import Member, MemberState
 from bramleybend.state.membership import Members, Outgoing
 from bramleybend.wire.bramleybend_pb2 import (
@@ -34,24 +34,24 @@
 from tests.utils.waiting import wait_until
 
 PORT = 7002
-NOTICED = {MemberState.SUSPECT, MemberState.DEAD}
+SUSPECT_OR_DEAD = {MemberState.SUSPECT, MemberState.DEAD}
 CLOCK = SystemClock()
 
 
 @dataclass
-class FakeNews:
-    """What one node has to tell, and what it was told."""
+class FakeDelegate:
+    """What one node sends, and what it received."""
 
     address: str
     vms: list[Vm]
     terms_version: int = 1
     shards: list[ShardRecord] = field(default_factory=list)
-    crashes: list[SuspectRecord] = field(default_factory=list)
-    taken: dict[str, SuspectRecord] = field(default_factory=dict)
+    suspect_records: list[SuspectRecord] = field(default_factory=list)
+    merged_suspects: dict[str, SuspectRecord] = field(default_factory=dict)
     versions: dict[str, int] = field(default_factory=dict)
 
-    def header(self) -> Header:
-        """Name this node."""
+    def make_header(self) -> Header:
+        """Return a header that names this node."""
         return Header(
             protocol=PROTOCOL,
             vm=self.address,
@@ -59,33 +59,35 @@
             terms_version=self.terms_version,
         )
 
-    def listed(self) -> Sequence[Vm]:
+    def get_listed_vms(self) -> Sequence[Vm]:
         """Return every node."""
         return self.vms
 
-    def own_shards(self) -> Iterable[ShardRecord]:
+    def sample_owned_shards(self) -> Iterable[ShardRecord]:
         """Return the test's records."""
         return self.shards
 
-    def suspects(self) -> Iterable[SuspectRecord]:
+    def sample_suspects(self) -> Iterable[SuspectRecord]:
         """Return the test's records."""
-        return self.crashes
+        return self.suspect_records
 
-    def take_suspects(self, records: Iterable[SuspectRecord]) -> None:
-        """Keep what came."""
-        self.taken.update({record.fingerprint: record for record in records})
+    def merge_suspects(self, records: Iterable[SuspectRecord]) -> None:
+        """Keep the records received."""
+        self.merged_suspects.update(
+            {record.fingerprint: record for record in records}
+        )
 
-    def heard_from(self, peer: Member, terms_version: int) -> None:
-        """Keep what came."""
+    def on_peer_heard(self, peer: Member, terms_version: int) -> None:
+        """Keep the terms version received."""
         self.versions[peer.address] = terms_version
 
 
 @dataclass
-class CutWire:
-    """A wire that loses messages to some addresses without a word."""
+class CutTransport:
+    """A transport that silently drops messages to some addresses."""
 
-    wire: GrpcPeerWire
-    cut: set[str] = field(default_factory=set)
+    transport: GrpcPeerTransport
+    cut_addresses: set[str] = field(default_factory=set)
 
     async def gossip(
         self,
@@ -93,61 +95,63 @@
         message: GossipMessage,
         timeout_s: float,
     ) -> GossipMessage | None:
-        """Let a message through, or let its time run out."""
-        if address in self.cut:
+        """Send a message, or wait for its timeout if the address is cut."""
+        if address in self.cut_addresses:
             await asyncio.sleep(timeout_s)
             return None
-        return await self.wire.gossip(address, message, timeout_s)
+        return await self.transport.gossip(address, message, timeout_s)
 
     async def fetch_terms(
         self,
         address: str,
         request: TermsRequest,
     ) -> TermsReply | None:
-        """Pass on."""
-        return await self.wire.fetch_terms(address, request)
+        """Forward to the actual transport."""
+        return await self.transport.fetch_terms(address, request)
 
 
 class GossipNode:
     """One scheduler's gossip, with a server of its own."""
 
     def __init__(self, address: str, vms: list[Vm], seed: int) -> None:
-        """Know nobody yet."""
+        """Know only this node."""
         own = Member(address, address, 'walton', f'{address}-a', heartbeat=1)
         rng = Random(seed)
         self.address = address
-        self.news = FakeNews(address, vms)
-        self.wire = CutWire(GrpcPeerWire(PORT))
+        self.delegate = FakeDelegate(address, vms)
+        self.transport = CutTransport(GrpcPeerTransport(PORT))
         self.members = Members(own, rng, CLOCK.monotonic())
-        deps = GossipDeps(self.members, self.wire, self.news, CLOCK)
+        deps = GossipDeps(self.members, self.transport, self.delegate, CLOCK)
         self.gossip = Gossip(deps, rng)
         self.server = grpc.aio.server()
-        self._running: asyncio.Task[None] | None = None
+        self._gossip_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Serve and probe."""
-        service = PeerService(self.gossip, self.news.header, lambda: None)
+        service = PeerService(
+            self.gossip, self.delegate.make_header, lambda: None
+        )
         add_PeerServicer_to_server(service, self.server)
         self.server.add_insecure_port(f'{self.address}:{PORT}')
         await self.server.start()
-        self._running = asyncio.create_task(self.gossip.run())
+        self._gossip_task = asyncio.create_task(self.gossip.run())
 
     async def stop(self) -> None:
-        """Stop without a word."""
-        if self._running is not None:
-            self._running.cancel()
+        """Stop without telling the peers."""
+        if self._gossip_task is not None:
+            self._gossip_task.cancel()
         await self.server.stop(None)
-        await self.wire.wire.close()
+        await self.transport.transport.close()
 
     def state_of(self, address: str) -> MemberState | None:
-        """Return what this node believes of an address."""
+        """Return the state in which this node sees an address."""
         known = self.members.known(CLOCK.monotonic())
         states = {member.address: member.state for member in known}
         return states.get(address)
 
 
 @asynccontextmanager
-async def _nodes(size: int) -> AsyncIterator[list[GossipNode]]:
+async def _running_nodes(size: int) -> AsyncIterator[list[GossipNode]]:
     prefix = free_prefix()
     addresses = [f'{prefix}.{index + 11}' for index in range(size)]
     vms = [
@@ -158,37 +162,40 @@
     for node in nodes:
         await node.start()
     try:
-        await wait_until(_all_meet(nodes), 'all nodes know each other')
+        await wait_until(
+            _all_know_each_other(nodes), 'all nodes know each other'
+        )
         yield nodes
     finally:
         for node in nodes:
             await node.stop()
 
 
-def _all_meet(nodes: list[GossipNode]) -> Callable[[], bool]:
-    def met() -> bool:
+def _all_know_each_other(nodes: list[GossipNode]) -> Callable[[], bool]:
+    def is_complete() -> bool:
         now = CLOCK.monotonic()
         return all(len(node.members.alive(now)) == len(nodes) for node in nodes)
 
-    return met
+    return is_complete
 
 
 async def test_all_notice_a_killed_peer_within_seconds() -> None:
     """A scheduler dies; connections to its address are refused.
 
-    Whoever probes it next asks helpers, which are refused too, so it is
-    suspected within about a period and its shards go to their fallbacks as
-    soon as the wait is over. The limit is generous for a busy machine.
+    The next node to probe it asks helpers, which are refused too. So it is
+    suspected within about a period, and its shards go to their fallbacks once
+    the suspicion has timed out. The timeouts here allow for a busy machine.
     """
-    async with _nodes(6) as nodes:
+    async with _running_nodes(6) as nodes:
         victim, *others = nodes
         await victim.stop()
 
         await wait_until(
             lambda: all(
-                node.state_of(victim.address) in NOTICED for node in others
+                node.state_of(victim.address) in SUSPECT_OR_DEAD
+                for node in others
             ),
-            'all notice',
+            'all suspect it',
             8,
         )
         await wait_until(
@@ -196,20 +203,20 @@
                 node.state_of(victim.address) is MemberState.DEAD
                 for node in others
             ),
-            'all hold it dead',
+            'all see it as dead',
             8,
         )
 
 
 async def test_a_peer_cut_off_one_way_is_reached_by_helpers() -> None:
-    """Messages from one node to one peer vanish; all other paths work.
+    """Messages from one node to one peer are lost; all other paths work.
 
-    The node's probes of the peer run out of time, helpers reach the peer for
-    it, and nobody suspects either of them for longer than a moment.
+    The node's direct probes of the peer time out, but helpers reach the peer,
+    so no node declares it dead.
     """
-    async with _nodes(4) as nodes:
+    async with _running_nodes(4) as nodes:
         first, second, *_ = nodes
-        first.wire.cut.add(second.address)
+        first.transport.cut_addresses.add(second.address)
 
         for _ in range(40):
             await asyncio.sleep(0.2)
@@ -218,33 +225,35 @@
 
 
 async def test_a_peer_cut_off_both_ways_comes_back() -> None:
-    """One node loses all others for a while, and then hears them again.
+    """One node is cut off from all others for a while, and then reconnected.
 
-    Each side holds the other dead. The address is still listed, so it is
-    tried again; the node hears that it was held dead and takes it back.
+    Each side declares the other dead. The address is still listed, so it is
+    tried again; the node learns that it was declared dead and refutes that.
     """
-    async with _nodes(4) as nodes:
+    async with _running_nodes(4) as nodes:
         lost, *others = nodes
-        lost.wire.cut.update(node.address for node in others)
+        lost.transport.cut_addresses.update(node.address for node in others)
         for node in others:
-            node.wire.cut.add(lost.address)
+            node.transport.cut_addresses.add(lost.address)
         await wait_until(
             lambda: all(
                 node.state_of(lost.address) is MemberState.DEAD
                 for node in others
             ),
-            'the others hold it dead',
+            'the others see it as dead',
         )
 
         for node in nodes:
-            node.wire.cut.clear()
+            node.transport.cut_addresses.clear()
 
-        await wait_until(_all_meet(nodes), 'all know each other again')
+        await wait_until(
+            _all_know_each_other(nodes), 'all know each other again'
+        )
 
 
 @dataclass
-class PausedWire:
-    """No answer comes; at the given call the whole process is paused."""
+class PausedTransport:
+    """Gives no replies; at the given call the whole process is paused."""
 
     clock: ManualClock
     paused_at: int
@@ -256,10 +265,10 @@
         message: GossipMessage,
         timeout_s: float,
     ) -> GossipMessage | None:
-        """Let the time run out, or much more than that."""
+        """Let the timeout pass, or a pause that is much longer."""
         self.calls += 1
-        paused = self.calls == self.paused_at
-        self.clock.advance(60 if paused else timeout_s)
+        is_paused = self.calls == self.paused_at
+        self.clock.advance(60 if is_paused else timeout_s)
         return await asyncio.sleep(0, None)
 
     async def fetch_terms(
@@ -267,7 +276,7 @@
         address: str,
         request: TermsRequest,
     ) -> TermsReply | None:
-        """Give no answer."""
+        """Give no reply."""
         return await asyncio.sleep(0, None)
 
 
@@ -275,42 +284,44 @@
     ('paused_at', 'state'),
     [
         (0, MemberState.SUSPECT),
-        (1, MemberState.ALIVE),  # in the probe itself
-        (2, MemberState.ALIVE),  # while helpers are asked
+        (1, MemberState.ALIVE),  # during the direct probe
+        (2, MemberState.ALIVE),  # during the indirect probes
     ],
 )
-async def test_a_pause_of_this_process_blames_no_peer(
+async def test_a_pause_of_this_process_suspects_no_peer(
     paused_at: int,
     state: MemberState,
 ) -> None:
-    """This process is paused for a minute with a probe under way.
+    """This process is paused for a minute during a probe.
 
-    When it goes on, the probe's time has run out. The answer may have come
-    and gone meanwhile, so the silence says nothing of the peer; without a
-    pause the same silence makes it a suspect.
+    When the process resumes, the probe has timed out. The reply may have been
+    lost in the pause, so the timeout says nothing about the peer; without a
+    pause the same timeout makes the peer a suspect.
     """
     clock = ManualClock(datetime(2026, 12, 2, tzinfo=UTC))
-    wire = PausedWire(clock, paused_at)
+    transport = PausedTransport(clock, paused_at)
     own, peer, helper = (
         Member(f'entry-{idx}', f'10.0.0.{idx}', 'walton', 'a', heartbeat=1)
         for idx in range(3)
     )
     members = Members(own, Random(1), 0)
     members.on_records([peer, helper], 0)
-    deps = GossipDeps(members, wire, FakeNews('10.0.0.0', []), clock)
+    deps = GossipDeps(members, transport, FakeDelegate('10.0.0.0', []), clock)
 
     await Gossip(deps, Random(1)).probe(Outgoing(peer.address, (own,)))
 
-    held = {member.vm: member.state for member in members.known(0)}
-    assert held[peer.vm] is state
+    states = {member.vm: member.state for member in members.known(0)}
+    assert states[peer.vm] is state
 
 
-async def test_news_reaches_every_node() -> None:
-    async with _nodes(6) as nodes:
+async def test_gossip_reaches_every_node() -> None:
+    async with _running_nodes(6) as nodes:
         source, *others = nodes
-        source.news.terms_version = 7
-        source.news.crashes = [SuspectRecord(fingerprint='f', generation=1)]
-        source.news.shards = [
+        source.delegate.terms_version = 7
+        source.delegate.suspect_records = [
+            SuspectRecord(fingerprint='f', generation=1)
+        ]
+        source.delegate.shards = [
             ShardRecord(
                 service='briefing-llm',
                 shard=2,
@@ -320,20 +331,21 @@
             ),
         ]
 
-        def spread() -> bool:
+        def is_spread() -> bool:
             now = CLOCK.monotonic()
             return all(
-                node.news.versions.get(source.address) == 7
-                and 'f' in node.news.taken
-                and ('briefing-llm', 2) in node.gossip.shards.views(now)
+                node.delegate.versions.get(source.address) == 7
+                and 'f' in node.delegate.merged_suspects
+                and ('briefing-llm', 2)
+                in node.gossip.remote_loads.get_views(now)
                 for node in others
             )
 
-        await wait_until(spread, 'all have heard')
+        await wait_until(is_spread, 'all have received it')
 
 
 async def test_a_peer_of_another_protocol_is_refused_by_name() -> None:
-    async with _nodes(1) as nodes:
+    async with _running_nodes(1) as nodes:
         endpoint = f'{nodes[0].address}:{PORT}'
         message = GossipMessage(header=Header(protocol=99, vm='entry-9'))
         async with grpc.aio.insecure_channel(endpoint) as channel:
@@ -343,12 +355,12 @@
                 assert exc.code() is grpc.StatusCode.FAILED_PRECONDITION
                 assert 'entry-9 speaks protocol 99' in str(exc.details())
             else:
-                raise AssertionError('the message was taken in')
+                raise AssertionError('the message was accepted')
 
 
 async def test_a_message_without_a_sender_changes_nothing() -> None:
-    async with _nodes(1) as nodes:
-        reply = await nodes[0].gossip.answer(GossipMessage())
+    async with _running_nodes(1) as nodes:
+        reply = await nodes[0].gossip.handle_message(GossipMessage())
 
         assert not reply.members
         assert len(nodes[0].members.known(CLOCK.monotonic())) == 1
--- a/tests/test_shard_table.py
+++ b/tests/test_shard_table.py
@@ -1,8 +1,9 @@
-"""When an owner may say that nothing lower runs on its shard.
+"""When an owner may report that no lower tier runs on its shard.
 
-The caller of a higher tier sees `not run` for want of capacity while a lower
-tier's request is served elsewhere, if an owner says so too early: after it
-took over, after it was paused, after a run has left it for another owner.
+If an owner reports this too early, a higher tier's request is shed for lack of
+capacity (its caller sees `not run`) while a lower tier's request is served.
+Too early is: shortly after a takeover, after a pause of the owner, or after a
+run has moved from it to another owner.
 """
 
 from datetime import UTC, datetime
@@ -16,20 +17,24 @@
 from bramleybend.events import EventLog
 from bramleybend.metrics import NullMetrics
 from bramleybend.models import Ask, Service, ServiceKind, Terms, Tier
-from bramleybend.scheduler.messages import Adopted, HoldChannel, HoldLost
-from bramleybend.scheduler.shard_task import ShardDeps, ShardTask
-from bramleybend.scheduler.shards import (
-    LOOK_INTERVAL_S,
-    NOTES_A_LOOK,
+from bramleybend.scheduler.shard_messages import (
+    HoldChannel,
+    HoldLost,
+    RunAdopted,
+)
+from bramleybend.scheduler.shard_table import (
+    PAUSE_CHECKS_PER_UPDATE,
+    UPDATE_INTERVAL_S,
+    ShardSources,
     ShardTable,
-    Surroundings,
 )
+from bramleybend.scheduler.shard_task import ShardDeps, ShardTask
 from bramleybend.state.member import Member
 
 POOL = Service('bend-lm', ServiceKind.ENGINE, slots=2)
 TERMS = Terms(1, 'zvukopat', {POOL.name: POOL}, {}, {})
-OWN = Member('entry-1', '10.0.0.1', 'sof-a', 'a1')
-DRAFT = Ask(
+OWN_MEMBER = Member('entry-1', '10.0.0.1', 'sof-a', 'a1')
+BULK_ASK = Ask(
     request_id='draft#1',
     service=POOL.name,
     tier=Tier.BULK,
@@ -42,13 +47,13 @@
 )
 
 
-class World:
+class ShardTableFixture:
     """One scheduler's shards on a clock that the test moves."""
 
-    def __init__(self, owner: Member = OWN) -> None:
+    def __init__(self, owner: Member = OWN_MEMBER) -> None:
         self.clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
         self.shards = ShardTable(
-            Surroundings(lambda: TERMS, tuple, lambda: (owner,), OWN.vm),
+            ShardSources(lambda: TERMS, tuple, lambda: (owner,), OWN_MEMBER.vm),
             ShardDeps(
                 self.clock,
                 EventLog('scheduler', 'a1', self.clock),
@@ -60,77 +65,81 @@
 
     @property
     def task(self) -> ShardTask:
-        task = self.shards.get(POOL.name, 0)
+        task = self.shards.get_task(POOL.name, 0)
         assert task is not None
         return task
 
     @property
-    def settled(self) -> bool:
-        return self.shards.settled(self.task)
+    def is_settled(self) -> bool:
+        return self.shards.is_settled(self.task)
 
-    def run_for(self, seconds: float) -> None:
-        """Let time pass as it does for a process that is not paused."""
+    def run_unpaused(self, seconds: float) -> None:
+        """Let time pass with regular updates, as in an unpaused process."""
         end = self.clock.monotonic() + seconds
-        self.shards.look()
+        self.shards.update()
         while self.clock.monotonic() < end:
-            self.clock.advance(LOOK_INTERVAL_S)
-            self.shards.look()
+            self.clock.advance(UPDATE_INTERVAL_S)
+            self.shards.update()
 
 
 @pytest.fixture
-async def world() -> World:
-    made = World()
-    made.run_for(DEFAULT_TIMES.grace_s)
-    return made
+async def table() -> ShardTableFixture:
+    table = ShardTableFixture()
+    table.run_unpaused(DEFAULT_TIMES.grace_s)
+    return table
 
 
 async def test_new_owner_is_settled_only_after_the_grace() -> None:
-    world = World()
-    world.run_for(DEFAULT_TIMES.fresh_s)
-    assert not world.settled
-    world.run_for(DEFAULT_TIMES.hold_s)
+    table = ShardTableFixture()
+    table.run_unpaused(DEFAULT_TIMES.fresh_s)
+    assert not table.is_settled
+    table.run_unpaused(DEFAULT_TIMES.hold_s)
 
-    assert world.settled
+    assert table.is_settled
 
 
-async def test_paused_owner_starts_anew(world: World) -> None:
-    assert world.settled
-    world.clock.advance(DEFAULT_TIMES.fresh_s)
-    assert not world.settled  # also before it has looked again
-    world.run_for(DEFAULT_TIMES.fresh_s)
-    assert not world.settled
-    world.run_for(DEFAULT_TIMES.hold_s)
+async def test_paused_owner_must_settle_again(table: ShardTableFixture) -> None:
+    assert table.is_settled
+    table.clock.advance(DEFAULT_TIMES.fresh_s)
+    assert not table.is_settled  # also before the next update
+    table.run_unpaused(DEFAULT_TIMES.fresh_s)
+    assert not table.is_settled
+    table.run_unpaused(DEFAULT_TIMES.hold_s)
 
-    assert world.settled
+    assert table.is_settled
 
 
-@pytest.mark.parametrize(('short_by_s', 'is_anew'), [(0.2, False), (0, True)])
+@pytest.mark.parametrize(
+    ('short_by_s', 'must_settle_again'), [(0.2, False), (0, True)]
+)
 async def test_a_pause_is_not_counted_longer_than_it_was(
-    world: World, short_by_s: float, is_anew: bool
+    table: ShardTableFixture, short_by_s: float, must_settle_again: bool
 ) -> None:
-    """Guards against low tiers that wait out a takeover that nobody made."""
-    for _ in range(NOTES_A_LOOK - 1):
-        world.clock.advance(LOOK_INTERVAL_S / NOTES_A_LOOK)
-        world.shards.note_running()
-    world.clock.advance(DEFAULT_TIMES.fresh_s - short_by_s)
-    world.shards.note_running()
-    assert world.settled is not is_anew
+    """Guards against holding low tiers back although no takeover happened."""
+    for _ in range(PAUSE_CHECKS_PER_UPDATE - 1):
+        table.clock.advance(UPDATE_INTERVAL_S / PAUSE_CHECKS_PER_UPDATE)
+        table.shards.mark_running()
+    table.clock.advance(DEFAULT_TIMES.fresh_s - short_by_s)
+    table.shards.mark_running()
+    assert table.is_settled is not must_settle_again
 
 
-async def test_run_that_left_unsettles_its_owner(world: World) -> None:
+async def test_run_that_moved_away_unsettles_its_owner(
+    table: ShardTableFixture,
+) -> None:
     hold = HoldChannel('draft#1', 'draft', Tier.BULK)
-    now = world.clock.monotonic()
-    world.task._handle(Adopted(hold, DRAFT, 'engine-1'), now)
-    assert world.settled
-    world.task._handle(HoldLost(hold), now)
-    assert not world.settled
-    world.run_for(DEFAULT_TIMES.grace_s)
+    now = table.clock.monotonic()
+    table.task._handle_message(RunAdopted(hold, BULK_ASK, 'engine-1'), now)
+    assert table.is_settled
+    table.task._handle_message(HoldLost(hold), now)
+    assert not table.is_settled
+    table.run_unpaused(DEFAULT_TIMES.grace_s)
 
-    assert world.settled
+    assert table.is_settled
 
 
-async def test_who_is_no_owner_is_never_settled() -> None:
-    world = World(Member('entry-2', '10.0.0.2', 'sof-b', 'b2'))
-    world.run_for(DEFAULT_TIMES.grace_s)
+async def test_a_vm_that_is_not_the_owner_is_never_settled() -> None:
+    table = ShardTableFixture(Member('entry-2', '10.0.0.2', 'sof-b', 'b2'))
+    table.run_unpaused(DEFAULT_TIMES.grace_s)
 
-    assert not world.settled
+    assert not table.is_settled
