--- a/bramleybend/gateway/ask.py
+++ b/bramleybend/gateway/ask.py
@@ -5,11 +5,11 @@
 from typing import Final
 
 from bramleybend.decisions.prefixes import prefix_hashes
-from bramleybend.gateway.run import RequestBody
+from bramleybend.gateway.run import CallerRequest
 from bramleybend.models import Ask, Profile, ServiceKind
 from bramleybend.wire.bramleybend_pb2 import AskMessage
 
-CHARS_A_TOKEN: Final = 4
+CHARS_PER_TOKEN: Final = 4
 # A decoded token takes an engine's step for itself, a prompt token shares
 # one with its whole batch; the ratio is the stand-in engines' and only ranks
 # long work against short.
@@ -17,15 +17,15 @@
 DEFAULT_MAX_TOKENS: Final = 128
 
 
-def ask_of(req: RequestBody, profile: Profile, kind: ServiceKind) -> Ask:
+def make_ask(req: CallerRequest, profile: Profile, kind: ServiceKind) -> Ask:
     """Estimate from the body what an owner needs to decide."""
     if kind is ServiceKind.ENGINE:
-        prompt, max_tokens = _prompt_of(req.body)
+        prompt, max_tokens = _parse_prompt(req.body)
     else:
         # A plain call decodes no tokens. Taken for a completion of default
         # length, short calls would seem to fill their service and be shed.
         prompt, max_tokens = req.body.decode(errors='replace'), 0
-    prompt_tokens = max(len(prompt) // CHARS_A_TOKEN, 1)
+    prompt_tokens = max(len(prompt) // CHARS_PER_TOKEN, 1)
     return Ask(
         request_id=req.request_id,
         service=req.service,
@@ -40,7 +40,7 @@
     )
 
 
-def ask_message(
+def make_ask_message(
     ask: Ask,
     excluded: Sequence[str],
     timeout_s: float,
@@ -61,7 +61,7 @@
     )
 
 
-def _prompt_of(body: bytes) -> tuple[str, int]:
+def _parse_prompt(body: bytes) -> tuple[str, int]:
     try:
         payload = json.loads(body)
     except ValueError:
--- a/bramleybend/gateway/attempt.py
+++ b/bramleybend/gateway/attempt.py
@@ -31,11 +31,11 @@
 from bramleybend.gateway.slots import Slot
 from bramleybend.models import ServiceKind
 
-MAX_RESUMES: Final = 3  # in a row without a new event
-RESUME_PAUSE_S: Final = 0.1
+MAX_RESUMES_WITHOUT_EVENT: Final = 3  # in a row without a new event
+RESUME_BACKOFF_S: Final = 0.1
 
 
-class End(StrEnum):
+class EndKind(StrEnum):
     """How an attempt ended."""
 
     WHOLE = 'whole'  # the answer is complete
@@ -52,7 +52,7 @@
 class AttemptEnd:
     """An attempt's end, with what was learned on the way."""
 
-    end: End
+    kind: EndKind
     usage: Usage = Usage()
     status: int = HTTPStatus.OK
     crashed: bool = False
@@ -78,32 +78,32 @@
         self._run_id = run_id
         self._prompt_tokens = prompt_tokens
         self._usage = Usage()
-        self._received = 0
-        self._crashed = False
-        self.sent = False
+        self._received_events = 0
+        self._runner_crashed = False
+        self.was_sent = False
 
-    async def proceed(self) -> AttemptEnd:
+    async def run(self) -> AttemptEnd:
         """Dispatch and read to the end; never dispatches twice."""
         try:
             exchange = await connect(self._address.host, self._address.port)
         except OSError:
-            return AttemptEnd(End.NOT_SENT, unreachable=True)
-        if self._run.given_up:
+            return AttemptEnd(EndKind.NOT_SENT, unreachable=True)
+        if self._run.is_given_up:
             # Cancelling reaches this task a step later than its connection;
             # by then `not_run` is told, and nothing may be sent.
             exchange.close()
-            return AttemptEnd(End.NOT_SENT)
+            return AttemptEnd(EndKind.NOT_SENT)
         # Set before the first byte: a stop that comes while it is being
         # written must take the run for one that may have begun.
-        self.sent = True
-        self._run.note_sent()
+        self.was_sent = True
+        self._run.record_send()
         try:
             await send_run(
                 exchange,
                 self._address.kind,
                 RunBody(self._run_id, self._run.req.body),
             )
-            return await self._answer(exchange)
+            return await self._read_answer(exchange)
         finally:
             exchange.close()
 
@@ -111,124 +111,126 @@
         """Cancel the run at the runner; true once that is certain."""
         return await cancel_run(self._address, self._run_id)
 
-    async def _answer(self, exchange: Exchange) -> AttemptEnd:
+    async def _read_answer(self, exchange: Exchange) -> AttemptEnd:
         try:
             head = await exchange.head()
         except BROKEN:
-            return await self._unheard()
+            return await self._handle_no_response()
         if was_refused(head, self._address.kind):
-            self.sent = False
-            self._run.note_refused()
-            return AttemptEnd(End.NOT_SENT)
+            self.was_sent = False
+            self._run.record_refusal()
+            return AttemptEnd(EndKind.NOT_SENT)
         self._run.content_type = head.headers.get('content-type', '')
-        if self._streams and head.status == HTTPStatus.OK:
-            return await self._stream(exchange)
-        return await self._body(exchange, head)
+        if self._is_streaming and head.status == HTTPStatus.OK:
+            return await self._read_stream(exchange)
+        return await self._read_body(exchange, head)
 
     @property
-    def _streams(self) -> bool:
+    def _is_streaming(self) -> bool:
         return self._run.req.stream and (
             self._address.kind is ServiceKind.ENGINE
         )
 
-    async def _body(self, exchange: Exchange, head: HttpResponse) -> AttemptEnd:
+    async def _read_body(
+        self, exchange: Exchange, head: HttpResponse
+    ) -> AttemptEnd:
         parts: list[bytes] = []
         try:
             async for chunk in exchange.chunks():
                 parts.append(chunk)
         except BROKEN:
-            return await self._broken(End.TORN)
+            return await self._end_broken(EndKind.TORN)
         body = b''.join(parts)
         self._usage = usage_in(body) or Usage()
         if head.status >= HTTPStatus.BAD_REQUEST:
-            return AttemptEnd(End.ANSWERED, self._usage, head.status)
+            return AttemptEnd(EndKind.ANSWERED, self._usage, head.status)
         if head.framing is Framing.CONNECTION and not is_json(body):
             # A runner that crashes may close its connection in order.
-            return await self._broken(End.TORN)
-        if self._run.has_begun:
-            return AttemptEnd(End.OVERTAKEN, self._usage)
-        if not self._run.add(body):
-            return AttemptEnd(End.TOO_LARGE, self._usage)
-        return AttemptEnd(End.WHOLE, self._usage)
-
-    async def _stream(self, exchange: Exchange) -> AttemptEnd:
-        end = await self._events(exchange)
+            return await self._end_broken(EndKind.TORN)
+        if self._run.has_answer_data:
+            return AttemptEnd(EndKind.OVERTAKEN, self._usage)
+        if not self._run.add_chunk(body):
+            return AttemptEnd(EndKind.TOO_LARGE, self._usage)
+        return AttemptEnd(EndKind.WHOLE, self._usage)
+
+    async def _read_stream(self, exchange: Exchange) -> AttemptEnd:
+        end = await self._read_events(exchange)
         failures = 0
-        while end is None and failures < MAX_RESUMES:
+        while end is None and failures < MAX_RESUMES_WITHOUT_EVENT:
             failures += 1
-            before = self._received
-            await asyncio.sleep(RESUME_PAUSE_S * failures)
-            end = await self._resumed()
-            if self._received > before:
+            received_before = self._received_events
+            await asyncio.sleep(RESUME_BACKOFF_S * failures)
+            end = await self._resume_stream()
+            if self._received_events > received_before:
                 # A long answer over a poor link may be cut many times; only
                 # resumes that bring nothing show that the run is lost.
                 failures = 0
-        return end or await self._broken(End.TORN)
+        return end or await self._end_broken(EndKind.TORN)
 
-    async def _resumed(self) -> AttemptEnd | None:
+    async def _resume_stream(self) -> AttemptEnd | None:
         # The engine replays from the first event we lack, so the caller's
         # answer has neither a gap nor an event twice.
         try:
             exchange = await resume_run(
                 self._address,
                 self._run_id,
-                self._received,
+                self._received_events,
             )
         except OSError:
-            self._crashed = True
+            self._runner_crashed = True
             return None
         try:
             head = await exchange.head()
             if head.status != HTTPStatus.OK:
                 # An engine that no longer knows a run it had admitted has
                 # been restarted; by now it may look as well as ever.
-                self._crashed |= head.status == HTTPStatus.NOT_FOUND
+                self._runner_crashed |= head.status == HTTPStatus.NOT_FOUND
                 return None
-            return await self._events(exchange)
+            return await self._read_events(exchange)
         except BROKEN:
             return None
         finally:
             exchange.close()
 
-    async def _events(self, exchange: Exchange) -> AttemptEnd | None:
+    async def _read_events(self, exchange: Exchange) -> AttemptEnd | None:
         try:
             async for event in events_of(exchange):
-                self._received += 1
+                self._received_events += 1
                 if event == DONE_EVENT:
-                    return AttemptEnd(End.WHOLE, self._usage)
-                if not await self._take(event):
-                    return AttemptEnd(End.TOO_LARGE, self._usage)
+                    return AttemptEnd(EndKind.WHOLE, self._usage)
+                if not await self._add_event(event):
+                    return AttemptEnd(EndKind.TOO_LARGE, self._usage)
         except BROKEN:
             return None
         return None
 
-    async def _take(self, event: bytes) -> bool:
+    async def _add_event(self, event: bytes) -> bool:
         usage = usage_in(event)
         if usage is not None:
             self._usage = usage
-        first = not self._run.has_begun
-        fits = self._run.add(event + EVENT_END)
-        if first:
-            await self._slot.first_token(self._prompt_tokens)
+        is_first = not self._run.has_answer_data
+        fits = self._run.add_chunk(event + EVENT_END)
+        if is_first:
+            await self._slot.report_first_token(self._prompt_tokens)
         return fits
 
-    async def _unheard(self) -> AttemptEnd:
+    async def _handle_no_response(self) -> AttemptEnd:
         """Nothing came back: an engine may still tell what became of it."""
         if self._address.kind is not ServiceKind.ENGINE:
-            return await self._broken(End.UNHEARD)
-        if self._streams:
-            end = await self._resumed()
+            return await self._end_broken(EndKind.UNHEARD)
+        if self._is_streaming:
+            end = await self._resume_stream()
             if end is not None:
                 return end
-        return await self._broken(End.UNHEARD)
+        return await self._end_broken(EndKind.UNHEARD)
 
-    async def _broken(self, end: End) -> AttemptEnd:
+    async def _end_broken(self, end: EndKind) -> AttemptEnd:
         """Tell a crashed runner from a broken connection."""
-        if not self._crashed:
+        if not self._runner_crashed:
             try:
                 probe = await connect(self._address.host, self._address.port)
             except OSError:
-                self._crashed = True
+                self._runner_crashed = True
             else:
                 probe.close()
-        return AttemptEnd(end, self._usage, crashed=self._crashed)
+        return AttemptEnd(end, self._usage, crashed=self._runner_crashed)
--- a/bramleybend/gateway/border.py
+++ b/bramleybend/gateway/border.py
@@ -12,7 +12,7 @@
 
 from bramleybend.answers import Answer, rejected
 from bramleybend.clock import Clock
-from bramleybend.gateway.run import RequestBody
+from bramleybend.gateway.run import CallerRequest
 from bramleybend.models import Profile, Terms
 
 REQUEST_ID: Final = 'bramleybend-request-id'
@@ -20,12 +20,12 @@
 SERVICE: Final = 'bramleybend-service'
 PROFILE: Final = 'bramleybend-profile'
 DEADLINE: Final = 'bramleybend-deadline'
-SHOWN: Final = 64  # characters of a bad value that an answer repeats
-NAMED: Final = (REQUEST_ID, WORKSPACE, SERVICE, PROFILE, DEADLINE)
+MAX_ECHOED_CHARS: Final = 64  # characters of a bad value that an answer repeats
+REQUIRED_HEADERS: Final = (REQUEST_ID, WORKSPACE, SERVICE, PROFILE, DEADLINE)
 
 
 @dataclass(frozen=True)
-class Received:
+class ReceivedRequest:
     """A request as it came in: headers in lower case, and the body."""
 
     headers: Mapping[str, str]
@@ -33,11 +33,13 @@
 
 
 def check_headers(
-    received: Received,
+    received: ReceivedRequest,
     clock: Clock,
-) -> Result[RequestBody, Answer]:
+) -> Result[CallerRequest, Answer]:
     """Turn headers and body into a request, or say what is wrong."""
-    missing = [name for name in NAMED if not received.headers.get(name)]
+    missing = [
+        name for name in REQUIRED_HEADERS if not received.headers.get(name)
+    ]
     if missing:
         return Err(
             rejected(
@@ -45,24 +47,24 @@
                 'send it; docs/CALLERS.md lists the headers',
             ),
         )
-    left_s = _seconds_left(received.headers[DEADLINE], clock)
+    left_s = _parse_seconds_left(received.headers[DEADLINE], clock)
     match left_s:
         case Err() as err:
             return err
         case Ok(seconds):
-            return Ok(_request(received, clock.monotonic() + seconds))
+            return Ok(_make_request(received, clock.monotonic() + seconds))
 
 
-def check_terms(req: RequestBody, terms: Terms) -> Result[Profile, Answer]:
+def check_terms(req: CallerRequest, terms: Terms) -> Result[Profile, Answer]:
     """Return the profile that the request runs under."""
     workspace = terms.workspaces.get(req.workspace)
     if workspace is None:
-        return Err(_no_such('workspace', req.workspace))
+        return Err(_unknown_name('workspace', req.workspace))
     if req.service not in terms.services:
-        return Err(_no_such('service', req.service))
+        return Err(_unknown_name('service', req.service))
     profile = terms.profiles.get(req.profile)
     if profile is None:
-        return Err(_no_such('profile', req.profile))
+        return Err(_unknown_name('profile', req.profile))
     if profile.service != req.service:
         return Err(
             rejected(
@@ -81,7 +83,7 @@
     return Ok(profile)
 
 
-def check_deadline(req: RequestBody, clock: Clock) -> Answer | None:
+def check_deadline(req: CallerRequest, clock: Clock) -> Answer | None:
     """Refuse a new request whose deadline has passed.
 
     Only a new one: a caller that asks again about a request that has run is
@@ -100,9 +102,9 @@
     return xxh3_128_hexdigest(body)
 
 
-def _request(received: Received, deadline: float) -> RequestBody:
+def _make_request(received: ReceivedRequest, deadline: float) -> CallerRequest:
     headers = received.headers
-    return RequestBody(
+    return CallerRequest(
         request_id=headers[REQUEST_ID],
         workspace=headers[WORKSPACE],
         service=headers[SERVICE],
@@ -125,13 +127,13 @@
     return isinstance(payload, dict) and payload.get('stream') is True
 
 
-def _seconds_left(text: str, clock: Clock) -> Result[float, Answer]:
+def _parse_seconds_left(text: str, clock: Clock) -> Result[float, Answer]:
     try:
         deadline = datetime.fromisoformat(text)
     except ValueError:
         return Err(
             rejected(
-                f'deadline {text[:SHOWN]!r} is not a time',
+                f'deadline {text[:MAX_ECHOED_CHARS]!r} is not a time',
                 'send RFC 3339 in UTC, as in 2026-12-02T21:00:00Z',
             ),
         )
@@ -140,9 +142,9 @@
     return Ok((deadline - clock.now()).total_seconds())
 
 
-def _no_such(kind: str, name: str) -> Answer:
+def _unknown_name(kind: str, name: str) -> Answer:
     return rejected(
-        f'there is no {kind} {name[:SHOWN]!r}',
+        f'there is no {kind} {name[:MAX_ECHOED_CHARS]!r}',
         'use a name that the published terms hold',
         HTTPStatus.NOT_FOUND,
     )
--- a/bramleybend/gateway/caller_connection.py
+++ b/bramleybend/gateway/caller_connection.py
@@ -26,7 +26,7 @@
     Handler,
     HttpAnswer,
     HttpRequest,
-    answer_of,
+    make_http_answer,
 )
 
 MAX_HEADER_BYTES: Final = 16_384
@@ -36,14 +36,14 @@
 # Long enough for a slow link, short enough that half-sent requests can't
 # collect: at 200 connections a second they stay under 6,000 open sockets.
 READ_TIMEOUT_S: Final = 30.0
-LINGER_S: Final = 2.0
+LINGER_TIMEOUT_S: Final = 2.0
 # A stopping server still reads what a caller is sending. Callers that were
 # paused while they connected, and kept connections, get as long.
-LAST_REQUEST_S: Final = 3.0
+LAST_REQUEST_TIMEOUT_S: Final = 3.0
 STOPPING_RETRY_AFTER: Final = timedelta(seconds=1)
 
 
-class Connection:
+class CallerConnection:
     """One caller's connection; serves its requests one by one."""
 
     def __init__(
@@ -51,91 +51,91 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         handler: Handler,
-        answering: Callable[[], AbstractContextManager[None]],
+        count_answering: Callable[[], AbstractContextManager[None]],
     ) -> None:
         """Take over an accepted connection."""
         self._reader = reader
         self._writer = writer
         self._handler = handler
-        self._answering = answering
+        self._count_answering = count_answering
         self._http = h11.Connection(
             h11.SERVER,
             max_incomplete_event_size=MAX_HEADER_BYTES,
         )
         self._meter = MessageMeter(REQUEST_BOUNDS)
-        self._received = 0
-        self._finishing = False
-        self._read_limit: asyncio.Timeout | None = None
+        self._received_bytes = 0
+        self._is_closing = False
+        self._read_timeout: asyncio.Timeout | None = None
 
-    def finish(self) -> None:
+    def close_when_idle(self) -> None:
         """Close after the next answer, or soon if no request comes."""
-        self._finishing = True
-        if self._read_limit is not None:
+        self._is_closing = True
+        if self._read_timeout is not None:
             now = asyncio.get_running_loop().time()
-            self._read_limit.reschedule(now + LAST_REQUEST_S)
+            self._read_timeout.reschedule(now + LAST_REQUEST_TIMEOUT_S)
 
     async def serve(self, count_rejected: Callable[[], None]) -> None:
         """Answer requests until either side closes."""
-        while (req := await self._checked_request()) is not None:
+        while (req := await self._receive_request()) is not None:
             if isinstance(req, Answer):
                 count_rejected()
-                await self._refuse(req)
+                await self._send_rejection(req)
                 return
-            with self._answering():
-                await self._answer(await self._handled(req))
-            if not self._next_cycle():
+            with self._count_answering():
+                await self._send_answer(await self._handle_request(req))
+            if not self._start_next_cycle():
                 return
 
-    async def _handled(self, req: HttpRequest) -> HttpAnswer:
+    async def _handle_request(self, req: HttpRequest) -> HttpAnswer:
         """Answer while watching whether the caller is still there."""
         # Without the watch, a caller that hung up would be noticed only when
         # its answer is written, after a runner has done the work for nobody.
-        handling = asyncio.ensure_future(self._handler(req))
-        watching = asyncio.create_task(self._reader.read(READ_SIZE))
+        answer_task = asyncio.ensure_future(self._handler(req))
+        watch_task = asyncio.create_task(self._reader.read(READ_SIZE))
         try:
             await asyncio.wait(
-                (handling, watching),
+                (answer_task, watch_task),
                 return_when=asyncio.FIRST_COMPLETED,
             )
-            if watching.done():
-                self._take_early(watching.result())
-            return await handling
+            if watch_task.done():
+                self._buffer_early_data(watch_task.result())
+            return await answer_task
         finally:
-            handling.cancel()
-            await self._stop_watching(watching)
+            answer_task.cancel()
+            await self._stop_watching(watch_task)
 
-    async def _stop_watching(self, watching: asyncio.Task[bytes]) -> None:
+    async def _stop_watching(self, watch_task: asyncio.Task[bytes]) -> None:
         # Two reads on one stream are an error, so the watch must be over
         # before the next request is read.
-        watching.cancel()
+        watch_task.cancel()
         with suppress(asyncio.CancelledError, OSError):
-            await watching
+            await watch_task
 
-    def _take_early(self, early: bytes) -> None:
+    def _buffer_early_data(self, early: bytes) -> None:
         if not early:
             raise ConnectionResetError('the caller has gone')
         self._http.receive_data(early)
 
-    async def _checked_request(self) -> HttpRequest | Answer | None:
+    async def _receive_request(self) -> HttpRequest | Answer | None:
         try:
             return await self._read_request()
         except h11.RemoteProtocolError as exc:
-            return _malformed(exc)
+            return _malformed_answer(exc)
         except MessageTooLongError as exc:
-            return _padded(exc)
+            return _overhead_answer(exc)
         except TimeoutError:
-            return self._overdue()
+            return self._timeout_answer()
 
-    def _overdue(self) -> Answer | None:
+    def _timeout_answer(self) -> Answer | None:
         """Return what to tell a caller that has not sent a whole request."""
-        if not self._finishing:
-            return _half_sent()
+        if not self._is_closing:
+            return _incomplete_answer()
         if self._http.their_state is h11.IDLE:
             return None
         return not_run('this VM is stopping', STOPPING_RETRY_AFTER)
 
     async def _read_request(self) -> HttpRequest | Answer | None:
-        async with self._read_in_time():
+        async with self._limit_read_time():
             head = await self._next_event()
             if not isinstance(head, h11.Request):
                 return None
@@ -154,14 +154,14 @@
         )
 
     @asynccontextmanager
-    async def _read_in_time(self) -> AsyncIterator[None]:
-        limit_s = LAST_REQUEST_S if self._finishing else READ_TIMEOUT_S
+    async def _limit_read_time(self) -> AsyncIterator[None]:
+        limit_s = LAST_REQUEST_TIMEOUT_S if self._is_closing else READ_TIMEOUT_S
         try:
             async with asyncio.timeout(limit_s) as limit:
-                self._read_limit = limit
+                self._read_timeout = limit
                 yield
         finally:
-            self._read_limit = None
+            self._read_timeout = None
 
     async def _read_body(self) -> bytes | Answer:
         parts: list[bytes] = []
@@ -171,28 +171,30 @@
             size += len(event.data)
             self._meter.add_content(len(event.data))
             if size > MAX_REQUEST_BYTES:
-                return _oversized()
+                return _too_large_answer()
         return b''.join(parts)
 
     async def _next_event(self) -> object:
         event = self._http.next_event()
         while event is h11.NEED_DATA:
             if self._http.they_are_waiting_for_100_continue:
-                go_on = h11.InformationalResponse(status_code=100, headers=[])
-                self._writer.write(self._http.send(go_on) or b'')
-            self._meter.note_received(self._received)
-            came = await self._reader.read(READ_SIZE)
-            self._received += len(came)
-            self._http.receive_data(came)
+                continue_response = h11.InformationalResponse(
+                    status_code=100, headers=[]
+                )
+                self._writer.write(self._http.send(continue_response) or b'')
+            self._meter.note_received(self._received_bytes)
+            received = await self._reader.read(READ_SIZE)
+            self._received_bytes += len(received)
+            self._http.receive_data(received)
             event = self._http.next_event()
         return event
 
-    async def _answer(self, answer: HttpAnswer) -> None:
+    async def _send_answer(self, answer: HttpAnswer) -> None:
         headers = [
             ('Content-Type', answer.content_type),
             *answer.headers.items(),
         ]
-        if self._finishing:
+        if self._is_closing:
             headers.append(('Connection', 'close'))
         if answer.parts is None:
             headers.append(('Content-Length', str(len(answer.body))))
@@ -209,11 +211,11 @@
                 await self._send(h11.Data(data=part))
         await self._send(h11.EndOfMessage())
 
-    async def _refuse(self, answer: Answer) -> None:
+    async def _send_rejection(self, answer: Answer) -> None:
         """Tell what was wrong, if the protocol still allows an answer."""
         if self._http.our_state in {h11.IDLE, h11.SEND_RESPONSE}:
             with suppress(h11.LocalProtocolError, OSError):
-                await self._answer(answer_of(answer))
+                await self._send_answer(make_http_answer(answer))
                 await self._linger()
 
     async def _linger(self) -> None:
@@ -222,11 +224,11 @@
         # caller would see that in place of the answer that tells why.
         self._writer.write_eof()
         with suppress(TimeoutError):
-            async with asyncio.timeout(LINGER_S):
-                left = MAX_REQUEST_BYTES
-                while left > 0:
+            async with asyncio.timeout(LINGER_TIMEOUT_S):
+                remaining = MAX_REQUEST_BYTES
+                while remaining > 0:
                     discarded = await self._reader.read(READ_SIZE)
-                    left -= len(discarded) or left
+                    remaining -= len(discarded) or remaining
 
     async def _send(self, event: h11.Event) -> None:
         payload = self._http.send(event)
@@ -234,7 +236,7 @@
             self._writer.write(payload)
             await self._writer.drain()
 
-    def _next_cycle(self) -> bool:
+    def _start_next_cycle(self) -> bool:
         if self._http.our_state is h11.MUST_CLOSE:
             return False
         try:
@@ -242,11 +244,11 @@
         except h11.LocalProtocolError:
             return False
         self._meter = MessageMeter(REQUEST_BOUNDS)
-        self._received = len(self._http.trailing_data[0])
+        self._received_bytes = len(self._http.trailing_data[0])
         return True
 
 
-def _malformed(exc: h11.RemoteProtocolError) -> Answer:
+def _malformed_answer(exc: h11.RemoteProtocolError) -> Answer:
     status = HTTPStatus(exc.error_status_hint)
     return rejected(
         f'this is not a valid HTTP/1.1 request: {exc}',
@@ -255,7 +257,7 @@
     )
 
 
-def _padded(exc: MessageTooLongError) -> Answer:
+def _overhead_answer(exc: MessageTooLongError) -> Answer:
     return rejected(
         str(exc),
         'send larger chunks and no extensions; nothing was run',
@@ -263,7 +265,7 @@
     )
 
 
-def _half_sent() -> Answer:
+def _incomplete_answer() -> Answer:
     return rejected(
         f'the request was not whole after {READ_TIMEOUT_S:.0f} s',
         'send it whole; nothing was run',
@@ -271,7 +273,7 @@
     )
 
 
-def _oversized() -> Answer:
+def _too_large_answer() -> Answer:
     return rejected(
         f'the body is over {MAX_REQUEST_BYTES} bytes',
         'send less in one request; nothing was run',
--- a/bramleybend/gateway/core.py
+++ b/bramleybend/gateway/core.py
@@ -12,20 +12,20 @@
 from bramleybend.control import ControlService
 from bramleybend.decisions.floor import ShedPermits
 from bramleybend.events import EventLog
-from bramleybend.gateway.floor_round import FloorPort, FloorRounds
+from bramleybend.gateway.floor_round import FloorRounds, FloorRpc
 from bramleybend.gateway.forwarding import (
     Forwarder,
-    ForwardPort,
+    ForwardRpc,
     HomeService,
 )
 from bramleybend.gateway.home import Home
 from bramleybend.gateway.http_server import HttpServer
 from bramleybend.gateway.intake import Intake, IntakeDeps
-from bramleybend.gateway.job import Deps
+from bramleybend.gateway.job import DispatchDeps
 from bramleybend.gateway.journal import JournalWriter
 from bramleybend.gateway.lost_home import LostHomes
 from bramleybend.gateway.routes import Routes
-from bramleybend.gateway.slot_asker import OwnerPort, SlotAsker
+from bramleybend.gateway.slot_asker import OwnerRpc, SlotClient
 from bramleybend.gateway.view import ViewFollower
 from bramleybend.identity import Identity, make_identity
 from bramleybend.loop_watch import LoopWatch
@@ -70,7 +70,7 @@
             clock,
             self.events,
         )
-        self._deps = self._dispatch_deps()
+        self._deps = self._make_dispatch_deps()
         self.intake: Intake
         self._http: HttpServer
         self._grpc: grpc.aio.Server
@@ -78,7 +78,7 @@
     async def start(self) -> None:
         """Listen and follow the scheduler."""
         self.intake = self._make_intake()
-        routes = Routes(self.intake, self._addresses)
+        routes = Routes(self.intake, self._list_addresses)
         self._http = HttpServer(
             routes.handle,
             lambda: self._metrics.count(Metric.REJECTED, reason='http'),
@@ -86,22 +86,22 @@
         self._grpc = grpc.aio.server(options=SERVER_OPTIONS)
         add_HomeServicer_to_server(
             HomeService(
-                self.intake.take_forwarded,
+                self.intake.accept_forwarded,
                 self._clock,
                 self._headers,
             ),
             self._grpc,
         )
         add_ControlServicer_to_server(
-            ControlService(GatewayProcess(self), self.events),
+            ControlService(GatewayControl(self), self.events),
             self._grpc,
         )
         self._grpc.add_insecure_port(
             f'{self._cfg.address}:{self._cfg.gateway_port}',
         )
         await self._grpc.start()
-        self._spawn(self.views.follow())
-        self._spawn(LoopWatch(self.events, self._clock).work())
+        self._start_task(self.views.follow())
+        self._start_task(LoopWatch(self.events, self._clock).work())
         await self._http.start(self._cfg.address, self._cfg.http_port)
         self.events.record('started', vm=self._cfg.vm)
 
@@ -111,10 +111,10 @@
 
     async def stop(self) -> None:
         """Take nothing new, let everything in flight end, then leave."""
-        self.intake.draining = True
+        self.intake.is_draining = True
         self.events.record('draining', in_flight=self.intake.in_flight)
         deadline = self._clock.monotonic() + self._cfg.drain_timeout_s
-        while self._busy and self._clock.monotonic() < deadline:
+        while self._has_work and self._clock.monotonic() < deadline:
             await asyncio.sleep(DRAIN_POLL_S)
         await self._http.stop(max(deadline - self._clock.monotonic(), 0))
         for home in self.intake.homes:
@@ -126,16 +126,16 @@
         self.events.record('stopped', in_flight=self.intake.in_flight)
 
     @property
-    def _busy(self) -> bool:
-        return bool(self.intake.in_flight or self._http.answering)
+    def _has_work(self) -> bool:
+        return bool(self.intake.in_flight or self._http.answering_count)
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         self._tasks.append(asyncio.create_task(work))
 
-    def _addresses(self) -> list[str]:
+    def _list_addresses(self) -> list[str]:
         others = [
             member.address
-            for member in self.views.owners()
+            for member in self.views.owner_candidates()
             if member.address != self._cfg.address
         ]
         Random().shuffle(others)
@@ -149,12 +149,12 @@
             member.address == address for member in self.views.view.members
         )
 
-    def _dispatch_deps(self) -> Deps:
-        asker = SlotAsker(
-            OwnerPort(
+    def _make_dispatch_deps(self) -> DispatchDeps:
+        asker = SlotClient(
+            OwnerRpc(
                 self._channels,
                 self._cfg.scheduler_port,
-                self.views.owners,
+                self.views.owner_candidates,
                 self._headers,
             ),
             self._clock,
@@ -162,16 +162,16 @@
         )
         floors = FloorRounds(
             ShedPermits(),
-            FloorPort(
+            FloorRpc(
                 self._channels,
                 self._cfg.scheduler_port,
-                asker.owner,
+                asker.find_owner,
                 lambda: self.views.view_age_s,
                 self._headers,
             ),
             self._clock,
         )
-        return Deps(
+        return DispatchDeps(
             asker,
             floors,
             self.views,
@@ -183,7 +183,7 @@
 
     def _make_intake(self) -> Intake:
         forwarder = Forwarder(
-            ForwardPort(self._channels, self._headers, self._is_member),
+            ForwardRpc(self._channels, self._headers, self._is_member),
             LostHomes(self._log, self._cfg.vm, self._clock, self.events),
             self._clock,
             self.events,
@@ -212,7 +212,7 @@
             self.events,
             self._metrics,
         )
-        self._spawn(journal.work())
+        self._start_task(journal.run())
         return Home(
             Ticket(
                 str(self._cfg.address),
@@ -226,7 +226,7 @@
         )
 
 
-class GatewayProcess:
+class GatewayControl:
     """What operators may ask of a gateway."""
 
     def __init__(self, gateway: Gateway) -> None:
@@ -242,8 +242,8 @@
             'incarnation': gateway.identity.incarnation,
             'domain': gateway.identity.domain,
             'terms_version': gateway.views.terms_version,
-            'terms_age_s': gateway.views.age_s,
-            'draining': gateway.intake.draining,
+            'terms_age_s': gateway.views.terms_age_s,
+            'draining': gateway.intake.is_draining,
             'in_flight': gateway.intake.in_flight,
             'log_ok': all(home.journal.log_ok for home in gateway.intake.homes),
         }
--- a/bramleybend/gateway/dispatcher.py
+++ b/bramleybend/gateway/dispatcher.py
@@ -6,22 +6,24 @@
 
 from bramleybend.answers import Answer, Outcome, not_run, unknown
 from bramleybend.decisions.retries import RetryBudgets, backoff
-from bramleybend.gateway.attempt import AttemptEnd, End
+from bramleybend.gateway.attempt import AttemptEnd, EndKind
 from bramleybend.gateway.hedge import Hedger
-from bramleybend.gateway.job import Deps, Job
+from bramleybend.gateway.job import DispatchDeps, Job
 from bramleybend.gateway.slot_search import SlotSearch
 from bramleybend.gateway.supervisor import Supervisor
 from bramleybend.metrics import Metric
 
 RETRY_AFTER: Final = timedelta(seconds=1)
 MAX_ATTEMPTS: Final = 4
-REPEATABLE: Final = frozenset((End.STOPPED, End.TORN, End.UNHEARD))
+RETRYABLE_ENDS: Final = frozenset(
+    (EndKind.STOPPED, EndKind.TORN, EndKind.UNHEARD)
+)
 
 
 class Dispatcher:
     """Finds a slot, dispatches, and tries again only where that is safe."""
 
-    def __init__(self, deps: Deps) -> None:
+    def __init__(self, deps: DispatchDeps) -> None:
         """Take the means; hold no state between runs."""
         self._deps = deps
         self._search = SlotSearch(deps)
@@ -31,55 +33,55 @@
     async def dispatch(self, job: Job) -> Answer:
         """Run the job to its outcome."""
         excluded: list[str] = []
-        ran: AttemptEnd | None = None
+        sent_end: AttemptEnd | None = None
         for number in range(MAX_ATTEMPTS):
             slot = await self._search.find(job, excluded)
             if isinstance(slot, Answer):
-                return self._given_up(job, slot, ran)
-            end = await self._hedger.carry(job, slot, str(number))
-            if end.end is End.WHOLE:
+                return self._failure_answer(job, slot, sent_end)
+            end = await self._hedger.run_attempt(job, slot, str(number))
+            if end.kind is EndKind.WHOLE:
                 self._retries.succeeded(
                     job.run.req.workspace,
                     job.service.name,
                     self._deps.clock.monotonic(),
                 )
                 return Answer(Outcome.DONE, 'whole')
-            if end.end is not End.NOT_SENT:
-                ran = end
-            if not self._may_go_on(job, end):
+            if end.kind is not EndKind.NOT_SENT:
+                sent_end = end
+            if not self._may_retry(job, end):
                 break
             excluded.append(slot.runner)
-            self._deps.note(job, 'retry', end=end.end)
+            self._deps.record_event(job, 'retry', end=end.kind)
             self._deps.metrics.count(Metric.RETRIED, tier=int(job.tier))
-            pause = backoff(number + 1, self._deps.rng)
-            await asyncio.sleep(pause.total_seconds())
+            delay = backoff(number + 1, self._deps.rng)
+            await asyncio.sleep(delay.total_seconds())
         refused = not_run('no runner took it', RETRY_AFTER)
-        return self._given_up(job, refused, ran)
+        return self._failure_answer(job, refused, sent_end)
 
-    def _given_up(
+    def _failure_answer(
         self,
         job: Job,
         answer: Answer,
-        ran: AttemptEnd | None,
+        sent_end: AttemptEnd | None,
     ) -> Answer:
         # Once an earlier try has reached a runner, `not_run` is untrue
         # whatever the last one met, and a caller that acts on it would have
         # its work done twice.
-        if ran is None:
+        if sent_end is None:
             return answer
-        return _final(ran, out_of_time=not self._deps.left_s(job))
+        return _answer_of(sent_end, out_of_time=not self._deps.remaining_s(job))
 
-    def _may_go_on(self, job: Job, end: AttemptEnd) -> bool:
+    def _may_retry(self, job: Job, end: AttemptEnd) -> bool:
         """Whether another try is safe and still of use."""
-        if not self._deps.left_s(job) or job.run.abandoned.is_set():
+        if not self._deps.remaining_s(job) or job.run.abandoned.is_set():
             return False
-        if end.end is End.NOT_SENT:
+        if end.kind is EndKind.NOT_SENT:
             return True
         # Once a caller has read part of an answer, a second run could go on
         # with other words: the whole would be nobody's answer.
         return (
-            end.end in REPEATABLE
-            and not job.run.has_begun
+            end.kind in RETRYABLE_ENDS
+            and not job.run.has_answer_data
             and self._retries.allow(
                 job.profile.repeat,
                 job.run.req.workspace,
@@ -89,24 +91,24 @@
         )
 
 
-def _final(end: AttemptEnd, *, out_of_time: bool) -> Answer:
-    match end.end:
-        case End.STOPPED:
+def _answer_of(end: AttemptEnd, *, out_of_time: bool) -> Answer:
+    match end.kind:
+        case EndKind.STOPPED:
             reason = 'its deadline passed' if out_of_time else 'given up'
             return Answer(
                 Outcome.CANCELLED,
                 f'stopped while it ran: {reason}',
                 'send it under a new id if it is still wanted',
             )
-        case End.UNHEARD:
+        case EndKind.UNHEARD:
             return unknown('the runner was sent it and did not answer')
-        case End.ANSWERED:
+        case EndKind.ANSWERED:
             return Answer(
                 Outcome.FAILED,
                 f'the runner answered {end.status}',
                 'mend the request before you send it under a new id',
             )
-        case End.TOO_LARGE:
+        case EndKind.TOO_LARGE:
             return Answer(
                 Outcome.FAILED,
                 'the answer is larger than a home keeps',
--- a/bramleybend/gateway/floor_round.py
+++ b/bramleybend/gateway/floor_round.py
@@ -24,16 +24,16 @@
 
 FLOOR_TIMEOUT_S: Final = 1.0
 
-OwnerOf = Callable[[str, int], Member | None]
+FindOwner = Callable[[str, int], Member | None]
 
 
 @dataclass(frozen=True)
-class FloorPort:
+class FloorRpc:
     """What is needed to speak to owners about floors."""
 
     channels: Channels
     port: int
-    owner: OwnerOf
+    find_owner: FindOwner
     view_age_s: Callable[[], float]
     headers: Headers
 
@@ -44,12 +44,12 @@
     def __init__(
         self,
         permits: ShedPermits,
-        port: FloorPort,
+        rpc: FloorRpc,
         clock: Clock,
     ) -> None:
         """Hold no permit yet."""
         self._permits = permits
-        self._port = port
+        self._rpc = rpc
         self._clock = clock
         self._rounds: dict[tuple[str, Tier], asyncio.Task[None]] = {}
 
@@ -71,31 +71,33 @@
         # an owner is silent.
         left_s = answer_by - self._clock.monotonic()
         if left_s > 0:
-            asking = self._round(service, tier, shards)
-            await asyncio.wait((asking,), timeout=left_s)
+            round_task = self._join_round(service, tier, shards)
+            await asyncio.wait((round_task,), timeout=left_s)
         return self._permits.permit(service, tier, self._clock.monotonic())
 
-    def _round(
+    def _join_round(
         self, service: str, tier: Tier, shards: int
     ) -> asyncio.Task[None]:
         """Return the round that is under way, or begin one."""
         key = (service, tier)
-        asking = self._rounds.get(key)
-        if asking is None or asking.done():
-            asking = asyncio.create_task(self._ask_all(service, tier, shards))
-            self._rounds[key] = asking
-        return asking
+        round_task = self._rounds.get(key)
+        if round_task is None or round_task.done():
+            round_task = asyncio.create_task(
+                self._run_round(service, tier, shards)
+            )
+            self._rounds[key] = round_task
+        return round_task
 
-    async def _ask_all(self, service: str, tier: Tier, shards: int) -> None:
+    async def _run_round(self, service: str, tier: Tier, shards: int) -> None:
         started = self._permits.begin(
             service,
             tier,
             frozenset(range(shards)),
             self._clock.monotonic(),
-            view_age=self._port.view_age_s(),
+            view_age=self._rpc.view_age_s(),
         )
         replies = await asyncio.gather(
-            *(self._ask(service, tier, shard) for shard in range(shards))
+            *(self._ask_owner(service, tier, shard) for shard in range(shards))
         )
         for shard, reply in enumerate(replies):
             if reply is not None:
@@ -107,24 +109,24 @@
                     lower_running=reply.lower_running,
                 )
 
-    async def _ask(
+    async def _ask_owner(
         self,
         service: str,
         tier: Tier,
         shard: int,
     ) -> FloorReply | None:
-        owner = self._port.owner(service, shard)
+        owner = self._rpc.find_owner(service, shard)
         if owner is None:
             return None
-        endpoint = f'{owner.address}:{self._port.port}'
+        endpoint = f'{owner.address}:{self._rpc.port}'
         request = FloorRequest(
-            header=self._port.headers.make(),
+            header=self._rpc.headers.make(),
             service=service,
             tier=tier,
             shard=shard,
             hold_s=HOLD_S,
         )
-        stub = OwnerStub(self._port.channels.get(endpoint))
+        stub = OwnerStub(self._rpc.channels.get(endpoint))
         try:
             reply: FloorReply = await stub.SetFloor(
                 request,
@@ -132,5 +134,5 @@
             )
         except grpc.aio.AioRpcError:
             return None
-        self._port.headers.observe(reply.header)
+        self._rpc.headers.observe(reply.header)
         return reply
--- a/bramleybend/gateway/forwarding.py
+++ b/bramleybend/gateway/forwarding.py
@@ -18,7 +18,7 @@
 from bramleybend.events import EventLog
 from bramleybend.gateway.border import fingerprint_of, wants_stream
 from bramleybend.gateway.lost_home import LostHomes
-from bramleybend.gateway.run import RequestBody, Run, TornError
+from bramleybend.gateway.run import CallerRequest, IncompleteAnswerError, Run
 from bramleybend.state.tickets import RequestId
 from bramleybend.wire.bramleybend_pb2 import (
     ForwardHead,
@@ -30,14 +30,14 @@
 from bramleybend.wire.check import Context
 from bramleybend.wire.headers import Headers
 
-FIRST_WORD_S: Final = 2.0
-STRANGER: Final = grpc.StatusCode.NOT_FOUND
+FIRST_REPLY_TIMEOUT_S: Final = 2.0
+UNKNOWN_HOME: Final = grpc.StatusCode.NOT_FOUND
 
-Submit = Callable[[RequestBody], Run | Answer | None]
+Submit = Callable[[CallerRequest], Run | Answer | None]
 
 
 @dataclass(frozen=True)
-class ForwardPort:
+class ForwardRpc:
     """What is needed to speak to other homes."""
 
     channels: Channels
@@ -50,70 +50,70 @@
 
     def __init__(
         self,
-        port: ForwardPort,
-        lost: LostHomes,
+        rpc: ForwardRpc,
+        lost_homes: LostHomes,
         clock: Clock,
         events: EventLog,
     ) -> None:
         """Hold no state between requests."""
-        self._port = port
-        self._lost = lost
+        self._rpc = rpc
+        self._lost_homes = lost_homes
         self._clock = clock
         self._events = events
 
-    async def follow(self, request_id: RequestId, run: Run) -> None:
+    async def forward(self, request_id: RequestId, run: Run) -> None:
         """Fill `run` with the home's answer, or with what is known."""
         ticket = request_id.ticket
         # The address in a ticket is a caller's word; only the system's own
         # VMs are ever connected to for it.
-        if not self._port.is_member(ticket.address):
-            await self._lost.settle(request_id, run)
+        if not self._rpc.is_member(ticket.address):
+            await self._lost_homes.settle(request_id, run)
             return
         self._events.record(
             'forwarded',
             str(request_id),
             home=ticket.endpoint,
         )
-        call = HomeStub(self._port.channels.get(ticket.endpoint)).Forward(
-            self._message(run.req),
+        call = HomeStub(self._rpc.channels.get(ticket.endpoint)).Forward(
+            self._make_request(run.req),
         )
         try:
-            await self._read(call, run)
+            await self._read_replies(call, run)
         except (grpc.aio.AioRpcError, TimeoutError):
             call.cancel()
-            await self._after_loss(request_id, run)
+            await self._handle_lost_home(request_id, run)
 
-    async def _read(
+    async def _read_replies(
         self,
         call: 'grpc.aio.UnaryStreamCall[ForwardRequest, ForwardReply]',
         run: Run,
     ) -> None:
-        async with asyncio.timeout(FIRST_WORD_S):
+        async with asyncio.timeout(FIRST_REPLY_TIMEOUT_S):
             reply = await call.read()
         while isinstance(reply, ForwardReply):
             kind = reply.WhichOneof('body')
             if kind == 'head':
-                self._port.headers.observe(reply.head.header)
+                self._rpc.headers.observe(reply.head.header)
                 run.content_type = reply.head.content_type
             elif kind == 'data':
-                run.add(reply.data)
+                run.add_chunk(reply.data)
             elif reply.end.outcome:
-                run.finish(_answer_of(reply.end))
+                run.finish(_parse_answer(reply.end))
             reply = await call.read()
         if run.answer is None:
             raise TimeoutError('the home ended without an outcome')
 
-    async def _after_loss(self, request_id: RequestId, run: Run) -> None:
-        if run.has_begun:
+    async def _handle_lost_home(self, request_id: RequestId, run: Run) -> None:
+        if run.has_answer_data:
             # Part of the answer is with the caller already. It sends the id
             # again, and is then told what the journal proves.
-            run.tear()
+            run.mark_torn()
             return
-        await self._lost.settle(request_id, run)
+        await self._lost_homes.settle(request_id, run)
 
-    def _message(self, req: RequestBody) -> ForwardRequest:
+    def _make_request(self, req: CallerRequest) -> ForwardRequest:
         return ForwardRequest(
-            header=self._port.headers.make(),
+            header=self._rpc.headers.make(),
             request_id=req.request_id,
             workspace=req.workspace,
             service=req.service,
@@ -144,45 +144,45 @@
     ) -> AsyncIterator[ForwardReply]:
         """Run or join a request and pass its answer on as it grows."""
         await self._headers.accept(request.header, context)
-        submitted = self._submit(self._request(request))
+        submitted = self._submit(self._parse_request(request))
         if submitted is None:
             await context.abort(
-                STRANGER,
+                UNKNOWN_HOME,
                 'this ticket belongs to another incarnation; '
                 'read its journal instead',
             )
             return
         if isinstance(submitted, Answer):
             yield ForwardReply(head=ForwardHead(header=self._headers.make()))
-            yield ForwardReply(end=_head_of(submitted))
+            yield ForwardReply(end=_make_head(submitted))
             return
-        with submitted.followed():
+        with submitted.track_follower():
             try:
                 async for reply in self._replies(submitted):
                     yield reply
-            except TornError:
+            except IncompleteAnswerError:
                 return
 
     async def _replies(self, run: Run) -> AsyncIterator[ForwardReply]:
         # The head goes first and at once: a home that stays silent is frozen or
         # cut off, and the forwarding VM would wait on it for nothing.
         yield ForwardReply(head=ForwardHead(header=self._headers.make()))
-        await run.begun()
+        await run.wait_until_started()
         yield ForwardReply(
             head=ForwardHead(
                 header=self._headers.make(),
                 content_type=run.content_type,
             ),
         )
-        async for chunk in run.follow():
+        async for chunk in run.stream_answer():
             yield ForwardReply(data=chunk)
-        answer = await run.settled()
-        head = _head_of(answer)
+        answer = await run.wait_for_outcome()
+        head = _make_head(answer)
         head.content_type = run.content_type
         yield ForwardReply(end=head)
 
-    def _request(self, request: ForwardRequest) -> RequestBody:
-        return RequestBody(
+    def _parse_request(self, request: ForwardRequest) -> CallerRequest:
+        return CallerRequest(
             request_id=request.request_id,
             workspace=request.workspace,
             service=request.service,
@@ -194,7 +194,7 @@
         )
 
 
-def _head_of(answer: Answer) -> ForwardHead:
+def _make_head(answer: Answer) -> ForwardHead:
     after = answer.retry_after
     return ForwardHead(
         outcome=answer.outcome,
@@ -205,7 +205,7 @@
     )
 
 
-def _answer_of(head: ForwardHead) -> Answer:
+def _parse_answer(head: ForwardHead) -> Answer:
     return Answer(
         Outcome(head.outcome),
         head.reason,
--- a/bramleybend/gateway/hedge.py
+++ b/bramleybend/gateway/hedge.py
@@ -6,8 +6,8 @@
 
 from bramleybend.answers import Answer
 from bramleybend.decisions.hedging import Hedging
-from bramleybend.gateway.attempt import AttemptEnd, End
-from bramleybend.gateway.job import Deps, Job
+from bramleybend.gateway.attempt import AttemptEnd, EndKind
+from bramleybend.gateway.job import DispatchDeps, Job
 from bramleybend.gateway.slot_search import SlotSearch
 from bramleybend.gateway.slots import Slot
 from bramleybend.gateway.supervisor import Supervisor
@@ -15,8 +15,8 @@
 from bramleybend.models import Repeat, ServiceKind
 from bramleybend.wire.bramleybend_pb2 import Ended
 
-SECOND: Final = 'h'
-RANKS: Final = MappingProxyType({End.WHOLE: 0, End.NOT_SENT: 2})
+SECOND_RUN_SUFFIX: Final = 'h'
+END_RANKS: Final = MappingProxyType({EndKind.WHOLE: 0, EndKind.NOT_SENT: 2})
 
 
 class Hedger:
@@ -24,7 +24,7 @@
 
     def __init__(
         self,
-        deps: Deps,
+        deps: DispatchDeps,
         search: SlotSearch,
         supervisor: Supervisor,
     ) -> None:
@@ -34,24 +34,26 @@
         self._supervisor = supervisor
         self._hedging = Hedging()
 
-    async def carry(self, job: Job, slot: Slot, label: str) -> AttemptEnd:
+    async def run_attempt(self, job: Job, slot: Slot, label: str) -> AttemptEnd:
         """Carry a try to its end, or to that of the faster of two."""
         if not _may_hedge(job):
-            return await self._supervisor.carry(job, slot, label)
+            return await self._supervisor.run_attempt(job, slot, label)
         key = (job.service.name, job.profile.name)
         self._hedging.begun(*key)
         started = self._deps.clock.monotonic()
-        first = asyncio.create_task(self._supervisor.carry(job, slot, label))
+        first = asyncio.create_task(
+            self._supervisor.run_attempt(job, slot, label)
+        )
         try:
-            end = await self._watch(job, slot, label, first)
+            end = await self._wait_or_hedge(job, slot, label, first)
         finally:
-            self._let_go(job, first)
-        if end.end is End.WHOLE:
+            self._detach_run(job, first)
+        if end.kind is EndKind.WHOLE:
             seconds = self._deps.clock.monotonic() - started
             self._hedging.finished(*key, seconds)
         return end
 
-    async def _watch(
+    async def _wait_or_hedge(
         self,
         job: Job,
         slot: Slot,
@@ -63,15 +65,15 @@
         await asyncio.wait((first,), timeout=delay_s)
         if first.done() or not self._hedging.allow(*key):
             return await first
-        self._deps.note(job, 'hedged', runner=slot.runner)
+        self._deps.record_event(job, 'hedged', runner=slot.runner)
         self._deps.metrics.count(Metric.HEDGED, tier=int(job.tier))
-        second = asyncio.create_task(self._second(job, slot, label))
+        second = asyncio.create_task(self._start_second(job, slot, label))
         try:
-            return await faster(first, second)
+            return await wait_for_best_end(first, second)
         finally:
-            self._let_go(job, second)
+            self._detach_run(job, second)
 
-    def _let_go(self, job: Job, run: asyncio.Task[AttemptEnd]) -> None:
+    def _detach_run(self, job: Job, run: asyncio.Task[AttemptEnd]) -> None:
         """Leave a run that another one has overtaken."""
         # A plain service can't be told to stop. Given back at once, its slot
         # would draw the next call into the same stall, and the owner would
@@ -79,17 +81,21 @@
         if job.service.kind is ServiceKind.ENGINE:
             run.cancel()
         elif not run.done():
-            self._supervisor.leave(_ended(run))
+            self._supervisor.run_in_background(_wait_until_done(run))
 
-    async def _second(self, job: Job, slot: Slot, label: str) -> AttemptEnd:
+    async def _start_second(
+        self, job: Job, slot: Slot, label: str
+    ) -> AttemptEnd:
         found = await self._search.find(job, [slot.runner])
         if isinstance(found, Answer):
-            return AttemptEnd(End.NOT_SENT)
-        if job.run.has_begun:
+            return AttemptEnd(EndKind.NOT_SENT)
+        if job.run.has_answer_data:
             # The first run answered while this one waited for its slot.
-            await found.end(Ended(outcome=End.NOT_SENT))
-            return AttemptEnd(End.NOT_SENT)
-        return await self._supervisor.carry(job, found, label + SECOND)
+            await found.release(Ended(outcome=EndKind.NOT_SENT))
+            return AttemptEnd(EndKind.NOT_SENT)
+        return await self._supervisor.run_attempt(
+            job, found, label + SECOND_RUN_SUFFIX
+        )
 
 
 def _may_hedge(job: Job) -> bool:
@@ -102,11 +108,11 @@
     )
 
 
-async def _ended(run: asyncio.Task[AttemptEnd]) -> None:
+async def _wait_until_done(run: asyncio.Task[AttemptEnd]) -> None:
     await asyncio.wait((run,))
 
 
-async def faster(
+async def wait_for_best_end(
     first: asyncio.Task[AttemptEnd],
     second: asyncio.Task[AttemptEnd],
 ) -> AttemptEnd:
@@ -116,10 +122,10 @@
         return_when=asyncio.FIRST_COMPLETED,
     )
     for task in done:
-        if task.result().end is End.WHOLE:
+        if task.result().kind is EndKind.WHOLE:
             return task.result()
     ends = (await first, await second)
     # `not_sent` may be told to a caller as `not_run`, so it may only stand
     # for the request if it is true of both runs.
-    by_weight = sorted(ends, key=lambda end: RANKS.get(end.end, 1))
-    return by_weight[0]
+    ranked = sorted(ends, key=lambda end: END_RANKS.get(end.kind, 1))
+    return ranked[0]
--- a/bramleybend/gateway/hold_stream.py
+++ b/bramleybend/gateway/hold_stream.py
@@ -9,18 +9,18 @@
 from bramleybend.state.member import Member
 from bramleybend.wire.bramleybend_pb2 import HoldReply, HoldRequest
 
-Hold: TypeAlias = grpc.aio.StreamStreamCall[HoldRequest, HoldReply]
+HoldCall: TypeAlias = grpc.aio.StreamStreamCall[HoldRequest, HoldReply]
 
 
 @dataclass(frozen=True)
-class Opened:
+class HoldStream:
     """A stream that its owner has answered."""
 
-    call: Hold
+    call: HoldCall
     owner: Member
 
 
-async def read_reply(call: Hold) -> HoldReply | None:
+async def read_reply(call: HoldCall) -> HoldReply | None:
     """Return the next reply; None once the stream is over or broken."""
     try:
         reply = await call.read()
@@ -29,7 +29,9 @@
     return reply if isinstance(reply, HoldReply) else None
 
 
-async def first_reply(call: Hold, first: HoldRequest) -> HoldReply | None:
+async def send_and_read_reply(
+    call: HoldCall, first: HoldRequest
+) -> HoldReply | None:
     """Send a stream's first message and return the reply to it."""
     try:
         await call.write(first)
--- a/bramleybend/gateway/home.py
+++ b/bramleybend/gateway/home.py
@@ -17,9 +17,9 @@
 from bramleybend.events import MILLISECONDS, EventLog
 from bramleybend.gateway.border import check_terms
 from bramleybend.gateway.dispatcher import Dispatcher
-from bramleybend.gateway.job import Deps, Job
+from bramleybend.gateway.job import DispatchDeps, Job
 from bramleybend.gateway.journal import JournalWriter
-from bramleybend.gateway.run import RequestBody, Run, settle_on_fault
+from bramleybend.gateway.run import CallerRequest, Run, finish_on_fault
 from bramleybend.metrics import Metric
 from bramleybend.models import JournalMode, Profile, Terms
 from bramleybend.state.id_table import Expired, Full, IdTable, Known
@@ -27,7 +27,7 @@
 from bramleybend.state.tickets import RequestId, Ticket, dispatch_mode
 
 LOG_RETRY_AFTER: Final = timedelta(seconds=2)
-NEW_TICKET_AFTER: Final = timedelta(seconds=1)
+NEW_TICKET_RETRY_AFTER: Final = timedelta(seconds=1)
 
 
 class Home:
@@ -38,12 +38,12 @@
         ticket: Ticket,
         ids: IdTable[Run],
         journal: JournalWriter,
-        deps: Deps,
+        deps: DispatchDeps,
     ) -> None:
         """Know no id yet."""
         self.incarnation = ticket.incarnation
         self.journal = journal
-        self.working: set[asyncio.Task[None]] = set()
+        self.run_tasks: set[asyncio.Task[None]] = set()
         self._ticket = ticket
         self._ids = ids
         self._deps = deps
@@ -65,12 +65,12 @@
             intent_first=intent_first,
         )
 
-    def known(self, request_id: RequestId) -> Run | None:
+    def find_run(self, request_id: RequestId) -> Run | None:
         """Return the run of an id that was sent before."""
         seen = self._ids.lookup(request_id, self._deps.clock.monotonic())
         return seen.entry if isinstance(seen, Known) else None
 
-    def forgotten(self, request_id: RequestId) -> Answer | None:
+    def expired_answer(self, request_id: RequestId) -> Answer | None:
         """Return the answer for an id that may have run and been forgotten."""
         seen = self._ids.lookup(request_id, self._deps.clock.monotonic())
         return expired(seen.reason) if isinstance(seen, Expired) else None
@@ -78,52 +78,54 @@
     def submit(
         self,
         request_id: RequestId,
-        req: RequestBody,
+        req: CallerRequest,
         terms: Terms,
     ) -> Run | Answer:
         """Join the run of a known id, or start a new one."""
-        known = self.known(request_id)
-        if known is not None:
-            return _joined(known, req)
+        known_run = self.find_run(request_id)
+        if known_run is not None:
+            return _join_run(known_run, req)
         checked = check_terms(req, terms)
         match checked:
             case Err(answer):
                 return answer
             case Ok(profile):
-                return self._begin(request_id, req, terms, profile)
+                return self._start_run(request_id, req, terms, profile)
         raise AssertionError(checked)
 
-    def _begin(
+    def _start_run(
         self,
         request_id: RequestId,
-        req: RequestBody,
+        req: CallerRequest,
         terms: Terms,
         profile: Profile,
     ) -> Run | Answer:
         # A profile's timeout bounds what a caller may ask for, so that a slip
         # in a deadline does not hold a slot for a day.
-        latest = self._deps.clock.monotonic() + profile.timeout.total_seconds()
-        run = Run(replace(req, deadline=min(req.deadline, latest)))
+        max_deadline = (
+            self._deps.clock.monotonic() + profile.timeout.total_seconds()
+        )
+        run = Run(replace(req, deadline=min(req.deadline, max_deadline)))
         added = self._ids.add(request_id, run, self._deps.clock.monotonic())
         if isinstance(added, Expired):
             return expired(added.reason)
         if isinstance(added, Full):
-            return not_run('this VM holds too many ids', NEW_TICKET_AFTER)
+            return not_run('this VM holds too many ids', NEW_TICKET_RETRY_AFTER)
         job = Job(run, profile, terms.services[profile.service])
         begun_at = self._deps.clock.monotonic()
-        run.on_begun = partial(
-            self._time,
+        run.on_first_data = partial(
+            self._record_duration,
             Metric.FIRST_TOKEN,
             job,
             begun_at,
         )
-        task = asyncio.create_task(self._work(request_id, job))
-        self.working.add(task)
-        task.add_done_callback(self.working.discard)
-        task.add_done_callback(partial(settle_on_fault, run, self.events))
+        task = asyncio.create_task(self._execute(request_id, job))
+        self.run_tasks.add(task)
+        task.add_done_callback(self.run_tasks.discard)
+        task.add_done_callback(partial(finish_on_fault, run, self.events))
         return run
 
-    async def _work(self, request_id: RequestId, job: Job) -> None:
+    async def _execute(self, request_id: RequestId, job: Job) -> None:
         """Carry a run to its outcome and write it down."""
         begun_at = self._deps.clock.monotonic()
         self._deps.metrics.count(
@@ -137,27 +139,27 @@
             profile=job.profile.name,
             workspace=job.run.req.workspace,
         )
-        answer = await self._outcome(request_id, job)
+        answer = await self._run_to_outcome(request_id, job)
         job.run.finish(answer)
-        self._time(Metric.REQUEST, job, begun_at)
-        self._tell(job, answer)
-        self.journal.note(
+        self._record_duration(Metric.REQUEST, job, begun_at)
+        self._record_outcome(job, answer)
+        self.journal.queue_record(
             encode_outcome(
                 request_id,
                 answer.outcome,
                 int(answer.http_status),
                 job.run.content_type,
-                job.run.body if job.run.is_done else None,
+                job.run.answer_body if job.run.is_complete else None,
             ),
         )
 
-    async def _outcome(self, request_id: RequestId, job: Job) -> Answer:
+    async def _run_to_outcome(self, request_id: RequestId, job: Job) -> Answer:
         mode = dispatch_mode(request_id, job.profile.journal)
         if mode is JournalMode.BEFORE_DISPATCH:
-            if not await self._has_right(request_id, job):
-                return self._no_right()
+            if not await self._write_intent_in_time(request_id, job):
+                return self._intent_refusal()
         else:
-            self.journal.note(encode_intent(request_id))
+            self.journal.queue_record(encode_intent(request_id))
         dispatching = asyncio.create_task(self._dispatcher.dispatch(job))
         abandoned = asyncio.create_task(job.run.abandoned.wait())
         try:
@@ -167,38 +169,42 @@
             )
             # A run that has begun is stopped by its attempt, which alone
             # knows whether the runner has let go of it.
-            if not dispatching.done() and not job.run.dispatched:
+            if not dispatching.done() and not job.run.was_dispatched:
                 job.run.give_up()
                 dispatching.cancel()
-                return not_run('its caller has gone', NEW_TICKET_AFTER)
+                return not_run('its caller has gone', NEW_TICKET_RETRY_AFTER)
             return await dispatching
         finally:
             abandoned.cancel()
 
-    async def _has_right(self, request_id: RequestId, job: Job) -> bool:
+    async def _write_intent_in_time(
+        self, request_id: RequestId, job: Job
+    ) -> bool:
         # A log behind a cut link answers nothing, and each call to it takes
         # its whole timeout. The caller is answered before its deadline; a
         # right that comes later is never used, so `not_run` stays true.
         intent = encode_intent(request_id)
-        left_s = self._deps.answer_by(job) - self._deps.clock.monotonic()
+        left_s = self._deps.answer_deadline(job) - self._deps.clock.monotonic()
         try:
             async with asyncio.timeout(left_s):
-                return await self.journal.right(str(request_id), intent)
+                return await self.journal.write_intent(str(request_id), intent)
         except TimeoutError:
             return False
 
-    def _no_right(self) -> Answer:
-        if self.journal.sealed:
+    def _intent_refusal(self) -> Answer:
+        if self.journal.is_sealed:
             return not_run(
                 'this ticket has ended; ask for a new one',
-                NEW_TICKET_AFTER,
+                NEW_TICKET_RETRY_AFTER,
             )
         return not_run(
             'the log is down and this profile writes to it first',
             LOG_RETRY_AFTER,
         )
 
-    def _time(self, metric: Metric, job: Job, begun_at: float) -> None:
+    def _record_duration(
+        self, metric: Metric, job: Job, begun_at: float
+    ) -> None:
         elapsed = self._deps.clock.monotonic() - begun_at
         self._deps.metrics.timing(
             metric,
@@ -206,7 +212,7 @@
             tier=int(job.tier),
         )
 
-    def _tell(self, job: Job, answer: Answer) -> None:
+    def _record_outcome(self, job: Job, answer: Answer) -> None:
         tier = int(job.profile.tier)
         self._deps.metrics.count(
             Metric.OUTCOMES,
@@ -232,7 +238,7 @@
         return {'late_ms': round(late_s * MILLISECONDS)}
 
 
-def _joined(run: Run, req: RequestBody) -> Run | Answer:
+def _join_run(run: Run, req: CallerRequest) -> Run | Answer:
     # An id sent with other content would be given the answer to what the
     # first sender asked, so the second one is told instead.
     if run.req.fingerprint != req.fingerprint:
--- a/bramleybend/gateway/http_messages.py
+++ b/bramleybend/gateway/http_messages.py
@@ -36,7 +36,7 @@
 Handler = Callable[[HttpRequest], Awaitable[HttpAnswer]]
 
 
-def answer_of(answer: Answer) -> HttpAnswer:
+def make_http_answer(answer: Answer) -> HttpAnswer:
     """Put an answer without a runner's body in its HTTP form."""
     headers = {OUTCOME_HEADER: str(answer.outcome)}
     if answer.retry_after is not None:
@@ -45,12 +45,12 @@
     return HttpAnswer(
         answer.http_status,
         JSON_TYPE,
-        json.dumps(payload_of(answer)).encode(),
+        json.dumps(make_payload(answer)).encode(),
         headers=headers,
     )
 
 
-def payload_of(answer: Answer) -> dict[str, object]:
+def make_payload(answer: Answer) -> dict[str, object]:
     """Return the JSON object that tells an answer."""
     after = answer.retry_after
     return {
--- a/bramleybend/gateway/http_server.py
+++ b/bramleybend/gateway/http_server.py
@@ -6,13 +6,13 @@
 from typing import Final
 
 from bramleybend.clients.http import BROKEN, close_writer
-from bramleybend.gateway.caller_connection import Connection
+from bramleybend.gateway.caller_connection import CallerConnection
 from bramleybend.gateway.http_messages import Handler
-from bramleybend.gateway.run import TornError
+from bramleybend.gateway.run import IncompleteAnswerError
 
-LOST: Final = (*BROKEN, TornError)
+CALLER_GONE_ERRORS: Final = (*BROKEN, IncompleteAnswerError)
 # Longer than a turn of the event loop, which accepts all that is queued.
-ACCEPT_S: Final = 0.05
+ACCEPT_WAIT_S: Final = 0.05
 
 
 class HttpServer:
@@ -27,9 +27,9 @@
         self._handler = handler
         self._count_rejected = count_rejected
         self._server: asyncio.Server | None = None
-        self._open: dict[asyncio.Task[None], Connection] = {}
-        self._stopping = False
-        self.answering = 0  # requests that have come in and not gone out
+        self._connections: dict[asyncio.Task[None], CallerConnection] = {}
+        self._is_stopping = False
+        self.answering_count = 0  # requests that have come in and not gone out
 
     async def start(self, address: str, port: int) -> None:
         """Listen."""
@@ -47,33 +47,33 @@
         port: int = self._server.sockets[0].getsockname()[1]
         return port
 
-    async def stop(self, limit_s: float) -> None:
+    async def stop(self, timeout_s: float) -> None:
         """Answer whoever has connected, for at most `limit_s`, then close.
 
         The kernel resets what is still queued when a listener is closed, so
         the queue is emptied first. Each connection ends with the request
         that it is sending, or after `LAST_REQUEST_S` without one.
         """
-        self._stopping = True
-        for conn in self._open.values():
-            conn.finish()
+        self._is_stopping = True
+        for conn in self._connections.values():
+            conn.close_when_idle()
         if self._server is not None:
-            await asyncio.sleep(ACCEPT_S)
+            await asyncio.sleep(ACCEPT_WAIT_S)
             self._server.close()
-            await asyncio.sleep(ACCEPT_S)
-        if self._open:
-            await asyncio.wait(self._open, timeout=limit_s)
-        for task in self._open:
+            await asyncio.sleep(ACCEPT_WAIT_S)
+        if self._connections:
+            await asyncio.wait(self._connections, timeout=timeout_s)
+        for task in self._connections:
             task.cancel()
-        await asyncio.gather(*self._open, return_exceptions=True)
+        await asyncio.gather(*self._connections, return_exceptions=True)
 
     @contextmanager
-    def _answer_begun(self) -> Iterator[None]:
-        self.answering += 1
+    def _count_answering(self) -> Iterator[None]:
+        self.answering_count += 1
         try:
             yield
         finally:
-            self.answering -= 1
+            self.answering_count -= 1
 
     async def _accept(
         self,
@@ -82,16 +82,18 @@
     ) -> None:
         task = asyncio.current_task()
         assert task is not None
-        conn = Connection(reader, writer, self._handler, self._answer_begun)
-        self._open[task] = conn
-        if self._stopping:
-            conn.finish()
+        conn = CallerConnection(
+            reader, writer, self._handler, self._count_answering
+        )
+        self._connections[task] = conn
+        if self._is_stopping:
+            conn.close_when_idle()
         try:
             await conn.serve(self._count_rejected)
-        except LOST:
+        except CALLER_GONE_ERRORS:
             # The caller has gone; it will send the same id again.
             return
         finally:
-            self._open.pop(task)
+            self._connections.pop(task)
             with suppress(asyncio.CancelledError):
                 await close_writer(writer)
--- a/bramleybend/gateway/job.py
+++ b/bramleybend/gateway/job.py
@@ -6,32 +6,32 @@
 
 from bramleybend.clock import Clock
 from bramleybend.events import EventLog
-from bramleybend.gateway.ask import ask_of
+from bramleybend.gateway.ask import make_ask
 from bramleybend.gateway.floor_round import FloorRounds
 from bramleybend.gateway.run import Run
-from bramleybend.gateway.slot_asker import SlotAsker
+from bramleybend.gateway.slot_asker import SlotClient
 from bramleybend.gateway.view import ViewFollower
 from bramleybend.metrics import Metrics
 from bramleybend.models import Ask, Profile, Service, Tier
 
 # A caller stops listening at its deadline; what is told then reaches nobody.
-ANSWER_SHARE: Final = 0.05
+ANSWER_MARGIN_SHARE: Final = 0.05
 ANSWER_MARGIN_S: Final = 0.2
 
 
 @dataclass(frozen=True)
-class Deps:
+class DispatchDeps:
     """What a gateway's runs are carried with."""
 
-    asker: SlotAsker
-    floors: FloorRounds
+    slot_client: SlotClient
+    floor_rounds: FloorRounds
     views: ViewFollower
     clock: Clock
     events: EventLog
     metrics: Metrics
     rng: Random
 
-    def note(self, job: 'Job', event: str, **fields: object) -> None:
+    def record_event(self, job: 'Job', event: str, **fields: object) -> None:
         """Record an event of one job."""
         self.events.record(
             event,
@@ -40,12 +40,14 @@
             **fields,
         )
 
-    def answer_by(self, job: 'Job') -> float:
+    def answer_deadline(self, job: 'Job') -> float:
         """Return by when to tell a job that it was not run."""
-        margin_s = min(self.left_s(job) * ANSWER_SHARE, ANSWER_MARGIN_S)
+        margin_s = min(
+            self.remaining_s(job) * ANSWER_MARGIN_SHARE, ANSWER_MARGIN_S
+        )
         return job.run.req.deadline - margin_s
 
-    def left_s(self, job: 'Job') -> float:
+    def remaining_s(self, job: 'Job') -> float:
         """Seconds to the job's deadline; 0 once it has passed."""
         return max(job.run.req.deadline - self.clock.monotonic(), 0)
 
@@ -68,6 +70,6 @@
         """The request's rank."""
         return self.profile.tier
 
-    def ask(self) -> Ask:
+    def make_ask(self) -> Ask:
         """Return what an owner needs to decide about it."""
-        return ask_of(self.run.req, self.profile, self.service.kind)
+        return make_ask(self.run.req, self.profile, self.service.kind)
--- a/bramleybend/gateway/lost_home.py
+++ b/bramleybend/gateway/lost_home.py
@@ -29,18 +29,18 @@
 )
 from bramleybend.state.tickets import RequestId
 
-MAX_VIEWS: Final = 32
-READ_TRIES: Final = 2
-SETTLE_S: Final = 4.0
+MAX_CACHED_JOURNALS: Final = 32
+READ_ATTEMPTS: Final = 2
+MAX_SETTLE_S: Final = 4.0
 # Of what is left to the deadline, so that the answer arrives before it.
 ANSWER_MARGIN_S: Final = 0.2
-LEAST_SETTLE_S: Final = 0.5
+MIN_SETTLE_S: Final = 0.5
 RETRY_AFTER: Final = timedelta(seconds=1)
-LOG_DOWN: Final = 'its home is gone and the log that would tell is down'
+LOG_DOWN_REASON: Final = 'its home is gone and the log that would tell is down'
 
 
 @dataclass(frozen=True)
-class LockedView:
+class LockedJournal:
     """A journal as it was read here; one request reads on at a time."""
 
     view: JournalView = field(default_factory=JournalView)
@@ -62,11 +62,11 @@
         self._clock = clock
         self._vm = vm
         self._events = events
-        self._views: OrderedDict[str, LockedView] = OrderedDict()
+        self._journals: OrderedDict[str, LockedJournal] = OrderedDict()
 
     async def settle(self, request_id: RequestId, run: Run) -> None:
         """Give a run the answer that the home's journal proves."""
-        answer = await self._fate_in_time(request_id, run)
+        answer = await self._find_answer_in_time(request_id, run)
         self._events.record(
             'home_lost',
             str(request_id),
@@ -74,67 +74,74 @@
         )
         run.finish(answer)
 
-    async def _fate_in_time(self, request_id: RequestId, run: Run) -> Answer:
+    async def _find_answer_in_time(
+        self, request_id: RequestId, run: Run
+    ) -> Answer:
         # A VM dies with many requests, and their callers all come at once. If
         # the log hangs just then, each would wait for the reads of all that
         # came before it, long past its deadline.
-        locked = self._view(request_id.ticket.incarnation)
+        journal = self._open_journal(request_id.ticket.incarnation)
         try:
-            async with asyncio.timeout(self._patience_s(run)), locked.lock:
-                return await self._fate(request_id, run, locked.view)
+            async with asyncio.timeout(self._time_limit_s(run)), journal.lock:
+                return await self._find_answer(request_id, run, journal.view)
         except TimeoutError:
-            return unknown(LOG_DOWN)
+            return unknown(LOG_DOWN_REASON)
 
-    def _patience_s(self, run: Run) -> float:
+    def _time_limit_s(self, run: Run) -> float:
         left_s = run.req.deadline - self._clock.monotonic() - ANSWER_MARGIN_S
-        return min(max(left_s, LEAST_SETTLE_S), SETTLE_S)
+        return min(max(left_s, MIN_SETTLE_S), MAX_SETTLE_S)
 
-    async def _fate(
+    async def _find_answer(
         self,
         request_id: RequestId,
         run: Run,
         view: JournalView,
     ) -> Answer:
-        if not await self._read(request_id, view):
-            return unknown(LOG_DOWN)
+        if not await self._read_to_tail(request_id, view):
+            return unknown(LOG_DOWN_REASON)
         if request_id.ticket.intent_first and not view.sealed:
             # A home that is not dead after all reads this back before its
             # next dispatch, and so runs nothing that is told `not_run` here.
             await self._seal(request_id)
-            if not await self._read(request_id, view) or not view.sealed:
-                return unknown(LOG_DOWN)
+            if (
+                not await self._read_to_tail(request_id, view)
+                or not view.sealed
+            ):
+                return unknown(LOG_DOWN_REASON)
         match view.fate(request_id):
             case Ended(record):
-                return _ended(record, run)
+                return _repeat_outcome(record, run)
             case NotRun():
                 return not_run('its home was lost before it ran', RETRY_AFTER)
             case Unknown(reason):
                 return unknown(reason)
         raise AssertionError(request_id)
 
-    def _view(self, incarnation: str) -> LockedView:
-        view = self._views.pop(incarnation, None) or LockedView()
-        self._views[incarnation] = view
-        if len(self._views) > MAX_VIEWS:
-            self._views.popitem(last=False)
-        return view
+    def _open_journal(self, incarnation: str) -> LockedJournal:
+        journal = self._journals.pop(incarnation, None) or LockedJournal()
+        self._journals[incarnation] = journal
+        if len(self._journals) > MAX_CACHED_JOURNALS:
+            self._journals.popitem(last=False)
+        return journal
 
-    async def _read(self, request_id: RequestId, view: JournalView) -> bool:
+    async def _read_to_tail(
+        self, request_id: RequestId, view: JournalView
+    ) -> bool:
         """Read the journal to its tail."""
         stream = stream_of(request_id.ticket.incarnation)
         while True:
-            batch = await self._batch(stream, view.next_offset)
+            batch = await self._read_batch(stream, view.next_offset)
             if batch is None:
                 return False
             view.add(batch.records)
             if not batch.records:
                 return view.next_offset >= batch.next_offset
 
-    async def _batch(self, stream: str, start: int) -> LogBatch | None:
+    async def _read_batch(self, stream: str, start: int) -> LogBatch | None:
         """Read once; a read that failed is made once more."""
         # If this process stands still over a read, its reply is too old to
         # count, and the log looks down.
-        for _ in range(READ_TRIES):
+        for _ in range(READ_ATTEMPTS):
             batch = (await self._log.read(stream, start)).ok()
             if batch is not None:
                 return batch
@@ -147,7 +154,7 @@
         await self._log.append(stream, (encode_seal(self._vm),))
 
 
-def _ended(record: OutcomeRecord, run: Run) -> Answer:
+def _repeat_outcome(record: OutcomeRecord, run: Run) -> Answer:
     """Repeat a written outcome, with its body if that was kept."""
     if record.outcome is not Outcome.DONE:
         status = HTTPStatus(record.status) if record.status else None
@@ -160,5 +167,5 @@
     if record.answer is None:
         return unknown('it ran to its end, but the answer was lost')
     run.content_type = record.content_type
-    run.add(record.answer)
+    run.add_chunk(record.answer)
     return Answer(Outcome.DONE, 'whole')
--- a/bramleybend/gateway/routes.py
+++ b/bramleybend/gateway/routes.py
@@ -8,21 +8,23 @@
 from urllib.parse import parse_qs, urlsplit
 
 from bramleybend.answers import Answer, Outcome, not_run, rejected
-from bramleybend.gateway.border import Received
+from bramleybend.gateway.border import ReceivedRequest
 from bramleybend.gateway.http_messages import (
     EVENT_TYPE,
     JSON_TYPE,
     OUTCOME_HEADER,
     HttpAnswer,
     HttpRequest,
-    answer_of,
-    payload_of,
+    make_http_answer,
+    make_payload,
 )
 from bramleybend.gateway.intake import Intake
 from bramleybend.gateway.run import Run
 
-KEEP_FOR: Final = timedelta(minutes=0.5)
-SHOWN: Final = 64  # characters of a wrong path that an answer repeats
+KEEP_TICKET_FOR: Final = timedelta(minutes=0.5)
+MAX_ECHOED_CHARS: Final = (
+    64  # characters of a wrong path that an answer repeats
+)
 MAX_ADDRESSES: Final = 6
 RETRY_AFTER: Final = timedelta(seconds=1)
 
@@ -44,37 +46,37 @@
         parts = urlsplit(req.target)
         match req.method, parts.path:
             case HTTPMethod.GET, '/v1/address':
-                await self._intake.freshen()
-                return self._address(parts.query)
+                await self._intake.wait_for_fresh_view()
+                return self._get_address(parts.query)
             case HTTPMethod.GET, '/ready':
-                return self._ready()
+                return self._get_ready()
             case HTTPMethod.POST, '/v1/requests':
-                return await self._request(req)
-        return answer_of(
+                return await self._post_request(req)
+        return make_http_answer(
             rejected(
-                f'there is no {req.method} {parts.path[:SHOWN]}',
+                f'there is no {req.method} {parts.path[:MAX_ECHOED_CHARS]}',
                 'use GET /v1/address or POST /v1/requests',
                 HTTPStatus.NOT_FOUND,
             ),
         )
 
-    def _address(self, query: str) -> HttpAnswer:
+    def _get_address(self, query: str) -> HttpAnswer:
         addresses = self._addresses()[:MAX_ADDRESSES]
-        if not self._intake.ready:
-            return self._go_elsewhere(addresses)
+        if not self._intake.is_ready:
+            return self._refuse_ticket(addresses)
         profile = parse_qs(query).get('profile', [''])[0]
-        return _json(
+        return _json_answer(
             {
                 'addresses': addresses,
-                'ticket': str(self._intake.ticket_for(profile)),
-                'keep_for_s': KEEP_FOR.total_seconds(),
+                'ticket': str(self._intake.make_ticket(profile)),
+                'keep_for_s': KEEP_TICKET_FOR.total_seconds(),
             }
         )
 
-    def _go_elsewhere(self, addresses: list[str]) -> HttpAnswer:
+    def _refuse_ticket(self, addresses: list[str]) -> HttpAnswer:
         answer = not_run('this VM takes no new requests', RETRY_AFTER)
-        payload = {**payload_of(answer), 'addresses': addresses[1:]}
-        refused = answer_of(answer)
+        payload = {**make_payload(answer), 'addresses': addresses[1:]}
+        refused = make_http_answer(answer)
         return HttpAnswer(
             refused.status,
             JSON_TYPE,
@@ -82,50 +84,50 @@
             headers=refused.headers,
         )
 
-    def _ready(self) -> HttpAnswer:
-        if self._intake.ready:
-            return _json({'ready': True})
-        return answer_of(not_run('not ready', RETRY_AFTER))
+    def _get_ready(self) -> HttpAnswer:
+        if self._intake.is_ready:
+            return _json_answer({'ready': True})
+        return make_http_answer(not_run('not ready', RETRY_AFTER))
 
-    async def _request(self, req: HttpRequest) -> HttpAnswer:
-        await self._intake.freshen()
-        run = self._intake.take(Received(req.headers, req.body))
+    async def _post_request(self, req: HttpRequest) -> HttpAnswer:
+        await self._intake.wait_for_fresh_view()
+        run = self._intake.accept(ReceivedRequest(req.headers, req.body))
         if isinstance(run, Answer):
-            return answer_of(run)
-        with run.followed():
-            await run.begun()
-            if run.req.stream and run.has_begun:
+            return make_http_answer(run)
+        with run.track_follower():
+            await run.wait_until_started()
+            if run.req.stream and run.has_answer_data:
                 return HttpAnswer(
                     HTTPStatus.OK,
                     EVENT_TYPE,
-                    parts=_events(run),
+                    parts=_stream_events(run),
                 )
-            return _whole(run, await run.settled())
+            return _whole_answer(run, await run.wait_for_outcome())
 
 
-async def _events(run: Run) -> AsyncIterator[bytes]:
-    with run.followed():
-        async for event in run.follow():
+async def _stream_events(run: Run) -> AsyncIterator[bytes]:
+    with run.track_follower():
+        async for event in run.stream_answer():
             yield event
-        answer = await run.settled()
-    payload = json.dumps(payload_of(answer))
+        answer = await run.wait_for_outcome()
+    payload = json.dumps(make_payload(answer))
     # The last event is the proof that the answer is whole: a stream that
     # breaks off never has it, whatever the connection looks like.
     yield f'event: outcome\ndata: {payload}\n\n'.encode()
 
 
-def _whole(run: Run, answer: Answer) -> HttpAnswer:
+def _whole_answer(run: Run, answer: Answer) -> HttpAnswer:
     if answer.outcome is not Outcome.DONE:
-        return answer_of(answer)
+        return make_http_answer(answer)
     return HttpAnswer(
         HTTPStatus.OK,
         run.content_type or JSON_TYPE,
-        run.body,
+        run.answer_body,
         headers={OUTCOME_HEADER: str(answer.outcome)},
     )
 
 
-def _json(payload: dict[str, object]) -> HttpAnswer:
+def _json_answer(payload: dict[str, object]) -> HttpAnswer:
     return HttpAnswer(
         HTTPStatus.OK,
         JSON_TYPE,
--- a/bramleybend/gateway/run.py
+++ b/bramleybend/gateway/run.py
@@ -17,13 +17,13 @@
 
 # A caller whose connection broke sends the same id again, at once if it is
 # well written; work that nobody asks for after this long is wasted.
-ABANDON_S: Final = 3.0
+ABANDON_AFTER_S: Final = 3.0
 FAULT_RETRY_AFTER: Final = timedelta(seconds=1)
 MAX_KEPT_BYTES: Final = 4 * 1024 * 1024
 
 
 @dataclass(frozen=True)
-class RequestBody:
+class CallerRequest:
     """A caller's request after the border checks."""
 
     request_id: str
@@ -36,11 +36,11 @@
     stream: bool
 
 
-class TornError(Exception):
+class IncompleteAnswerError(Exception):
     """The rest of the answer can't be had here; the caller must resend."""
 
 
-def settle_on_fault(
+def finish_on_fault(
     run: 'Run',
     events: EventLog,
     task: asyncio.Task[None],
@@ -52,7 +52,7 @@
     """
     if run.answer is not None:
         return
-    if run.dispatched:
+    if run.was_dispatched:
         run.finish(unknown('a fault of this VM while it ran'))
     else:
         run.finish(not_run('a fault of this VM', FAULT_RETRY_AFTER))
@@ -63,61 +63,61 @@
 class Run:
     """The answer to one request, growing until its outcome is known."""
 
-    def __init__(self, req: RequestBody) -> None:
+    def __init__(self, req: CallerRequest) -> None:
         """Start with nothing known."""
         self.req = req
         self.content_type = ''
         self.answer: Answer | None = None
-        self.given_up = False
-        self.on_begun: Callable[[], None] | None = None
-        self._sent = 0
-        self.torn = False
+        self.is_given_up = False
+        self.on_first_data: Callable[[], None] | None = None
+        self._sent_attempts = 0
+        self.is_torn = False
         self.abandoned = asyncio.Event()
         self._followers = 0
-        self._leaving: asyncio.TimerHandle | None = None
-        self._answer = bytearray()
+        self._abandon_timer: asyncio.TimerHandle | None = None
+        self._answer_bytes = bytearray()
         self._changed = asyncio.Event()
 
     def give_up(self) -> None:
         """Let nothing more be sent for this run."""
-        self.given_up = True
+        self.is_given_up = True
 
-    def note_sent(self) -> None:
+    def record_send(self) -> None:
         """Note that a try is about to send its first byte."""
-        self._sent += 1
+        self._sent_attempts += 1
 
-    def note_refused(self) -> None:
+    def record_refusal(self) -> None:
         """Note that a runner says it ran nothing of a try."""
-        self._sent -= 1
+        self._sent_attempts -= 1
 
     @property
-    def dispatched(self) -> bool:
+    def was_dispatched(self) -> bool:
         """Whether any try may have reached a runner.
 
         Counted, since of two tries side by side one may be refused while the
         other runs: the request must not pass for never sent.
         """
-        return self._sent > 0
+        return self._sent_attempts > 0
 
     @property
-    def has_begun(self) -> bool:
+    def has_answer_data(self) -> bool:
         """Whether any part of the answer has arrived."""
-        return bool(self._answer)
+        return bool(self._answer_bytes)
 
     @property
-    def body(self) -> bytes:
+    def answer_body(self) -> bytes:
         """The answer as far as it has arrived."""
-        return bytes(self._answer)
+        return bytes(self._answer_bytes)
 
-    def add(self, chunk: bytes) -> bool:
+    def add_chunk(self, chunk: bytes) -> bool:
         """Keep a part of the answer; false once it grows too large."""
         if self.answer is not None:
             return True  # told already; nobody waits for the rest
-        if not self._answer and self.on_begun is not None:
-            self.on_begun()
-        self._answer += chunk
-        self._wake()
-        return len(self._answer) <= MAX_KEPT_BYTES
+        if not self._answer_bytes and self.on_first_data is not None:
+            self.on_first_data()
+        self._answer_bytes += chunk
+        self._notify_followers()
+        return len(self._answer_bytes) <= MAX_KEPT_BYTES
 
     def finish(self, answer: Answer) -> None:
         """Settle the outcome; the first one stands."""
@@ -128,75 +128,75 @@
             # Kept for as long as the id is, a logbook's prompt would weigh
             # many times its answer; its fingerprint is all a resend needs.
             self.req = replace(self.req, body=b'')
-            self._wake()
+            self._notify_followers()
 
-    def tear(self) -> None:
+    def mark_torn(self) -> None:
         """Give up on the rest; what was passed on must not look whole."""
-        self.torn = True
-        self._wake()
+        self.is_torn = True
+        self._notify_followers()
 
     @contextmanager
-    def followed(self) -> Iterator[None]:
+    def track_follower(self) -> Iterator[None]:
         """Count a caller that waits for this run."""
         self._followers += 1
-        if self._leaving is not None:
-            self._leaving.cancel()
+        if self._abandon_timer is not None:
+            self._abandon_timer.cancel()
         try:
             yield
         finally:
             self._followers -= 1
             if not self._followers and self.answer is None:
                 loop = asyncio.get_running_loop()
-                self._leaving = loop.call_later(
-                    ABANDON_S,
+                self._abandon_timer = loop.call_later(
+                    ABANDON_AFTER_S,
                     self.abandoned.set,
                 )
 
-    async def begun(self) -> None:
+    async def wait_until_started(self) -> None:
         """Wait for the first event of a stream, or for the outcome."""
-        while not self._streaming and not self._over:
-            await self._wait()
+        while not self._is_streaming and not self._has_ended:
+            await self._wait_for_change()
 
-    async def settled(self) -> Answer:
+    async def wait_for_outcome(self) -> Answer:
         """Wait for the outcome; raises `TornError` where there is none."""
         while self.answer is None:
-            if self.torn:
-                raise TornError
-            await self._wait()
+            if self.is_torn:
+                raise IncompleteAnswerError
+            await self._wait_for_change()
         return self.answer
 
-    async def follow(self) -> AsyncIterator[bytes]:
+    async def stream_answer(self) -> AsyncIterator[bytes]:
         """Yield the answer from its start until the outcome is known."""
         position = 0
         while True:
-            if position < len(self._answer):
-                fresh = bytes(self._answer[position:])
+            if position < len(self._answer_bytes):
+                fresh = bytes(self._answer_bytes[position:])
                 position += len(fresh)
                 yield fresh
                 continue
             if self.answer is not None:
                 return
-            if self.torn:
-                raise TornError
-            await self._wait()
+            if self.is_torn:
+                raise IncompleteAnswerError
+            await self._wait_for_change()
 
     @property
-    def is_done(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the answer is whole."""
         return self.answer is not None and self.answer.outcome is Outcome.DONE
 
     @property
-    def _over(self) -> bool:
-        return self.torn or self.answer is not None
+    def _has_ended(self) -> bool:
+        return self.is_torn or self.answer is not None
 
     @property
-    def _streaming(self) -> bool:
-        return self.req.stream and self.has_begun
+    def _is_streaming(self) -> bool:
+        return self.req.stream and self.has_answer_data
 
-    def _wake(self) -> None:
+    def _notify_followers(self) -> None:
         changed = self._changed
         self._changed = asyncio.Event()
         changed.set()
 
-    async def _wait(self) -> None:
+    async def _wait_for_change(self) -> None:
         await self._changed.wait()
--- a/bramleybend/gateway/shard_race.py
+++ b/bramleybend/gateway/shard_race.py
@@ -11,16 +11,16 @@
 from typing import Any, Final, TypeAlias
 
 from bramleybend.answers import Answer
-from bramleybend.gateway.attempt import End
+from bramleybend.gateway.attempt import EndKind
 from bramleybend.gateway.slots import Slot
 from bramleybend.wire.bramleybend_pb2 import Ended, Refused
 
-MOST_AT_ONCE: Final = 4
-NEXT_SHARD_S: Final = 0.1
+MAX_CONCURRENT_ASKS: Final = 4
+NEXT_SHARD_DELAY_S: Final = 0.1
 
-Found: TypeAlias = Slot | Answer | Refused
-AskShard: TypeAlias = Callable[[int, bool], Awaitable[Found]]
-Leave: TypeAlias = Callable[[Coroutine[Any, Any, None]], None]
+AskResult: TypeAlias = Slot | Answer | Refused
+AskShard: TypeAlias = Callable[[int, bool], Awaitable[AskResult]]
+RunInBackground: TypeAlias = Callable[[Coroutine[Any, Any, None]], None]
 
 
 class ShardRace:
@@ -30,7 +30,7 @@
         self,
         ask_shard: AskShard,
         shards: Sequence[int],
-        leave: Leave,
+        run_in_background: RunInBackground,
     ) -> None:
         """Take the shards in rank.
 
@@ -38,71 +38,85 @@
         finishes what nobody waits for.
         """
         self._ask_shard = ask_shard
-        self._leave = leave
-        self._left = deque(shards)
-        self._asking: set[asyncio.Task[Found]] = set()
-        self._asked = False
+        self._run_in_background = run_in_background
+        self._remaining_shards = deque(shards)
+        self._pending_asks: set[asyncio.Task[AskResult]] = set()
+        self._has_asked = False
 
-    async def run(self, patience_s: float) -> Found:
+    async def run(self, next_shard_delay_s: float) -> AskResult:
         """Return the first slot or final answer, else the last refusal.
 
         The second shard is asked when the first refuses, or after
         `patience_s` seconds.
         """
-        found: Found | None = None
+        found: AskResult | None = None
         try:
             while found is None:
                 self._ask_next()
-                found = await self._first_ended(patience_s)
+                found = await self._wait_for_result(next_shard_delay_s)
                 if found is None:
-                    patience_s = NEXT_SHARD_S
-                elif self._may_go_on(found):
+                    next_shard_delay_s = NEXT_SHARD_DELAY_S
+                elif self._should_continue(found):
                     found = None
         finally:
-            await self._finish(found)
+            await self._cancel_others(found)
         return found
 
-    async def _finish(self, found: Found | None) -> None:
+    async def _cancel_others(self, found: AskResult | None) -> None:
         """Let the other asks go; cancelled meanwhile, give back the winner."""
-        letting_go = asyncio.create_task(self._let_go())
+        cancelling = asyncio.create_task(self._cancel_pending_asks())
         try:
-            await asyncio.shield(letting_go)
+            await asyncio.shield(cancelling)
         except asyncio.CancelledError:
-            self._give_back(found)
+            self._release_slot(found)
             raise
 
-    def _may_go_on(self, found: Found) -> bool:
-        is_last = not self._asking and not self._left
+    def _should_continue(self, found: AskResult) -> bool:
+        is_last = not self._pending_asks and not self._remaining_shards
         return isinstance(found, Refused) and not is_last
 
     def _ask_next(self) -> None:
-        if self._left and len(self._asking) < MOST_AT_ONCE:
-            asking = self._ask_shard(self._left.popleft(), self._asked)
-            self._asking.add(asyncio.ensure_future(asking))
-            self._asked = True
-
-    async def _first_ended(self, patience_s: float) -> Found | None:
-        more = self._left and len(self._asking) < MOST_AT_ONCE
+        if (
+            self._remaining_shards
+            and len(self._pending_asks) < MAX_CONCURRENT_ASKS
+        ):
+            ask = self._ask_shard(
+                self._remaining_shards.popleft(), self._has_asked
+            )
+            self._pending_asks.add(asyncio.ensure_future(ask))
+            self._has_asked = True
+
+    async def _wait_for_result(
+        self, next_shard_delay_s: float
+    ) -> AskResult | None:
+        can_ask_more = (
+            self._remaining_shards
+            and len(self._pending_asks) < MAX_CONCURRENT_ASKS
+        )
         done, _ = await asyncio.wait(
-            self._asking,
-            timeout=patience_s if more else None,
+            self._pending_asks,
+            timeout=next_shard_delay_s if can_ask_more else None,
             return_when=asyncio.FIRST_COMPLETED,
         )
         if not done:
             return None
         # One at a time: what else is done is met, or let go, afterwards.
         task = done.pop()
-        self._asking.discard(task)
+        self._pending_asks.discard(task)
         return task.result()
 
-    async def _let_go(self) -> None:
+    async def _cancel_pending_asks(self) -> None:
         """Give up what still waits, and what was granted beside the winner."""
-        for task in self._asking:
+        for task in self._pending_asks:
             task.cancel()
-        ended = await asyncio.gather(*self._asking, return_exceptions=True)
+        ended = await asyncio.gather(
+            *self._pending_asks, return_exceptions=True
+        )
         for found in ended:
-            self._give_back(found)
+            self._release_slot(found)
 
-    def _give_back(self, found: object) -> None:
+    def _release_slot(self, found: object) -> None:
         if isinstance(found, Slot):
-            self._leave(found.end(Ended(outcome=End.NOT_SENT)))
+            self._run_in_background(
+                found.release(Ended(outcome=EndKind.NOT_SENT))
+            )
--- a/bramleybend/gateway/slot_asker.py
+++ b/bramleybend/gateway/slot_asker.py
@@ -12,10 +12,10 @@
 from bramleybend.errors import ErrorKind, Problem
 from bramleybend.events import EventLog
 from bramleybend.gateway.hold_stream import (
-    Hold,
-    Opened,
-    first_reply,
+    HoldCall,
+    HoldStream,
     read_reply,
+    send_and_read_reply,
 )
 from bramleybend.gateway.slots import Slot
 from bramleybend.models import Tier
@@ -34,39 +34,39 @@
 # An owner answers `queued` at once. One that does not is frozen or cut off;
 # the highest tier, which any VM may grant, then goes to the next in rank.
 ACK_TIMEOUT_S: Final = 0.8
-AVOID_S: Final = 3.0
-OWNER_CHECK_S: Final = 0.2
-REOPEN_PAUSE_S: Final = 0.1
-OUT_OF_TIME_RETRY_S: Final = 1.0
+AVOID_UNREACHABLE_S: Final = 3.0
+OWNER_CHECK_INTERVAL_S: Final = 0.2
+REOPEN_DELAY_S: Final = 0.1
+DEADLINE_RETRY_AFTER_S: Final = 1.0
 
-Members: TypeAlias = Callable[[], Sequence[Member]]
-Reading: TypeAlias = Coroutine[Any, Any, HoldReply | None]
+ListMembers: TypeAlias = Callable[[], Sequence[Member]]
+ReplyRead: TypeAlias = Coroutine[Any, Any, HoldReply | None]
 
 
 @dataclass(frozen=True)
-class OwnerPort:
+class OwnerRpc:
     """What is needed to speak to owners."""
 
     channels: Channels
     port: int
-    members: Members
+    members: ListMembers
     headers: Headers
 
 
-class SlotAsker:
+class SlotClient:
     """Finds a shard's owner and waits there for a slot."""
 
     def __init__(
         self,
-        port: OwnerPort,
+        rpc: OwnerRpc,
         clock: Clock,
         events: EventLog,
     ) -> None:
         """Know no owner as unreachable yet."""
-        self._port = port
+        self._rpc = rpc
         self._clock = clock
         self._events = events
-        self._avoid: dict[str, float] = {}
+        self._avoided_until: dict[str, float] = {}
 
     async def acquire(
         self,
@@ -81,55 +81,57 @@
         while self._clock.monotonic() < deadline:
             opened = await self._open(ask, deadline)
             if opened is None:
-                return Err(self._unopened(ask, deadline))
-            reply = await self._decided(ask, opened, deadline)
+                return Err(self._open_failure(ask, deadline))
+            reply = await self._wait_for_decision(ask, opened, deadline)
             if reply is not None:
-                return self._decision(ask, opened, reply)
-        return Err(_out_of_time())
+                return self._make_result(ask, opened, reply)
+        return Err(_deadline_refusal())
 
     async def open_at_owner(
         self,
         ask: AskMessage,
         first: HoldRequest,
         deadline: float,
-    ) -> Opened | None:
+    ) -> HoldStream | None:
         """Open a stream with the shard's owner, also one that is paused.
 
         Below the highest tier no other VM's grant counts, so a slow owner is
         waited for until it answers or the members have replaced it.
         """
-        began = self._clock.monotonic()
-        silent = ''
+        started_at = self._clock.monotonic()
+        unreachable_incarnation = ''
         while self._clock.monotonic() < deadline:
-            owner = self.owner(ask.service, ask.shard)
+            owner = self.find_owner(ask.service, ask.shard)
             if owner is not None:
                 opened = await self._open_stream(ask, first, owner, deadline)
                 if opened is not None:
                     return opened
-                if owner.incarnation != silent:
-                    self._note_silent(ask, owner)
-                silent = owner.incarnation
-            await asyncio.sleep(REOPEN_PAUSE_S)
+                if owner.incarnation != unreachable_incarnation:
+                    self._record_unreachable(ask, owner)
+                unreachable_incarnation = owner.incarnation
+            await asyncio.sleep(REOPEN_DELAY_S)
             if first.HasField('ask'):
-                waited_s = self._clock.monotonic() - began
+                waited_s = self._clock.monotonic() - started_at
                 first.ask.timeout_s = max(ask.timeout_s - waited_s, 0)
         return None
 
-    def owner(self, service: str, shard: int) -> Member | None:
+    def find_owner(self, service: str, shard: int) -> Member | None:
         """Return the member that the present view makes the owner."""
-        ranked = owners_of(service, shard, self._port.members())
+        ranked = owners_of(service, shard, self._rpc.members())
         return ranked[0] if ranked else None
 
-    def owner_of(self, service: str, shard: int) -> str:
+    def owner_incarnation(self, service: str, shard: int) -> str:
         """Return the incarnation of the present owner; empty without one."""
-        owner = self.owner(service, shard)
+        owner = self.find_owner(service, shard)
         return owner.incarnation if owner else ''
 
-    async def _open(self, ask: AskMessage, deadline: float) -> Opened | None:
+    async def _open(
+        self, ask: AskMessage, deadline: float
+    ) -> HoldStream | None:
         first = HoldRequest(ask=ask)
         if ask.tier == min(Tier):
             return await self._open_at_any(ask, first)
-        if self.owner(ask.service, ask.shard) is None:
+        if self.find_owner(ask.service, ask.shard) is None:
             return None
         return await self.open_at_owner(ask, first, deadline)
 
@@ -139,65 +141,71 @@
         first: HoldRequest,
         owner: Member,
         deadline: float,
-    ) -> Opened | None:
-        call = self._call(owner)
-        reading = first_reply(call, self._with_header(first))
+    ) -> HoldStream | None:
+        call = self._start_call(owner)
+        reading = send_and_read_reply(call, self._with_header(first))
         reply = None
         try:
-            reply = await self._while_owner(reading, ask, owner, deadline)
+            reply = await self._read_while_owner(reading, ask, owner, deadline)
         finally:
             if reply is None:
                 call.cancel()
-        return None if reply is None else Opened(call, owner)
+        return None if reply is None else HoldStream(call, owner)
 
-    def _unopened(self, ask: AskMessage, deadline: float) -> Refused | Problem:
+    def _open_failure(
+        self, ask: AskMessage, deadline: float
+    ) -> Refused | Problem:
         in_time = self._clock.monotonic() < deadline
-        return _no_owner(ask) if in_time else _out_of_time()
+        return _no_owner_problem(ask) if in_time else _deadline_refusal()
 
     async def _open_at_any(
         self,
         ask: AskMessage,
         first: HoldRequest,
-    ) -> Opened | None:
+    ) -> HoldStream | None:
         """Open a stream with the VM that answers first in rank."""
-        for owner in self._ranked(ask.service, ask.shard):
-            call = self._call(owner)
-            if await self._acknowledged(call, first):
-                return Opened(call, owner)
-            self._note_silent(ask, owner)
-            self._avoid_for_now(owner)
+        for owner in self._rank_owners(ask.service, ask.shard):
+            call = self._start_call(owner)
+            if await self._send_and_await_ack(call, first):
+                return HoldStream(call, owner)
+            self._record_unreachable(ask, owner)
+            self._avoid_owner(owner)
         return None
 
-    def _ranked(self, service: str, shard: int) -> list[Member]:
+    def _rank_owners(self, service: str, shard: int) -> list[Member]:
         """Return owners in rank order, those just found dead last."""
         now = self._clock.monotonic()
-        ranked = owners_of(service, shard, self._port.members())
+        ranked = owners_of(service, shard, self._rpc.members())
         return sorted(
             ranked,
-            key=lambda owner: self._avoid.get(owner.incarnation, 0) > now,
+            key=lambda owner: (
+                self._avoided_until.get(owner.incarnation, 0) > now
+            ),
         )
 
-    def _avoid_for_now(self, owner: Member) -> None:
+    def _avoid_owner(self, owner: Member) -> None:
         now = self._clock.monotonic()
-        self._avoid = {
+        self._avoided_until = {
             incarnation: until
-            for incarnation, until in self._avoid.items()
+            for incarnation, until in self._avoided_until.items()
             if until > now
         }
-        self._avoid[owner.incarnation] = now + AVOID_S
+        self._avoided_until[owner.incarnation] = now + AVOID_UNREACHABLE_S
 
-    def _call(self, owner: Member) -> Hold:
-        endpoint = f'{owner.address}:{self._port.port}'
-        stub = OwnerStub(self._port.channels.get(endpoint))
-        call: Hold = stub.Hold()
+    def _start_call(self, owner: Member) -> HoldCall:
+        endpoint = f'{owner.address}:{self._rpc.port}'
+        stub = OwnerStub(self._rpc.channels.get(endpoint))
+        call: HoldCall = stub.Hold()
         return call
 
     def _with_header(self, first: HoldRequest) -> HoldRequest:
-        first.header.CopyFrom(self._port.headers.make())
+        first.header.CopyFrom(self._rpc.headers.make())
         return first
 
-    async def _acknowledged(self, call: Hold, first: HoldRequest) -> bool:
-        reading = first_reply(call, self._with_header(first))
+    async def _send_and_await_ack(
+        self, call: HoldCall, first: HoldRequest
+    ) -> bool:
+        reading = send_and_read_reply(call, self._with_header(first))
         reply = None
         try:
             reply = await within(ACK_TIMEOUT_S, reading)
@@ -208,10 +216,10 @@
                 call.cancel()
         return reply is not None
 
-    async def _decided(
+    async def _wait_for_decision(
         self,
         ask: AskMessage,
-        opened: Opened,
+        opened: HoldStream,
         deadline: float,
     ) -> HoldReply | None:
         """Wait for the owner's decision; None if it no longer counts."""
@@ -219,9 +227,9 @@
         reply = None
         try:
             if ask.tier == min(Tier):
-                reply = await self._until(reading, deadline)
+                reply = await self._read_until(reading, deadline)
             else:
-                reply = await self._while_owner(
+                reply = await self._read_while_owner(
                     reading, ask, opened.owner, deadline
                 )
         finally:
@@ -231,20 +239,20 @@
                 opened.call.cancel()
         return reply
 
-    def _decision(
+    def _make_result(
         self,
         ask: AskMessage,
-        opened: Opened,
+        opened: HoldStream,
         reply: HoldReply,
     ) -> Result[Slot, Refused | Problem]:
-        self._port.headers.observe(reply.header)
+        self._rpc.headers.observe(reply.header)
         if reply.HasField('granted'):
             return Ok(Slot(self, ask, reply.granted, opened))
         return Err(reply.refused)
 
-    async def _until(
+    async def _read_until(
         self,
-        reading: Reading,
+        reading: ReplyRead,
         deadline: float,
     ) -> HoldReply | None:
         left_s = max(deadline - self._clock.monotonic(), 0)
@@ -254,9 +262,9 @@
         except TimeoutError:
             return None
 
-    async def _while_owner(
+    async def _read_while_owner(
         self,
-        reading: Reading,
+        reading: ReplyRead,
         ask: AskMessage,
         owner: Member,
         deadline: float,
@@ -268,16 +276,18 @@
                 left_s = deadline - self._clock.monotonic()
                 if left_s <= 0:
                     break
-                wait_s = min(left_s, OWNER_CHECK_S)
+                wait_s = min(left_s, OWNER_CHECK_INTERVAL_S)
                 await asyncio.wait((task,), timeout=wait_s)
             return task.result() if task.done() else None
         finally:
             task.cancel()
 
     def _is_owner(self, ask: AskMessage, member: Member) -> bool:
-        return self.owner_of(ask.service, ask.shard) == member.incarnation
+        return (
+            self.owner_incarnation(ask.service, ask.shard) == member.incarnation
+        )
 
-    def _note_silent(self, ask: AskMessage, owner: Member) -> None:
+    def _record_unreachable(self, ask: AskMessage, owner: Member) -> None:
         self._events.record(
             'owner_unreachable',
             ask.request_id,
@@ -285,7 +295,7 @@
         )
 
 
-def _no_owner(ask: AskMessage) -> Problem:
+def _no_owner_problem(ask: AskMessage) -> Problem:
     return Problem(
         ErrorKind.PEER_UNAVAILABLE,
         f'no owner of {ask.service} shard {ask.shard} can be reached',
@@ -293,11 +303,11 @@
     )
 
 
-def _out_of_time() -> Refused:
+def _deadline_refusal() -> Refused:
     # A deadline that runs out in a queue is a request shed, so it is no more
     # final than an owner's refusal: the tier floor is asked for first.
     return Refused(
         reason='no slot came free before the deadline',
-        retry_after_s=OUT_OF_TIME_RETRY_S,
+        retry_after_s=DEADLINE_RETRY_AFTER_S,
         shed=True,
     )
--- a/bramleybend/gateway/slots.py
+++ b/bramleybend/gateway/slots.py
@@ -13,7 +13,7 @@
 
 import grpc
 
-from bramleybend.gateway.hold_stream import Opened, read_reply
+from bramleybend.gateway.hold_stream import HoldStream, read_reply
 from bramleybend.wire.bramleybend_pb2 import (
     Adopt,
     AskMessage,
@@ -24,9 +24,9 @@
 )
 
 ADOPT_RETRY_S: Final = 0.3
-LAST_CALL_TIMEOUT_S: Final = 1.0
-CRASH_CALL_TIMEOUT_S: Final = 10.0
-UNKNOWN_YET: Final = -1  # engines tell what was cached at the end
+OWNER_TIMEOUT_S: Final = 1.0
+CRASH_REPORT_TIMEOUT_S: Final = 10.0
+CACHED_TOKENS_UNKNOWN: Final = -1  # engines tell what was cached at the end
 
 
 class OwnerStreams(Protocol):
@@ -37,7 +37,7 @@
         ask: AskMessage,
         first: HoldRequest,
         deadline: float,
-    ) -> Opened | None:
+    ) -> HoldStream | None:
         """Open a stream with the owner; None once the deadline passed."""
 
 
@@ -49,60 +49,62 @@
         owners: OwnerStreams,
         ask: AskMessage,
         granted: Granted,
-        opened: Opened,
+        opened: HoldStream,
     ) -> None:
         """Take over the stream on which the grant came."""
         self.runner = granted.runner
         self.endpoint = granted.endpoint
-        self.owner = opened.owner.incarnation
+        self.owner_incarnation = opened.owner.incarnation
         self.service = ask.service
         self.shard = ask.shard
         self.preempted = asyncio.Event()
-        self._owners = owners
+        self._owner_streams = owners
         self._ask = ask
         self._call = opened.call
-        self._ending = False
-        self._watch = asyncio.create_task(self._watch_owner())
+        self._is_ending = False
+        self._reply_task = asyncio.create_task(self._read_replies())
 
-    async def first_token(self, prompt_tokens: int) -> None:
+    async def report_first_token(self, prompt_tokens: int) -> None:
         """Tell the owner that the prefill is over."""
         await self._send(
             HoldRequest(
                 first_token=FirstToken(
                     prompt_tokens=prompt_tokens,
-                    cached_tokens=UNKNOWN_YET,
+                    cached_tokens=CACHED_TOKENS_UNKNOWN,
                 ),
             ),
         )
 
-    async def end(self, ended: Ended) -> None:
+    async def release(self, ended: Ended) -> None:
         """Give the slot back with what was learned from the run."""
-        self._ending = True
-        if not await self._tell(ended) and ended.runner_crashed:
-            await self._tell_anew(ended)
+        self._is_ending = True
+        if not await self._report_end(ended) and ended.runner_crashed:
+            await self._report_crash_to_new_owner(ended)
 
-    async def _tell(self, ended: Ended) -> bool:
+    async def _report_end(self, ended: Ended) -> bool:
         """Whether the owner has read how the run ended."""
         call = self._call
         await self._send(HoldRequest(ended=ended))
         # The owner ends the stream once it has read this. One that is gone
         # or frozen does not, and then the closed stream gives the slot back;
         # but a crash that it never read of would be counted by nobody.
-        patient = ended.runner_crashed
-        wait_s = CRASH_CALL_TIMEOUT_S if patient else LAST_CALL_TIMEOUT_S
-        done, _ = await asyncio.wait((self._watch,), timeout=wait_s)
-        self._watch.cancel()
+        is_crash_report = ended.runner_crashed
+        wait_s = CRASH_REPORT_TIMEOUT_S if is_crash_report else OWNER_TIMEOUT_S
+        done, _ = await asyncio.wait((self._reply_task,), timeout=wait_s)
+        self._reply_task.cancel()
         self._call.cancel()
         if not done or call is not self._call:
             return False
         return await call.code() is grpc.StatusCode.OK
 
-    async def _tell_anew(self, ended: Ended) -> None:
+    async def _report_crash_to_new_owner(self, ended: Ended) -> None:
         """Tell the present owner of a crash that the one before missed."""
         adopt = HoldRequest(adopt=Adopt(ask=self._ask, runner=self.runner))
         with suppress(TimeoutError):
-            async with asyncio.timeout(CRASH_CALL_TIMEOUT_S):
-                opened = await self._owners.open_at_owner(self._ask, adopt, inf)
+            async with asyncio.timeout(CRASH_REPORT_TIMEOUT_S):
+                opened = await self._owner_streams.open_at_owner(
+                    self._ask, adopt, inf
+                )
                 if opened is None:
                     return
                 self._call = opened.call
@@ -116,23 +118,25 @@
             asyncio.InvalidStateError,
             TimeoutError,
         ):
-            async with asyncio.timeout(LAST_CALL_TIMEOUT_S):
+            async with asyncio.timeout(OWNER_TIMEOUT_S):
                 await self._call.write(message)
 
-    async def _watch_owner(self) -> None:
-        while not self._ending:
+    async def _read_replies(self) -> None:
+        while not self._is_ending:
             reply = await read_reply(self._call)
-            if reply is None and not self._ending:
-                await self._adopt()
+            if reply is None and not self._is_ending:
+                await self._register_with_owner()
             elif reply is not None and reply.HasField('preempted'):
                 self.preempted.set()
 
-    async def _adopt(self) -> None:
+    async def _register_with_owner(self) -> None:
         """Register the run with whoever owns the shard now."""
         # Only the owner: registered elsewhere the run stays unknown to it.
         adopt = HoldRequest(adopt=Adopt(ask=self._ask, runner=self.runner))
         opened = None
         while opened is None:
             await asyncio.sleep(ADOPT_RETRY_S)
-            opened = await self._owners.open_at_owner(self._ask, adopt, inf)
+            opened = await self._owner_streams.open_at_owner(
+                self._ask, adopt, inf
+            )
         self._call = opened.call
--- a/bramleybend/gateway/view.py
+++ b/bramleybend/gateway/view.py
@@ -30,13 +30,13 @@
 from bramleybend.wire.channels import Channels
 from bramleybend.wire.headers import Headers
 
-VIEW_WAIT_S: Final = 0.4
+VIEW_LONG_POLL_S: Final = 0.4
 # With a view older than this, no scheduler may wait for news before it replies.
-OVERDUE_S: Final = 0.8
+VIEW_OVERDUE_S: Final = 0.8
 # After this another scheduler is asked too. Later replies still count.
-REPLY_S: Final = 0.2
+REPLY_GRACE_S: Final = 0.2
 VIEW_TIMEOUT_S: Final = 2.0
-RETRY_S: Final = 0.1
+RETRY_DELAY_S: Final = 0.1
 
 
 @dataclass(frozen=True)
@@ -48,8 +48,8 @@
     members: tuple[Member, ...] = ()
     shards: tuple[ShardView, ...] = ()
     endpoints: dict[str, str] = field(default_factory=dict)
-    refused: frozenset[str] = frozenset()  # fingerprints
-    heard_at: float = -inf
+    refused_fingerprints: frozenset[str] = frozenset()  # fingerprints
+    fresh_at: float = -inf
 
 
 class ViewFollower:
@@ -72,19 +72,19 @@
         self._channels = channels
         self._clock = clock
         self._events = events
-        self._turn = 0
-        self._asking: dict[asyncio.Task[bool], str] = {}
-        self._owners: tuple[Member, ...] = ()
+        self._scheduler_index = 0
+        self._pending_asks: dict[asyncio.Task[bool], str] = {}
+        self._owner_candidates: tuple[Member, ...] = ()
         self._asked_at = -inf
-        self._taken = asyncio.Event()
+        self._view_received = asyncio.Event()
 
-    def owners(self) -> tuple[Member, ...]:
+    def owner_candidates(self) -> tuple[Member, ...]:
         """Return the members that may own shards.
 
         The view holds the others too: a VM that is leaving still has runs
         under way, and requests for them are forwarded to it.
         """
-        return self._owners
+        return self._owner_candidates
 
     @property
     def terms_version(self) -> int:
@@ -92,9 +92,9 @@
         return self.view.terms.version if self.view.terms else 0
 
     @property
-    def age_s(self) -> float:
+    def terms_age_s(self) -> float:
         """Seconds since the system was last heard of."""
-        return self._clock.monotonic() - self.view.heard_at
+        return self._clock.monotonic() - self.view.fresh_at
 
     @property
     def view_age_s(self) -> float:
@@ -108,13 +108,13 @@
     @property
     def is_overdue(self) -> bool:
         """Whether a view should have come by now."""
-        return self.view_age_s >= OVERDUE_S
+        return self.view_age_s >= VIEW_OVERDUE_S
 
-    async def next_view(self, limit_s: float) -> None:
+    async def wait_for_view(self, limit_s: float) -> None:
         """Wait for the next view, for at most `limit_s` seconds."""
         with suppress(TimeoutError):
             async with asyncio.timeout(limit_s):
-                await self._taken.wait()
+                await self._view_received.wait()
 
     async def follow(self) -> None:
         """Ask for views until cancelled."""
@@ -122,49 +122,49 @@
             while True:
                 await self._ask_next()
         finally:
-            for asking in self._asking:
+            for asking in self._pending_asks:
                 asking.cancel()
 
     async def _ask_next(self) -> None:
         """Ask one scheduler; turn to the next if it is silent."""
-        wait_s = 0 if self.is_overdue else VIEW_WAIT_S
-        if self._turn:
+        wait_s = 0 if self.is_overdue else VIEW_LONG_POLL_S
+        if self._scheduler_index:
             self._probe_own()
-        asking = self._begin(self._next_address(), wait_s)
-        done, _ = await asyncio.wait((asking,), timeout=wait_s + REPLY_S)
+        asking = self._start_ask(self._current_address(), wait_s)
+        done, _ = await asyncio.wait((asking,), timeout=wait_s + REPLY_GRACE_S)
         if asking not in done:
-            self._turn += 1
+            self._scheduler_index += 1
         elif not asking.result():
-            self._turn += 1
-            await asyncio.sleep(RETRY_S)
+            self._scheduler_index += 1
+            await asyncio.sleep(RETRY_DELAY_S)
 
     def _probe_own(self) -> None:
         """Ask the VM's own scheduler beside another one, until it replies."""
-        if self._own_address not in self._asking.values():
-            self._begin(self._own_address, wait_s=0)
+        if self._own_address not in self._pending_asks.values():
+            self._start_ask(self._own_address, wait_s=0)
 
-    def _begin(self, address: str, wait_s: float) -> asyncio.Task[bool]:
-        asking = asyncio.create_task(self._ask_and_take(address, wait_s))
-        self._asking[asking] = address
-        asking.add_done_callback(self._asking.pop)
+    def _start_ask(self, address: str, wait_s: float) -> asyncio.Task[bool]:
+        asking = asyncio.create_task(self._ask_and_apply(address, wait_s))
+        self._pending_asks[asking] = address
+        asking.add_done_callback(self._pending_asks.pop)
         return asking
 
-    async def _ask_and_take(self, address: str, wait_s: float) -> bool:
+    async def _ask_and_apply(self, address: str, wait_s: float) -> bool:
         """Take one scheduler's view; false if it gave none."""
         asked_at = self._clock.monotonic()
         try:
-            reply = await self._ask(address, wait_s)
+            reply = await self._request_view(address, wait_s)
         except grpc.aio.AioRpcError:
             return False
-        terms = await self._terms(reply)
+        terms = await self._parse_newer_terms(reply)
         # Several schedulers may be asked at once, and reply in any order.
         if asked_at > self._asked_at:
-            self._take(reply, terms, asked_at)
+            self._apply_reply(reply, terms, asked_at)
         if address == self._own_address:
-            self._turn = 0
+            self._scheduler_index = 0
         return True
 
-    def _next_address(self) -> str:
+    def _current_address(self) -> str:
         # Turn 0 is the VM's own scheduler. Each that is silent moves the turn
         # on to the next member, a reply of the own one brings it back.
         others = [
@@ -173,9 +173,9 @@
             if member.address != self._own_address
         ]
         addresses = [self._own_address, *others]
-        return addresses[self._turn % len(addresses)]
+        return addresses[self._scheduler_index % len(addresses)]
 
-    async def _ask(self, address: str, wait_s: float) -> ViewReply:
+    async def _request_view(self, address: str, wait_s: float) -> ViewReply:
         channel = self._channels.get(f'{address}:{self._port}')
         request = ViewRequest(
             header=self._headers.make(),
@@ -186,7 +186,7 @@
         reply: ViewReply = await stub.View(request, timeout=VIEW_TIMEOUT_S)
         return reply
 
-    def _take(
+    def _apply_reply(
         self,
         reply: ViewReply,
         terms: Terms | None,
@@ -197,9 +197,9 @@
         self._asked_at = asked_at
         self.view = replace(
             self.view,
-            terms=_newer(self.view.terms, terms),
+            terms=_newer_terms(self.view.terms, terms),
             offset=max(reply.offset, self.view.offset),
-            members=tuple(_member(record) for record in reply.members),
+            members=tuple(_make_member(record) for record in reply.members),
             shards=tuple(
                 ShardView(
                     service=record.service,
@@ -214,21 +214,21 @@
             endpoints={
                 record.name: record.endpoint for record in reply.runners
             },
-            refused=frozenset(
+            refused_fingerprints=frozenset(
                 record.fingerprint
                 for record in reply.suspects
                 if record.refused
             ),
             # A scheduler that was paused knows less than others have said.
-            heard_at=max(asked_at - reply.age_s, self.view.heard_at),
+            fresh_at=max(asked_at - reply.age_s, self.view.fresh_at),
         )
-        self._owners = tuple(
+        self._owner_candidates = tuple(
             member for member in self.view.members if member.may_own
         )
-        self._taken.set()
-        self._taken = asyncio.Event()
+        self._view_received.set()
+        self._view_received = asyncio.Event()
 
-    async def _terms(self, reply: ViewReply) -> Terms | None:
+    async def _parse_newer_terms(self, reply: ViewReply) -> Terms | None:
         known = self.view.terms
         # Terms never revert: a scheduler that knows less than we do is
         # left behind, and we keep what we have.
@@ -252,14 +252,14 @@
         return known
 
 
-def _newer(known: Terms | None, read: Terms | None) -> Terms | None:
+def _newer_terms(known: Terms | None, read: Terms | None) -> Terms | None:
     # The known ones may have been replaced while a document was being read.
     if known is None or read is None:
         return read or known
     return max(known, read, key=attrgetter('version'))
 
 
-def _member(record: MemberRecord) -> Member:
+def _make_member(record: MemberRecord) -> Member:
     return Member(
         vm=record.vm,
         address=record.address,
--- a/tests/benchmarks/capacity_control.py
+++ b/tests/benchmarks/capacity_control.py
@@ -245,7 +245,7 @@
 
 
 def _taken_view(follower: ViewFollower, text: bytes) -> None:
-    follower._take(ViewReply.FromString(text), None, 0)
+    follower._apply_reply(ViewReply.FromString(text), None, 0)
 
 
 def _follower() -> ViewFollower:
--- a/tests/test_dispatch_truth.py
+++ b/tests/test_dispatch_truth.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from bramleybend.gateway.attempt import Attempt, AttemptEnd, End
-from bramleybend.gateway.hedge import faster
-from bramleybend.gateway.run import RequestBody, Run
+from bramleybend.gateway.attempt import Attempt, AttemptEnd, EndKind
+from bramleybend.gateway.hedge import wait_for_best_end
+from bramleybend.gateway.run import CallerRequest, Run
 from bramleybend.gateway.slots import Slot
 from bramleybend.models import ServiceKind
 
 
-async def _ended(end: End) -> AttemptEnd:
+async def _ended(end: EndKind) -> AttemptEnd:
     await asyncio.sleep(0)
     return AttemptEnd(end)
 
@@ -22,17 +22,17 @@
 @pytest.mark.parametrize(
     ('first', 'second', 'told'),
     [
-        (End.NOT_SENT, End.UNHEARD, End.UNHEARD),
-        (End.UNHEARD, End.NOT_SENT, End.UNHEARD),
-        (End.NOT_SENT, End.NOT_SENT, End.NOT_SENT),
-        (End.TORN, End.WHOLE, End.WHOLE),
-        (End.OVERTAKEN, End.WHOLE, End.WHOLE),
+        (EndKind.NOT_SENT, EndKind.UNHEARD, EndKind.UNHEARD),
+        (EndKind.UNHEARD, EndKind.NOT_SENT, EndKind.UNHEARD),
+        (EndKind.NOT_SENT, EndKind.NOT_SENT, EndKind.NOT_SENT),
+        (EndKind.TORN, EndKind.WHOLE, EndKind.WHOLE),
+        (EndKind.OVERTAKEN, EndKind.WHOLE, EndKind.WHOLE),
     ],
 )
 async def test_a_run_that_was_sent_outweighs_one_that_was_not(
-    first: End,
-    second: End,
-    told: End,
+    first: EndKind,
+    second: EndKind,
+    told: EndKind,
 ) -> None:
     """One of two runs was refused, the other was sent and never answered.
 
@@ -41,7 +41,7 @@
     caller would hear `not_run` of a call that may have taken effect.
     """
     runs = [asyncio.create_task(_ended(end)) for end in (first, second)]
-    assert (await faster(*runs)).end is told
+    assert (await wait_for_best_end(*runs)).kind is told
 
 
 def test_a_refused_try_does_not_undo_one_that_was_sent() -> None:
@@ -50,13 +50,13 @@
     Its caller leaves. Were the request taken for never sent, it would be
     written down as `not_run`, and a resend would be told so.
     """
-    run = Run(RequestBody('id', 'w', 's', 'p', 1, b'{}', 'f', stream=False))
-    run.note_sent()
-    run.note_sent()
-    run.note_refused()
-    assert run.dispatched
-    run.note_refused()
-    assert not run.dispatched
+    run = Run(CallerRequest('id', 'w', 's', 'p', 1, b'{}', 'f', stream=False))
+    run.record_send()
+    run.record_send()
+    run.record_refusal()
+    assert run.was_dispatched
+    run.record_refusal()
+    assert not run.was_dispatched
 
 
 async def test_nothing_is_sent_for_a_run_that_was_given_up() -> None:
@@ -77,31 +77,31 @@
 
     server = await asyncio.start_server(_take, '127.0.0.1', 0)
     port = server.sockets[0].getsockname()[1]
-    run = Run(RequestBody('id', 'w', 's', 'p', 1, b'{}', 'f', stream=False))
+    run = Run(CallerRequest('id', 'w', 's', 'p', 1, b'{}', 'f', stream=False))
     run.give_up()
     slot = cast('Slot', SimpleNamespace(endpoint=f'127.0.0.1:{port}'))
     attempt = Attempt(run, slot, ServiceKind.PLAIN, 'run', 1)
-    end = await attempt.proceed()
+    end = await attempt.run()
     server.close()
     await server.wait_closed()
-    assert (end.end, bytes(got)) == (End.NOT_SENT, b'')
-    assert not run.dispatched
+    assert (end.kind, bytes(got)) == (EndKind.NOT_SENT, b'')
+    assert not run.was_dispatched
 
 
 @pytest.mark.parametrize('kind', list(ServiceKind))
 @pytest.mark.parametrize(
     ('head', 'body', 'told'),
     [
-        ('', b'{"text": "whole"}', End.WHOLE),
-        ('', b'{"text": "cut', End.TORN),
-        ('', b'', End.TORN),
-        ('Content-Length: 0\r\n', b'', End.WHOLE),
-        ('Content-Length: 5\r\n', b'plain', End.WHOLE),
+        ('', b'{"text": "whole"}', EndKind.WHOLE),
+        ('', b'{"text": "cut', EndKind.TORN),
+        ('', b'', EndKind.TORN),
+        ('Content-Length: 0\r\n', b'', EndKind.WHOLE),
+        ('Content-Length: 5\r\n', b'plain', EndKind.WHOLE),
     ],
     ids=['whole', 'cut', 'nothing', 'empty', 'framed'],
 )
 async def test_an_answer_that_ends_with_its_connection_proves_itself_whole(
-    kind: ServiceKind, head: str, body: bytes, told: End
+    kind: ServiceKind, head: str, body: bytes, told: EndKind
 ) -> None:
     """A runner that crashes and closes in order looks like one that is done."""
 
@@ -115,9 +115,9 @@
 
     server = await asyncio.start_server(_cut, '127.0.0.1', 0)
     port = server.sockets[0].getsockname()[1]
-    run = Run(RequestBody('id', 'w', 's', 'p', 1, b'{}', 'f', stream=False))
+    run = Run(CallerRequest('id', 'w', 's', 'p', 1, b'{}', 'f', stream=False))
     slot = cast('Slot', SimpleNamespace(endpoint=f'127.0.0.1:{port}'))
     attempt = Attempt(run, slot, kind, 'run', 1)
-    end = await attempt.proceed()
+    end = await attempt.run()
     server.close()
-    assert end.end is told
+    assert end.kind is told
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -18,7 +18,7 @@
     EnginesDeclaration,
     WeightStoreDeclaration,
 )
-from bramleybend.gateway.border import NAMED
+from bramleybend.gateway.border import REQUIRED_HEADERS
 from bramleybend.status import ExitStatus
 
 ROOT = Path(__file__).parent.parent
@@ -69,7 +69,7 @@
 def test_the_callers_page_names_every_header_and_outcome() -> None:
     """A caller can be written from the page alone."""
     text = (ROOT / 'docs' / 'CALLERS.md').read_text(encoding='utf-8')
-    for name in NAMED:
+    for name in REQUIRED_HEADERS:
         assert name in text.lower()
     for outcome, status in STATUS.items():
         assert f'| `{outcome}` | {status.value}' in text
--- a/tests/test_endless_messages.py
+++ b/tests/test_endless_messages.py
@@ -15,7 +15,7 @@
 from bramleybend.clients.message_bounds import MessageTooLongError
 from bramleybend.clients.runner import events_of
 from bramleybend.errors import ProblemError
-from bramleybend.gateway.caller_connection import Connection
+from bramleybend.gateway.caller_connection import CallerConnection
 from tests.direct.world import KEY, playing
 from tests.utils.endless_bytes import (
     EVENTS,
@@ -109,7 +109,7 @@
     before = thread_time()
     async with fed(first, then) as reader:
         out = writer()
-        conn = Connection(reader, out, answered, Mock())
+        conn = CallerConnection(reader, out, answered, Mock())
         rejected = Mock()
         async with asyncio.timeout(4):
             await conn.serve(rejected)
--- a/tests/test_floor_round.py
+++ b/tests/test_floor_round.py
@@ -14,7 +14,7 @@
 from bramleybend.clock import SystemClock
 from bramleybend.decisions.floor import ShedPermits
 from bramleybend.gateway import floor_round
-from bramleybend.gateway.floor_round import FloorPort, FloorRounds
+from bramleybend.gateway.floor_round import FloorRounds, FloorRpc
 from bramleybend.models import Tier
 from bramleybend.state.member import Member
 from bramleybend.wire.bramleybend_pb2 import FloorReply, FloorRequest, Header
@@ -74,7 +74,7 @@
     member = Member('v1', '127.0.0.1', 'north', 'a')
     rounds = FloorRounds(
         ShedPermits(),
-        FloorPort(
+        FloorRpc(
             channels,
             port,
             lambda service, shard: member,
--- a/tests/test_home.py
+++ b/tests/test_home.py
@@ -9,8 +9,8 @@
 from bramleybend.declarations import parse_terms
 from bramleybend.events import EventLog
 from bramleybend.gateway.home import Home
-from bramleybend.gateway.job import Deps
-from bramleybend.gateway.run import RequestBody, Run
+from bramleybend.gateway.job import DispatchDeps
+from bramleybend.gateway.run import CallerRequest, Run
 from bramleybend.metrics import NullMetrics
 from bramleybend.state.id_table import IdTable
 from bramleybend.state.tickets import Ticket, parse_request_id
@@ -24,20 +24,22 @@
 class _SilentJournal:
     """Is never told whether an intent stands."""
 
-    sealed = False
+    is_sealed = False
 
-    async def right(self, request_id: str, record: str) -> bool:
+    async def write_intent(self, request_id: str, record: str) -> bool:
         await asyncio.Event().wait()
         return True
 
-    def note(self, record: str) -> None:
+    def queue_record(self, record: str) -> None:
         """Forget it."""
 
 
 def _home() -> Home:
     unused = cast('Any', None)
     events = EventLog('gateway', 'feed', CLOCK)
-    deps = Deps(unused, unused, unused, CLOCK, events, NullMetrics(), Random(1))
+    deps = DispatchDeps(
+        unused, unused, unused, CLOCK, events, NullMetrics(), Random(1)
+    )
     return Home(
         Ticket('10.0.0.1', 7001, 'feed', 0),
         IdTable('feed', CLOCK.monotonic()),
@@ -53,7 +55,7 @@
     terms = parse_terms(EXAMPLE.read_text(), 1).unwrap()
     name = '10.0.0.1:7001:feed:0/one'
     deadline = CLOCK.monotonic() + LEFT_S
-    req = RequestBody(
+    req = CallerRequest(
         name,
         LARGE_SCHOOL,
         PLAIN_SERVICE,
@@ -65,6 +67,6 @@
     )
     run = _home().submit(parse_request_id(name).unwrap(), req, terms)
     assert isinstance(run, Run)
-    answer = await run.settled()
+    answer = await run.wait_for_outcome()
     assert answer.outcome is Outcome.NOT_RUN
     assert CLOCK.monotonic() < deadline
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -41,7 +41,7 @@
     is served. Without the limit such connections would collect for ever.
     """
     monkeypatch.setattr(caller_connection, 'READ_TIMEOUT_S', 0.1)
-    monkeypatch.setattr(caller_connection, 'LINGER_S', 0.1)
+    monkeypatch.setattr(caller_connection, 'LINGER_TIMEOUT_S', 0.1)
     rejected: list[int] = []
     server = HttpServer(_answer, lambda: rejected.append(1))
     await server.start('127.0.0.1', 0)
@@ -120,7 +120,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against a planned stop that waits for an idle connection."""
-    monkeypatch.setattr(caller_connection, 'LAST_REQUEST_S', 0.2)
+    monkeypatch.setattr(caller_connection, 'LAST_REQUEST_TIMEOUT_S', 0.2)
     _, writer = await asyncio.open_connection('127.0.0.1', server.port)
     await asyncio.sleep(0.1)
     began = time.monotonic()
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -10,10 +10,10 @@
 from bramleybend.answers import Answer, Outcome
 from bramleybend.clock import ManualClock
 from bramleybend.events import EventLog
-from bramleybend.gateway.border import Received
+from bramleybend.gateway.border import ReceivedRequest
 from bramleybend.gateway.home import Home
 from bramleybend.gateway.intake import Intake, IntakeDeps
-from bramleybend.gateway.job import Deps
+from bramleybend.gateway.job import DispatchDeps
 from bramleybend.metric_types import Labels
 from bramleybend.metrics import Metric, NullMetrics
 from bramleybend.state.id_table import EPOCH_S, GRACE_S, IdTable
@@ -25,7 +25,9 @@
 
 
 def _home() -> Home:
-    deps = Deps(*cast('Any', (None, None, None, CLOCK, EVENTS, None, None)))
+    deps = DispatchDeps(
+        *cast('Any', (None, None, None, CLOCK, EVENTS, None, None))
+    )
     return Home(
         Ticket('10.0.0.1', 7001, 'feed', 0),
         IdTable('feed', CLOCK.monotonic()),
@@ -34,7 +36,7 @@
     )
 
 
-def _received(deadline: datetime) -> Received:
+def _received(deadline: datetime) -> ReceivedRequest:
     headers = {
         'bramleybend-request-id': '10.0.0.1:7001:feed:0/one',
         'bramleybend-workspace': 'w',
@@ -42,7 +44,7 @@
         'bramleybend-profile': 'p',
         'bramleybend-deadline': deadline.isoformat(),
     }
-    return Received(headers, b'{}')
+    return ReceivedRequest(headers, b'{}')
 
 
 def test_a_forgotten_id_is_expired_and_nothing_more_is_claimed() -> None:
@@ -59,9 +61,9 @@
     )
     CLOCK.advance(EPOCH_S * 3 + GRACE_S)
     for draining in (False, True):
-        intake.draining = draining
+        intake.is_draining = draining
         for left in (timedelta(seconds=-1), timedelta(seconds=5)):
-            answer = intake.take(_received(CLOCK.now() + left))
+            answer = intake.accept(_received(CLOCK.now() + left))
             assert isinstance(answer, Answer)
             assert answer.outcome is Outcome.EXPIRED
 
@@ -89,7 +91,7 @@
     intake = Intake(
         IntakeDeps(unused, unused, _home, CLOCK, EVENTS, metrics, 10),
     )
-    answer = intake.take(Received({}, b'{}'))
+    answer = intake.accept(ReceivedRequest({}, b'{}'))
     assert isinstance(answer, Answer)
     assert answer.outcome is Outcome.REJECTED
     assert metrics.counted == [Metric.REJECTED]
@@ -100,11 +102,11 @@
     """A view that is too old until the next one comes."""
 
     is_overdue: bool
-    age_s: float = STALE_S + 1
+    terms_age_s: float = STALE_S + 1
     view: Any = field(default_factory=lambda: SimpleNamespace(terms='any'))
 
-    async def next_view(self, limit_s: float) -> None:
-        self.is_overdue, self.age_s = False, 0
+    async def wait_for_view(self, limit_s: float) -> None:
+        self.is_overdue, self.terms_age_s = False, 0
 
 
 @pytest.mark.parametrize('is_overdue', [True, False])
@@ -120,6 +122,6 @@
     intake = Intake(
         IntakeDeps(views, unused, _home, CLOCK, EVENTS, NullMetrics(), STALE_S),
     )
-    assert not intake.ready
-    await intake.freshen()
-    assert intake.ready is is_overdue
+    assert not intake.is_ready
+    await intake.wait_for_fresh_view()
+    assert intake.is_ready is is_overdue
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -14,8 +14,8 @@
 from bramleybend.errors import Problem
 from bramleybend.events import EventLog
 from bramleybend.gateway.journal import JournalWriter
-from bramleybend.gateway.lost_home import SETTLE_S, LostHomes
-from bramleybend.gateway.run import RequestBody, Run
+from bramleybend.gateway.lost_home import MAX_SETTLE_S, LostHomes
+from bramleybend.gateway.run import CallerRequest, Run
 from bramleybend.metrics import NullMetrics
 from bramleybend.state.journal_records import (
     encode_intent,
@@ -73,7 +73,7 @@
 
 def _run(request_id: RequestId) -> Run:
     return Run(
-        RequestBody(
+        CallerRequest(
             str(request_id), 'w', 's', 'p', 1, b'{}', 'f', stream=False
         ),
     )
@@ -82,7 +82,7 @@
 @asynccontextmanager
 async def _writing(log: FakeLog) -> AsyncIterator[JournalWriter]:
     writer = JournalWriter(log, INCARNATION, EVENTS, NullMetrics())
-    working = asyncio.create_task(writer.work())
+    working = asyncio.create_task(writer.run())
     try:
         async with asyncio.timeout(LIMIT_S):
             yield writer
@@ -91,7 +91,7 @@
 
 
 async def _right(writer: JournalWriter, request_id: RequestId) -> bool:
-    return await writer.right(str(request_id), encode_intent(request_id))
+    return await writer.write_intent(str(request_id), encode_intent(request_id))
 
 
 async def _fate(log: FakeLog, request_id: RequestId) -> Run:
@@ -147,7 +147,7 @@
     log = FakeLog(CLOCK, overtaken_by=[encode_seal('other')])
     async with _writing(log) as writer:
         assert not await _right(writer, _id('a'))
-        assert writer.sealed
+        assert writer.is_sealed
 
 
 async def test_a_journal_without_an_intent_is_sealed_before_not_run() -> None:
@@ -194,7 +194,7 @@
     run = await _fate(FakeLog(CLOCK, list(records)), _id('a'))
     assert run.answer
     assert run.answer.outcome is outcome
-    assert run.body == (b'whole' if outcome is Outcome.DONE else b'')
+    assert run.answer_body == (b'whole' if outcome is Outcome.DONE else b'')
 
 
 async def test_a_log_that_is_down_leaves_a_gone_home_unknown() -> None:
@@ -222,7 +222,7 @@
     """
     log = FakeLog(CLOCK)
     async with _writing(log) as writer:
-        writer.note(encode_intent(_id('a', intent_first=False)))
+        writer.queue_record(encode_intent(_id('a', intent_first=False)))
         await writer.close()
     run = await _fate(log, _id('b', intent_first=False))
     assert run.answer
@@ -238,7 +238,7 @@
     """
     log = FakeLog(CLOCK, lose_records=1)
     async with _writing(log) as writer:
-        writer.note(encode_intent(_id('a', intent_first=False)))
+        writer.queue_record(encode_intent(_id('a', intent_first=False)))
         await writer.close()
     run = await _fate(log, _id('a', intent_first=False))
     assert run.answer
@@ -262,7 +262,7 @@
     """
     lost = LostHomes(HangingLog(CLOCK), 'other', CLOCK, EVENTS)
     runs = [(_id(str(number)), _run(_id(str(number)))) for number in range(5)]
-    async with asyncio.timeout(SETTLE_S + 2):
+    async with asyncio.timeout(MAX_SETTLE_S + 2):
         await asyncio.gather(*(lost.settle(*each) for each in runs))
     outcomes = {run.answer.outcome for _, run in runs if run.answer}
     assert outcomes == {Outcome.UNKNOWN}
--- a/tests/test_lost_home.py
+++ b/tests/test_lost_home.py
@@ -10,8 +10,8 @@
 from bramleybend.clients.log_service import LogService
 from bramleybend.clock import SystemClock
 from bramleybend.events import EventLog
-from bramleybend.gateway.lost_home import LEAST_SETTLE_S, SETTLE_S, LostHomes
-from bramleybend.gateway.run import RequestBody, Run
+from bramleybend.gateway.lost_home import MAX_SETTLE_S, MIN_SETTLE_S, LostHomes
+from bramleybend.gateway.run import CallerRequest, Run
 from bramleybend.state.tickets import RequestId, Ticket
 
 TICKET = Ticket('10.0.0.1', 7001, 'incarnation', 0)
@@ -29,7 +29,7 @@
     log = cast('LogService', _HangingLog())
     homes = LostHomes(log, 'vm', clock, EventLog('gateway', 'a', clock))
     deadline = clock.monotonic() + deadline_s
-    run = Run(RequestBody('id', 'w', 's', 'p', deadline, b'', 'f', False))
+    run = Run(CallerRequest('id', 'w', 's', 'p', deadline, b'', 'f', False))
     began = time.monotonic()
     await homes.settle(RequestId(TICKET, 'own'), run)
     assert run.answer
@@ -45,4 +45,4 @@
 
 async def test_a_caller_past_its_deadline_gets_a_short_try() -> None:
     """Guards against a resend that is refused what the log still tells."""
-    assert LEAST_SETTLE_S <= await _settled_after(-1) < SETTLE_S
+    assert MIN_SETTLE_S <= await _settled_after(-1) < MAX_SETTLE_S
--- a/tests/test_shard_race.py
+++ b/tests/test_shard_race.py
@@ -7,9 +7,9 @@
 
 from bramleybend.answers import Answer, not_run
 from bramleybend.gateway.shard_race import (
-    MOST_AT_ONCE,
+    MAX_CONCURRENT_ASKS,
+    AskResult,
     AskShard,
-    Found,
     ShardRace,
 )
 from bramleybend.gateway.slots import Slot
@@ -26,7 +26,7 @@
     def __init__(self) -> None:
         self.ends: list[Ended] = []
 
-    async def end(self, ended: Ended) -> None:
+    async def release(self, ended: Ended) -> None:
         self.ends.append(ended)
 
 
@@ -34,12 +34,12 @@
 class _Shards:
     """Answer after some time, or not at all."""
 
-    answers: dict[int, tuple[float, Found]]
+    answers: dict[int, tuple[float, AskResult]]
     asked: list[tuple[int, bool]] = field(default_factory=list)
     given_up: list[int] = field(default_factory=list)
 
-    async def ask(self, shard: int, is_further: bool) -> Found:
-        self.asked.append((shard, is_further))
+    async def ask(self, shard: int, is_extra: bool) -> AskResult:
+        self.asked.append((shard, is_extra))
         after_s, found = self.answers.get(shard, (LONG_S, FULL))
         try:
             await asyncio.sleep(after_s)
@@ -80,8 +80,8 @@
     slots = [_Slot(), _Slot()]
     both_asked = asyncio.Event()
 
-    async def ask(shard: int, is_further: bool) -> Found:
-        if is_further:
+    async def ask(shard: int, is_extra: bool) -> AskResult:
+        if is_extra:
             both_asked.set()
         await both_asked.wait()
         return slots[shard]
@@ -104,10 +104,10 @@
     shards = _Shards({})
     race = asyncio.create_task(_race(shards.ask, range(40)).run(0))
     await asyncio.sleep(1)
-    assert len(shards.asked) == MOST_AT_ONCE
+    assert len(shards.asked) == MAX_CONCURRENT_ASKS
     race.cancel()
     await asyncio.gather(race, return_exceptions=True)
-    assert sorted(shards.given_up) == list(range(MOST_AT_ONCE))
+    assert sorted(shards.given_up) == list(range(MAX_CONCURRENT_ASKS))
 
 
 async def test_a_final_answer_ends_the_search() -> None:
@@ -123,8 +123,8 @@
     """Guards against slots that stay taken while nobody uses them."""
     slot = _Slot()
 
-    async def ask(shard: int, is_further: bool) -> Found:
-        if is_further:
+    async def ask(shard: int, is_extra: bool) -> AskResult:
+        if is_extra:
             return slot
         try:
             await asyncio.sleep(LONG_S)
--- a/tests/test_slot_search.py
+++ b/tests/test_slot_search.py
@@ -13,7 +13,7 @@
 from bramleybend.answers import Answer, Outcome
 from bramleybend.clock import SystemClock
 from bramleybend.errors import Problem
-from bramleybend.gateway.job import Deps, Job
+from bramleybend.gateway.job import DispatchDeps, Job
 from bramleybend.gateway.slot_search import SlotSearch
 from bramleybend.gateway.slots import Slot
 from bramleybend.metrics import make_metrics
@@ -39,18 +39,18 @@
     return False
 
 
-def _deps(may_shed: MayShed = _never) -> Deps:
+def _deps(may_shed: MayShed = _never) -> DispatchDeps:
     deps = SimpleNamespace(
-        asker=_SilentOwner(),
-        floors=SimpleNamespace(may_shed=may_shed),
+        slot_client=_SilentOwner(),
+        floor_rounds=SimpleNamespace(may_shed=may_shed),
         views=SimpleNamespace(view=SimpleNamespace(shards=())),
         clock=CLOCK,
         metrics=make_metrics(None),
         rng=Random(1),
-        answer_by=lambda job: job.ask().deadline - MARGIN_S,
-        note=lambda *_args, **_fields: None,
+        answer_deadline=lambda job: job.make_ask().deadline - MARGIN_S,
+        record_event=lambda *_args, **_fields: None,
     )
-    return cast('Deps', deps)
+    return cast('DispatchDeps', deps)
 
 
 def _job(deadline: float) -> Job:
@@ -67,7 +67,7 @@
     )
     make_ask: Callable[[], Ask] = lambda: ask  # noqa: E731
     job = SimpleNamespace(
-        ask=make_ask,
+        make_ask=make_ask,
         tier=ask.tier,
         service=SimpleNamespace(name=ask.service, shards=1),
     )
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -8,7 +8,7 @@
 import grpc
 import pytest
 
-from bramleybend.gateway.hold_stream import Opened
+from bramleybend.gateway.hold_stream import HoldStream
 from bramleybend.gateway.slots import Slot
 from bramleybend.wire.bramleybend_pb2 import (
     AskMessage,
@@ -59,14 +59,14 @@
 
     async def open_at_owner(
         self, ask: AskMessage, first: HoldRequest, deadline: float
-    ) -> Opened | None:
+    ) -> HoldStream | None:
         assert first.HasField('adopt')
         return _opened(self.next_call)
 
 
-def _opened(call: _Call) -> Opened:
+def _opened(call: _Call) -> HoldStream:
     return cast(
-        'Opened',
+        'HoldStream',
         SimpleNamespace(call=call, owner=SimpleNamespace(incarnation='a')),
     )
 
@@ -76,7 +76,7 @@
     owners = _Owners(next_call)
     slot = Slot(owners, AskMessage(), granted, _opened(call))
     await asyncio.sleep(0)  # the slot begins to listen to its owner
-    await slot.end(ended)
+    await slot.release(ended)
 
 
 async def test_a_crash_is_told_to_an_owner_that_is_slow_to_read() -> None:
--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -6,9 +6,9 @@
 from typing import cast
 
 from bramleybend.clock import SystemClock
-from bramleybend.gateway.attempt import End
-from bramleybend.gateway.job import Deps, Job
-from bramleybend.gateway.run import RequestBody, Run
+from bramleybend.gateway.attempt import EndKind
+from bramleybend.gateway.job import DispatchDeps, Job
+from bramleybend.gateway.run import CallerRequest, Run
 from bramleybend.gateway.slots import Slot
 from bramleybend.gateway.supervisor import Supervisor
 from bramleybend.metrics import make_metrics
@@ -60,13 +60,13 @@
     preempted: asyncio.Event = field(default_factory=asyncio.Event)
     told: list[Ended] = field(default_factory=list)
 
-    async def end(self, ended: Ended) -> None:
+    async def release(self, ended: Ended) -> None:
         self.told.append(ended)
 
 
 def _job(deadline_s: float) -> Job:
     deadline = SystemClock().monotonic() + deadline_s
-    req = RequestBody(
+    req = CallerRequest(
         'a:1/b', 'w', 's', 'p', deadline, b'{}', 'f', stream=False
     )
     job = SimpleNamespace(
@@ -75,20 +75,22 @@
         profile=SimpleNamespace(cancellable=True, repeat=Repeat.AT_MOST_ONCE),
         service=SimpleNamespace(kind=ServiceKind.ENGINE),
         tier=Tier.BULK,
-        ask=lambda: SimpleNamespace(prompt_tokens=1),
+        make_ask=lambda: SimpleNamespace(prompt_tokens=1),
     )
     return cast('Job', job)
 
 
-def _deps() -> Deps:
+def _deps() -> DispatchDeps:
     clock = SystemClock()
     deps = SimpleNamespace(
         clock=clock,
         metrics=make_metrics(None, 'vm'),
-        note=lambda *_args, **_fields: None,
-        left_s=lambda job: max(job.run.req.deadline - clock.monotonic(), 0),
+        record_event=lambda *_args, **_fields: None,
+        remaining_s=lambda job: max(
+            job.run.req.deadline - clock.monotonic(), 0
+        ),
     )
-    return cast('Deps', deps)
+    return cast('DispatchDeps', deps)
 
 
 async def test_a_crash_after_the_deadline_is_reported() -> None:
@@ -96,10 +98,10 @@
     engine = _Engine()
     slot = _Slot(await engine.start())
     asyncio.get_running_loop().call_later(CRASH_S, engine.crash)
-    end = await Supervisor(_deps()).carry(
+    end = await Supervisor(_deps()).run_attempt(
         _job(DEADLINE_S), cast('Slot', slot), '0'
     )
-    assert end.end is End.UNHEARD
+    assert end.kind is EndKind.UNHEARD
     assert not slot.told
     await wait_until(lambda: bool(slot.told), 'the owner is told of the end')
     assert slot.told[0].runner_crashed
@@ -110,8 +112,8 @@
     engine = _Engine(silent=True)
     slot = _Slot(await engine.start())
     job = _job(DEADLINE_S)
-    end = await Supervisor(_deps()).carry(job, cast('Slot', slot), '0')
+    end = await Supervisor(_deps()).run_attempt(job, cast('Slot', slot), '0')
     assert SystemClock().monotonic() - job.run.req.deadline < DEADLINE_S * 2
-    assert end.end is End.UNHEARD
+    assert end.kind is EndKind.UNHEARD
     assert engine.stops
     engine.crash()
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -15,9 +15,9 @@
 from bramleybend.decisions.floor import FRESH_S
 from bramleybend.events import EventLog
 from bramleybend.gateway.view import (
-    OVERDUE_S,
-    REPLY_S,
-    VIEW_WAIT_S,
+    REPLY_GRACE_S,
+    VIEW_LONG_POLL_S,
+    VIEW_OVERDUE_S,
     ViewFollower,
 )
 from bramleybend.wire.bramleybend_pb2 import (
@@ -117,7 +117,7 @@
         EventLog('gateway', 'a', CLOCK),
     )
     following = asyncio.create_task(views.follow())
-    await wait_until(lambda: bool(views.owners()), 'the first view')
+    await wait_until(lambda: bool(views.owner_candidates()), 'the first view')
     yield _Play(views, schedulers)
     following.cancel()
     await channels.close()
@@ -155,12 +155,12 @@
     play: _Play,
 ) -> None:
     """Guards against callers that a woken VM sends away."""
-    time.sleep(OVERDUE_S + REPLY_S)  # the whole process stands still
+    time.sleep(VIEW_OVERDUE_S + REPLY_GRACE_S)  # the whole process stands still
     assert play.views.is_overdue
     began = CLOCK.monotonic()
     while play.views.is_overdue:
-        await play.views.next_view(PAUSE_S)
-    assert CLOCK.monotonic() - began < VIEW_WAIT_S
+        await play.views.wait_for_view(PAUSE_S)
+    assert CLOCK.monotonic() - began < VIEW_LONG_POLL_S
 
 
 async def test_a_woken_scheduler_takes_back_nothing_that_others_have_said(
@@ -174,4 +174,4 @@
     own.running.set()
     goal = own.asked + 3
     await wait_until(lambda: own.asked > goal, 'the own one is followed again')
-    assert play.views.age_s < PAUSE_S
+    assert play.views.terms_age_s < PAUSE_S
