--- a/bramleybend/cli/gateway.py
+++ b/bramleybend/cli/gateway.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from bramleybend.cli.serving import Environment, serve, system_environment
-from bramleybend.gateway.core import make_gateway
+from bramleybend.gateway.gateway_process import make_gateway
 from bramleybend.settings import ProcessKind, program_of
 from bramleybend.status import ExitStatus
 
--- a/bramleybend/gateway/attempt.py
+++ b/bramleybend/gateway/attempt.py
@@ -28,7 +28,7 @@
     was_refused,
 )
 from bramleybend.gateway.run import Run
-from bramleybend.gateway.slots import Slot
+from bramleybend.gateway.slot import Slot
 from bramleybend.models import ServiceKind
 
 MAX_RESUMES_WITHOUT_EVENT: Final = 3  # in a row without a new event
--- a/bramleybend/gateway/forwarding.py
+++ b/bramleybend/gateway/forwarding.py
@@ -16,8 +16,8 @@
 from bramleybend.answers import Answer, Outcome
 from bramleybend.clock import Clock
 from bramleybend.events import EventLog
-from bramleybend.gateway.border import fingerprint_of, wants_stream
 from bramleybend.gateway.lost_home import LostHomes
+from bramleybend.gateway.request_checks import fingerprint_of, wants_stream
 from bramleybend.gateway.run import CallerRequest, IncompleteAnswerError, Run
 from bramleybend.state.tickets import RequestId
 from bramleybend.wire.bramleybend_pb2 import (
--- a/bramleybend/gateway/core.py
+++ b/bramleybend/gateway/gateway_process.py
@@ -22,10 +22,10 @@
 from bramleybend.gateway.http_server import HttpServer
 from bramleybend.gateway.intake import Intake, IntakeDeps
 from bramleybend.gateway.job import DispatchDeps
-from bramleybend.gateway.journal import JournalWriter
+from bramleybend.gateway.journal_writer import JournalWriter
 from bramleybend.gateway.lost_home import LostHomes
 from bramleybend.gateway.routes import Routes
-from bramleybend.gateway.slot_asker import OwnerRpc, SlotClient
+from bramleybend.gateway.slot_client import OwnerRpc, SlotClient
 from bramleybend.gateway.view import ViewFollower
 from bramleybend.identity import Identity, make_identity
 from bramleybend.loop_watch import LoopWatch
--- a/bramleybend/gateway/hedge.py
+++ b/bramleybend/gateway/hedge.py
@@ -8,8 +8,8 @@
 from bramleybend.decisions.hedging import Hedging
 from bramleybend.gateway.attempt import AttemptEnd, EndKind
 from bramleybend.gateway.job import DispatchDeps, Job
+from bramleybend.gateway.slot import Slot
 from bramleybend.gateway.slot_search import SlotSearch
-from bramleybend.gateway.slots import Slot
 from bramleybend.gateway.supervisor import Supervisor
 from bramleybend.metrics import Metric
 from bramleybend.models import Repeat, ServiceKind
--- a/bramleybend/gateway/home.py
+++ b/bramleybend/gateway/home.py
@@ -15,10 +15,10 @@
 
 from bramleybend.answers import Answer, Outcome, expired, not_run, rejected
 from bramleybend.events import MILLISECONDS, EventLog
-from bramleybend.gateway.border import check_terms
 from bramleybend.gateway.dispatcher import Dispatcher
 from bramleybend.gateway.job import DispatchDeps, Job
-from bramleybend.gateway.journal import JournalWriter
+from bramleybend.gateway.journal_writer import JournalWriter
+from bramleybend.gateway.request_checks import check_terms
 from bramleybend.gateway.run import CallerRequest, Run, finish_on_fault
 from bramleybend.metrics import Metric
 from bramleybend.models import JournalMode, Profile, Terms
--- a/bramleybend/gateway/intake.py
+++ b/bramleybend/gateway/intake.py
@@ -12,13 +12,13 @@
 from bramleybend.answers import Answer, Outcome, not_run, quarantined, rejected
 from bramleybend.clock import Clock
 from bramleybend.events import EventLog
-from bramleybend.gateway.border import (
+from bramleybend.gateway.forwarding import Forwarder
+from bramleybend.gateway.home import Home
+from bramleybend.gateway.request_checks import (
     ReceivedRequest,
     check_deadline,
     check_headers,
 )
-from bramleybend.gateway.forwarding import Forwarder
-from bramleybend.gateway.home import Home
 from bramleybend.gateway.run import CallerRequest, Run
 from bramleybend.gateway.view import ViewFollower
 from bramleybend.metrics import Metric, Metrics
--- a/bramleybend/gateway/job.py
+++ b/bramleybend/gateway/job.py
@@ -9,7 +9,7 @@
 from bramleybend.gateway.ask import make_ask
 from bramleybend.gateway.floor_round import FloorRounds
 from bramleybend.gateway.run import Run
-from bramleybend.gateway.slot_asker import SlotClient
+from bramleybend.gateway.slot_client import SlotClient
 from bramleybend.gateway.view import ViewFollower
 from bramleybend.metrics import Metrics
 from bramleybend.models import Ask, Profile, Service, Tier
--- a/bramleybend/gateway/routes.py
+++ b/bramleybend/gateway/routes.py
@@ -8,7 +8,6 @@
 from urllib.parse import parse_qs, urlsplit
 
 from bramleybend.answers import Answer, Outcome, not_run, rejected
-from bramleybend.gateway.border import ReceivedRequest
 from bramleybend.gateway.http_messages import (
     EVENT_TYPE,
     JSON_TYPE,
@@ -19,6 +18,7 @@
     make_payload,
 )
 from bramleybend.gateway.intake import Intake
+from bramleybend.gateway.request_checks import ReceivedRequest
 from bramleybend.gateway.run import Run
 
 KEEP_TICKET_FOR: Final = timedelta(minutes=0.5)
--- a/bramleybend/gateway/shard_race.py
+++ b/bramleybend/gateway/shard_race.py
@@ -12,7 +12,7 @@
 
 from bramleybend.answers import Answer
 from bramleybend.gateway.attempt import EndKind
-from bramleybend.gateway.slots import Slot
+from bramleybend.gateway.slot import Slot
 from bramleybend.wire.bramleybend_pb2 import Ended, Refused
 
 MAX_CONCURRENT_ASKS: Final = 4
--- a/bramleybend/gateway/slot_asker.py
+++ b/bramleybend/gateway/slot_client.py
@@ -17,7 +17,7 @@
     read_reply,
     send_and_read_reply,
 )
-from bramleybend.gateway.slots import Slot
+from bramleybend.gateway.slot import Slot
 from bramleybend.models import Tier
 from bramleybend.patience import within
 from bramleybend.state.member import Member
--- a/bramleybend/gateway/slot_search.py
+++ b/bramleybend/gateway/slot_search.py
@@ -16,7 +16,7 @@
 from bramleybend.gateway.attempt import EndKind
 from bramleybend.gateway.job import DispatchDeps, Job
 from bramleybend.gateway.shard_race import AskResult, ShardRace
-from bramleybend.gateway.slots import Slot
+from bramleybend.gateway.slot import Slot
 from bramleybend.metrics import Metric
 from bramleybend.models import Ask, Tier
 from bramleybend.wire.bramleybend_pb2 import AskMessage, Ended, Refused
--- a/bramleybend/gateway/supervisor.py
+++ b/bramleybend/gateway/supervisor.py
@@ -7,7 +7,7 @@
 from bramleybend.answers import Outcome
 from bramleybend.gateway.attempt import Attempt, AttemptEnd, EndKind
 from bramleybend.gateway.job import DispatchDeps, Job
-from bramleybend.gateway.slots import Slot
+from bramleybend.gateway.slot import Slot
 from bramleybend.metrics import Metric
 from bramleybend.models import Repeat
 from bramleybend.wire.bramleybend_pb2 import Ended
--- a/tests/test_dispatch_truth.py
+++ b/tests/test_dispatch_truth.py
@@ -10,7 +10,7 @@
 from bramleybend.gateway.attempt import Attempt, AttemptEnd, EndKind
 from bramleybend.gateway.hedge import wait_for_best_end
 from bramleybend.gateway.run import CallerRequest, Run
-from bramleybend.gateway.slots import Slot
+from bramleybend.gateway.slot import Slot
 from bramleybend.models import ServiceKind
 
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -18,7 +18,7 @@
     EnginesDeclaration,
     WeightStoreDeclaration,
 )
-from bramleybend.gateway.border import REQUIRED_HEADERS
+from bramleybend.gateway.request_checks import REQUIRED_HEADERS
 from bramleybend.status import ExitStatus
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -10,10 +10,10 @@
 from bramleybend.answers import Answer, Outcome
 from bramleybend.clock import ManualClock
 from bramleybend.events import EventLog
-from bramleybend.gateway.border import ReceivedRequest
 from bramleybend.gateway.home import Home
 from bramleybend.gateway.intake import Intake, IntakeDeps
 from bramleybend.gateway.job import DispatchDeps
+from bramleybend.gateway.request_checks import ReceivedRequest
 from bramleybend.metric_types import Labels
 from bramleybend.metrics import Metric, NullMetrics
 from bramleybend.state.id_table import EPOCH_S, GRACE_S, IdTable
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -13,7 +13,7 @@
 from bramleybend.clock import ManualClock
 from bramleybend.errors import Problem
 from bramleybend.events import EventLog
-from bramleybend.gateway.journal import JournalWriter
+from bramleybend.gateway.journal_writer import JournalWriter
 from bramleybend.gateway.lost_home import MAX_SETTLE_S, LostHomes
 from bramleybend.gateway.run import CallerRequest, Run
 from bramleybend.metrics import NullMetrics
--- a/tests/test_shard_race.py
+++ b/tests/test_shard_race.py
@@ -12,7 +12,7 @@
     AskShard,
     ShardRace,
 )
-from bramleybend.gateway.slots import Slot
+from bramleybend.gateway.slot import Slot
 from bramleybend.wire.bramleybend_pb2 import Ended, Refused
 
 LONG_S = 30
--- a/tests/test_slot_search.py
+++ b/tests/test_slot_search.py
@@ -14,8 +14,8 @@
 from bramleybend.clock import SystemClock
 from bramleybend.errors import Problem
 from bramleybend.gateway.job import DispatchDeps, Job
+from bramleybend.gateway.slot import Slot
 from bramleybend.gateway.slot_search import SlotSearch
-from bramleybend.gateway.slots import Slot
 from bramleybend.metrics import make_metrics
 from bramleybend.models import Ask, Tier
 from bramleybend.wire.bramleybend_pb2 import AskMessage, Refused
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -9,7 +9,7 @@
 import pytest
 
 from bramleybend.gateway.hold_stream import HoldStream
-from bramleybend.gateway.slots import Slot
+from bramleybend.gateway.slot import Slot
 from bramleybend.wire.bramleybend_pb2 import (
     AskMessage,
     Ended,
--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -9,7 +9,7 @@
 from bramleybend.gateway.attempt import EndKind
 from bramleybend.gateway.job import DispatchDeps, Job
 from bramleybend.gateway.run import CallerRequest, Run
-from bramleybend.gateway.slots import Slot
+from bramleybend.gateway.slot import Slot
 from bramleybend.gateway.supervisor import Supervisor
 from bramleybend.metrics import make_metrics
 from bramleybend.models import Repeat, ServiceKind, Tier
