--- a/bramleybend/gateway/__init__.py
+++ b/bramleybend/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The caller side: HTTP, tickets, dispatch, answers."""
+"""Gateway process: serves callers over HTTP and dispatches their requests."""
--- a/bramleybend/gateway/ask.py
+++ b/bramleybend/gateway/ask.py
@@ -1,4 +1,4 @@
-"""What a request is expected to cost, and the ask made of it."""
+"""Builds the slot request for an owner, with an estimate of the work."""
 
 import json
 from collections.abc import Sequence
@@ -10,20 +10,20 @@
 from bramleybend.wire.bramleybend_pb2 import AskMessage
 
 CHARS_PER_TOKEN: Final = 4
-# A decoded token takes an engine's step for itself, a prompt token shares
-# one with its whole batch; the ratio is the stand-in engines' and only ranks
-# long work against short.
+# Cost of one decoded token in prompt tokens. A decoded token takes an engine
+# step of its own; the prompt tokens of a batch share one step. The ratio is
+# that of the simulated engines; it only ranks long requests against short ones.
 DECODE_WEIGHT: Final = 8
 DEFAULT_MAX_TOKENS: Final = 128
 
 
 def make_ask(req: CallerRequest, profile: Profile, kind: ServiceKind) -> Ask:
-    """Estimate from the body what an owner needs to decide."""
+    """Build the slot request, with prompt length and cost estimated."""
     if kind is ServiceKind.ENGINE:
         prompt, max_tokens = _parse_prompt(req.body)
     else:
-        # A plain call decodes no tokens. Taken for a completion of default
-        # length, short calls would seem to fill their service and be shed.
+        # Plain services decode no tokens. With the default completion length
+        # their short calls would look costly enough to be shed for overload.
         prompt, max_tokens = req.body.decode(errors='replace'), 0
     prompt_tokens = max(len(prompt) // CHARS_PER_TOKEN, 1)
     return Ask(
@@ -45,7 +45,7 @@
     excluded: Sequence[str],
     timeout_s: float,
 ) -> AskMessage:
-    """Put an ask on the wire; its deadline travels as time left."""
+    """Encode the ask; the deadline is sent as `timeout_s`, in seconds left."""
     return AskMessage(
         request_id=ask.request_id,
         service=ask.service,
--- a/bramleybend/gateway/attempt.py
+++ b/bramleybend/gateway/attempt.py
@@ -1,8 +1,8 @@
-"""One dispatch of one run to one runner, and how it ended.
+"""One attempt: sends a run to one runner and reads the answer.
 
-What may follow depends on whether the runner can have seen the request.
-Before the first byte is written another runner may be tried; after that the
-only way on is to resume the same run on the same runner.
+The end of an attempt says whether the runner may have received the request.
+As long as no byte was written, the request can go to another runner. After
+the first byte, an attempt only resumes the same run on the same runner.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
 from bramleybend.gateway.slot import Slot
 from bramleybend.models import ServiceKind
 
-MAX_RESUMES_WITHOUT_EVENT: Final = 3  # in a row without a new event
+MAX_RESUMES_WITHOUT_EVENT: Final = 3  # consecutive
 RESUME_BACKOFF_S: Final = 0.1
 
 
@@ -39,18 +39,18 @@
     """How an attempt ended."""
 
     WHOLE = 'whole'  # the answer is complete
-    NOT_SENT = 'not_sent'  # nothing reached the runner, or it said so
-    ANSWERED = 'answered'  # the runner ran it and answered with an error
-    TORN = 'torn'  # it ran, the rest of the answer is lost
-    UNHEARD = 'unheard'  # it was sent and nothing came back
-    STOPPED = 'stopped'  # we stopped it, and the runner said so
-    OVERTAKEN = 'overtaken'  # whole, after a second run had answered
-    TOO_LARGE = 'too_large'  # the answer outgrew what a home keeps
+    NOT_SENT = 'not_sent'  # no byte was sent, or the runner refused the run
+    ANSWERED = 'answered'  # the runner answered with an HTTP error status
+    TORN = 'torn'  # the answer broke off and could not be resumed
+    UNHEARD = 'unheard'  # the request was sent; no response arrived
+    STOPPED = 'stopped'  # cancelled by the gateway, confirmed by the runner
+    OVERTAKEN = 'overtaken'  # complete, but another run had answered first
+    TOO_LARGE = 'too_large'  # the answer exceeds `run.MAX_KEPT_BYTES`
 
 
 @dataclass(frozen=True)
 class AttemptEnd:
-    """An attempt's end, with what was learned on the way."""
+    """How an attempt ended, with its token usage and the runner's state."""
 
     kind: EndKind
     usage: Usage = Usage()
@@ -70,7 +70,7 @@
         run_id: str,
         prompt_tokens: int,
     ) -> None:
-        """Prepare; nothing is sent before `proceed`."""
+        """Prepare the attempt; `run_id` names the run at the runner."""
         host, _, port = slot.endpoint.rpartition(':')
         self._address = RunnerAddress(host, int(port), kind)
         self._run = run
@@ -83,18 +83,19 @@
         self.was_sent = False
 
     async def run(self) -> AttemptEnd:
-        """Dispatch and read to the end; never dispatches twice."""
+        """Send the run once and read its answer to the end."""
         try:
             exchange = await connect(self._address.host, self._address.port)
         except OSError:
             return AttemptEnd(EndKind.NOT_SENT, unreachable=True)
         if self._run.is_given_up:
-            # Cancelling reaches this task a step later than its connection;
-            # by then `not_run` is told, and nothing may be sent.
+            # The connection may open just before the cancellation reaches
+            # this task. The caller has been told `not_run` by then, so
+            # nothing may be sent.
             exchange.close()
             return AttemptEnd(EndKind.NOT_SENT)
-        # Set before the first byte: a stop that comes while it is being
-        # written must take the run for one that may have begun.
+        # Set before the first byte, so that a cancellation during the write
+        # treats the run as possibly started.
         self.was_sent = True
         self._run.record_send()
         try:
@@ -108,7 +109,7 @@
             exchange.close()
 
     async def stop(self) -> bool:
-        """Cancel the run at the runner; true once that is certain."""
+        """Cancel the run at the runner; return whether it confirmed."""
         return await cancel_run(self._address, self._run_id)
 
     async def _read_answer(self, exchange: Exchange) -> AttemptEnd:
@@ -145,7 +146,8 @@
         if head.status >= HTTPStatus.BAD_REQUEST:
             return AttemptEnd(EndKind.ANSWERED, self._usage, head.status)
         if head.framing is Framing.CONNECTION and not is_json(body):
-            # A runner that crashes may close its connection in order.
+            # The answer has no length, and a crashing runner may close its
+            # connection cleanly: only complete JSON counts as complete.
             return await self._end_broken(EndKind.TORN)
         if self._run.has_answer_data:
             return AttemptEnd(EndKind.OVERTAKEN, self._usage)
@@ -162,14 +164,14 @@
             await asyncio.sleep(RESUME_BACKOFF_S * failures)
             end = await self._resume_stream()
             if self._received_events > received_before:
-                # A long answer over a poor link may be cut many times; only
-                # resumes that bring nothing show that the run is lost.
+                # A long answer over a poor link may break many times. Only
+                # consecutive resumes without a new event end the attempt.
                 failures = 0
         return end or await self._end_broken(EndKind.TORN)
 
     async def _resume_stream(self) -> AttemptEnd | None:
-        # The engine replays from the first event we lack, so the caller's
-        # answer has neither a gap nor an event twice.
+        # The engine replays from the first missing event, so the answer has
+        # no gap and no duplicate event.
         try:
             exchange = await resume_run(
                 self._address,
@@ -182,8 +184,8 @@
         try:
             head = await exchange.head()
             if head.status != HTTPStatus.OK:
-                # An engine that no longer knows a run it had admitted has
-                # been restarted; by now it may look as well as ever.
+                # An engine that does not know a run it had admitted has
+                # restarted since, even if it accepts connections again.
                 self._runner_crashed |= head.status == HTTPStatus.NOT_FOUND
                 return None
             return await self._read_events(exchange)
@@ -215,7 +217,7 @@
         return fits
 
     async def _handle_no_response(self) -> AttemptEnd:
-        """Nothing came back: an engine may still tell what became of it."""
+        """Resume a stream whose response never began, if its engine has it."""
         if self._address.kind is not ServiceKind.ENGINE:
             return await self._end_broken(EndKind.UNHEARD)
         if self._is_streaming:
@@ -225,7 +227,7 @@
         return await self._end_broken(EndKind.UNHEARD)
 
     async def _end_broken(self, end: EndKind) -> AttemptEnd:
-        """Tell a crashed runner from a broken connection."""
+        """Return an end of this kind; connect to see if the runner crashed."""
         if not self._runner_crashed:
             try:
                 probe = await connect(self._address.host, self._address.port)
--- a/bramleybend/gateway/caller_connection.py
+++ b/bramleybend/gateway/caller_connection.py
@@ -1,8 +1,8 @@
-"""One caller's connection: HTTP/1.1 by h11, with limits on every part.
+"""One caller's HTTP/1.1 connection (h11), with limits on sizes and times.
 
-A caller that sends half a request, or bytes that are no HTTP, gets a typed
-answer where one can still be sent; its connection ends and nothing else is
-touched.
+An incomplete or malformed request is answered with an error, if the protocol
+state still allows one, and its connection is closed. Other connections are
+not affected.
 """
 
 import asyncio
@@ -31,20 +31,20 @@
 
 MAX_HEADER_BYTES: Final = 16_384
 MAX_REQUEST_BYTES: Final = 4 * 1024 * 1024
-# The body has a bound of its own, with an answer of its own.
+# The body is limited by `MAX_REQUEST_BYTES`, with its own answer.
 REQUEST_BOUNDS: Final = MessageBounds(message_bytes=inf)
-# Long enough for a slow link, short enough that half-sent requests can't
-# collect: at 200 connections a second they stay under 6,000 open sockets.
+# Long enough for a slow link, short enough to limit incomplete requests: at
+# 200 connections a second they stay under 6,000 open sockets.
 READ_TIMEOUT_S: Final = 30.0
 LINGER_TIMEOUT_S: Final = 2.0
-# A stopping server still reads what a caller is sending. Callers that were
-# paused while they connected, and kept connections, get as long.
+# Time that a stopping server allows for the rest of a request. Callers that
+# were paused while connecting and kept-alive connections get the same time.
 LAST_REQUEST_TIMEOUT_S: Final = 3.0
 STOPPING_RETRY_AFTER: Final = timedelta(seconds=1)
 
 
 class CallerConnection:
-    """One caller's connection; serves its requests one by one."""
+    """One caller's connection; serves its requests one after another."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         handler: Handler,
         count_answering: Callable[[], AbstractContextManager[None]],
     ) -> None:
-        """Take over an accepted connection."""
+        """Serve an accepted connection; `handler` answers its requests."""
         self._reader = reader
         self._writer = writer
         self._handler = handler
@@ -68,7 +68,7 @@
         self._read_timeout: asyncio.Timeout | None = None
 
     def close_when_idle(self) -> None:
-        """Close after the next answer, or soon if no request comes."""
+        """Close after the next answer, or soon if no request arrives."""
         self._is_closing = True
         if self._read_timeout is not None:
             now = asyncio.get_running_loop().time()
@@ -87,9 +87,9 @@
                 return
 
     async def _handle_request(self, req: HttpRequest) -> HttpAnswer:
-        """Answer while watching whether the caller is still there."""
-        # Without the watch, a caller that hung up would be noticed only when
-        # its answer is written, after a runner has done the work for nobody.
+        """Answer the request; raise if the caller disconnects meanwhile."""
+        # Without reading meanwhile, a disconnect would be noticed only when
+        # the answer is written, after a runner has done the work for nobody.
         answer_task = asyncio.ensure_future(self._handler(req))
         watch_task = asyncio.create_task(self._reader.read(READ_SIZE))
         try:
@@ -105,8 +105,8 @@
             await self._stop_watching(watch_task)
 
     async def _stop_watching(self, watch_task: asyncio.Task[bytes]) -> None:
-        # Two reads on one stream are an error, so the watch must be over
-        # before the next request is read.
+        # Two concurrent reads on one stream are an error, so the watch must
+        # have ended before the next request is read.
         watch_task.cancel()
         with suppress(asyncio.CancelledError, OSError):
             await watch_task
@@ -127,7 +127,7 @@
             return self._timeout_answer()
 
     def _timeout_answer(self) -> Answer | None:
-        """Return what to tell a caller that has not sent a whole request."""
+        """Return the answer for a request that was not complete in time."""
         if not self._is_closing:
             return _incomplete_answer()
         if self._http.their_state is h11.IDLE:
@@ -212,16 +212,16 @@
         await self._send(h11.EndOfMessage())
 
     async def _send_rejection(self, answer: Answer) -> None:
-        """Tell what was wrong, if the protocol still allows an answer."""
+        """Send an error answer, if the protocol state still allows one."""
         if self._http.our_state in {h11.IDLE, h11.SEND_RESPONSE}:
             with suppress(h11.LocalProtocolError, OSError):
                 await self._send_answer(make_http_answer(answer))
                 await self._linger()
 
     async def _linger(self) -> None:
-        """Read on for a moment, and not for ever, before it is closed."""
-        # Closed with bytes unread, the connection would be reset, and the
-        # caller would see that in place of the answer that tells why.
+        """Discard input for a limited time before the connection is closed."""
+        # Closing with unread input resets the connection, and the caller
+        # would see the reset instead of the answer.
         self._writer.write_eof()
         with suppress(TimeoutError):
             async with asyncio.timeout(LINGER_TIMEOUT_S):
--- a/bramleybend/gateway/dispatcher.py
+++ b/bramleybend/gateway/dispatcher.py
@@ -1,4 +1,4 @@
-"""Carries one run from its home to a runner and settles its outcome."""
+"""Dispatches a job to runners, with retries, and returns its outcome."""
 
 import asyncio
 from datetime import timedelta
@@ -21,17 +21,17 @@
 
 
 class Dispatcher:
-    """Finds a slot, dispatches, and tries again only where that is safe."""
+    """Acquires slots and runs attempts; retries only where that is safe."""
 
     def __init__(self, deps: DispatchDeps) -> None:
-        """Take the means; hold no state between runs."""
+        """Start with full retry budgets; only those outlast a job."""
         self._deps = deps
         self._search = SlotSearch(deps)
         self._hedger = Hedger(deps, self._search, Supervisor(deps))
         self._retries = RetryBudgets()
 
     async def dispatch(self, job: Job) -> Answer:
-        """Run the job to its outcome."""
+        """Run the job until its outcome is final."""
         excluded: list[str] = []
         sent_end: AttemptEnd | None = None
         for number in range(MAX_ATTEMPTS):
@@ -64,21 +64,21 @@
         answer: Answer,
         sent_end: AttemptEnd | None,
     ) -> Answer:
-        # Once an earlier try has reached a runner, `not_run` is untrue
-        # whatever the last one met, and a caller that acts on it would have
-        # its work done twice.
+        # If an earlier attempt reached a runner, `not_run` would be false
+        # however the last attempt ended: the caller would send the request
+        # again, and it could run twice.
         if sent_end is None:
             return answer
         return _answer_of(sent_end, out_of_time=not self._deps.remaining_s(job))
 
     def _may_retry(self, job: Job, end: AttemptEnd) -> bool:
-        """Whether another try is safe and still of use."""
+        """Whether another attempt is safe and can still be in time."""
         if not self._deps.remaining_s(job) or job.run.abandoned.is_set():
             return False
         if end.kind is EndKind.NOT_SENT:
             return True
-        # Once a caller has read part of an answer, a second run could go on
-        # with other words: the whole would be nobody's answer.
+        # A second run may produce a different answer, which can't continue
+        # the part that the caller has already read.
         return (
             end.kind in RETRYABLE_ENDS
             and not job.run.has_answer_data
--- a/bramleybend/gateway/floor_round.py
+++ b/bramleybend/gateway/floor_round.py
@@ -1,9 +1,9 @@
-"""Asks every owner of a pool before a request of some tier is shed.
+"""Tier floor rounds: ask every owner of a service before a request is shed.
 
-The brief's promise is over the whole pool: nothing of a higher tier is shed
-while a lower tier is being served anywhere. One owner sees one shard, so the
-gateway asks them all; each that answers also starts nothing lower for a
-while, which keeps the answer true until the permit ends.
+No request may be shed while a lower tier is served anywhere in the pool. Each
+owner knows only its shard, so the gateway asks all owners. An owner that
+replies starts no lower tier for `HOLD_S`, so that its reply stays true until
+the permit to shed expires.
 """
 
 import asyncio
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class FloorRpc:
-    """What is needed to speak to owners about floors."""
+    """How to reach the owners of shards for tier floor requests."""
 
     channels: Channels
     port: int
@@ -39,7 +39,7 @@
 
 
 class FloorRounds:
-    """Runs rounds, one at a time for a service and tier."""
+    """Runs the rounds, at most one at a time for each service and tier."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         rpc: FloorRpc,
         clock: Clock,
     ) -> None:
-        """Hold no permit yet."""
+        """Start without rounds."""
         self._permits = permits
         self._rpc = rpc
         self._clock = clock
@@ -60,15 +60,16 @@
         shards: int,
         answer_by: float,
     ) -> bool:
-        """Whether no owner serves anything below `tier` of the service.
+        """Return whether a request of this tier may be shed now.
 
-        False if that is not proved by `answer_by` on the monotonic clock.
+        False unless all owners confirm by `answer_by` (monotonic clock) that
+        they serve no lower tier of the service.
         """
         if self._permits.permit(service, tier, self._clock.monotonic()):
             return True
-        # Under a shortage many requests ask at once. They share a round, as
-        # one each would keep the last of them waiting past its deadline while
-        # an owner is silent.
+        # In a shortage many requests ask at once, so they share a round. With
+        # one round each, the last would wait past its deadline while an owner
+        # does not reply.
         left_s = answer_by - self._clock.monotonic()
         if left_s > 0:
             round_task = self._join_round(service, tier, shards)
@@ -78,7 +79,7 @@
     def _join_round(
         self, service: str, tier: Tier, shards: int
     ) -> asyncio.Task[None]:
-        """Return the round that is under way, or begin one."""
+        """Return the task of the current round; start one if there is none."""
         key = (service, tier)
         round_task = self._rounds.get(key)
         if round_task is None or round_task.done():
--- a/bramleybend/gateway/forwarding.py
+++ b/bramleybend/gateway/forwarding.py
@@ -1,7 +1,7 @@
-"""Requests that came to another VM than their home.
+"""Forwards requests that arrive at another VM than their home.
 
-They are passed on to the home over gRPC, and the answer comes back as it
-grows. Only when the home is gone is its journal asked.
+They are sent to the home over gRPC, and the answer is streamed back as it
+arrives. If the home is lost, the answer is taken from its journal.
 """
 
 import asyncio
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class ForwardRpc:
-    """What is needed to speak to other homes."""
+    """How to reach the homes on other VMs."""
 
     channels: Channels
     headers: Headers
@@ -46,7 +46,7 @@
 
 
 class Forwarder:
-    """Passes requests on to their homes."""
+    """Forwards requests to their homes."""
 
     def __init__(
         self,
@@ -55,17 +55,21 @@
         clock: Clock,
         events: EventLog,
     ) -> None:
-        """Hold no state between requests."""
+        """Keep no state between requests."""
         self._rpc = rpc
         self._lost_homes = lost_homes
         self._clock = clock
         self._events = events
 
     async def forward(self, request_id: RequestId, run: Run) -> None:
-        """Fill `run` with the home's answer, or with what is known."""
+        """Finish `run` with the home's answer, or with what its journal proves.
+
+        If the home is lost after a part of the answer, `run` is marked
+        incomplete.
+        """
         ticket = request_id.ticket
-        # The address in a ticket is a caller's word; only the system's own
-        # VMs are ever connected to for it.
+        # The caller supplies the ticket's address, so the gateway connects to
+        # it only if it belongs to a member VM.
         if not self._rpc.is_member(ticket.address):
             await self._lost_homes.settle(request_id, run)
             return
@@ -105,9 +109,9 @@
 
     async def _handle_lost_home(self, request_id: RequestId, run: Run) -> None:
         if run.has_answer_data:
-            # Part of the answer is with the caller already. It sends the id
-            # again, and is then told what the journal proves.
-            run.mark_torn()
+            # The caller has part of the answer already. It resends the id and
+            # then gets the answer that the journal proves.
+            run.mark_incomplete()
             return
         await self._lost_homes.settle(request_id, run)
 
@@ -124,7 +128,7 @@
 
 
 class HomeService(HomeServicer):
-    """The home's end: answers as if the caller had come here."""
+    """Serves forwarded requests at their home, like those of direct callers."""
 
     def __init__(
         self,
@@ -132,7 +136,7 @@
         clock: Clock,
         headers: Headers,
     ) -> None:
-        """Take requests in by `submit`, which knows this VM's homes."""
+        """Accept requests by `submit`; it returns None for an unknown home."""
         self._headers = headers
         self._submit = submit
         self._clock = clock
@@ -142,7 +146,7 @@
         request: ForwardRequest,
         context: Context,
     ) -> AsyncIterator[ForwardReply]:
-        """Run or join a request and pass its answer on as it grows."""
+        """Start or join the request's run; stream its answer as it arrives."""
         await self._headers.accept(request.header, context)
         submitted = self._submit(self._parse_request(request))
         if submitted is None:
@@ -164,8 +168,8 @@
                 return
 
     async def _replies(self, run: Run) -> AsyncIterator[ForwardReply]:
-        # The head goes first and at once: a home that stays silent is frozen or
-        # cut off, and the forwarding VM would wait on it for nothing.
+        # The first head is sent at once. A home that sends nothing within
+        # `FIRST_REPLY_TIMEOUT_S` is taken for frozen or cut off.
         yield ForwardReply(head=ForwardHead(header=self._headers.make()))
         await run.wait_until_started()
         yield ForwardReply(
--- a/bramleybend/gateway/gateway_process.py
+++ b/bramleybend/gateway/gateway_process.py
@@ -1,4 +1,4 @@
-"""Builds a gateway from its parts, runs it and stops it."""
+"""Builds the gateway process from its components, starts and stops it."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -47,7 +47,7 @@
     """One gateway process."""
 
     def __init__(self, cfg: Settings, identity: Identity, clock: Clock) -> None:
-        """Wire the parts; nothing runs yet."""
+        """Build the components; `start` runs them."""
         self.stopping = asyncio.Event()
         self.events = EventLog('gateway', identity.incarnation, clock)
         self._cfg = cfg
@@ -76,7 +76,7 @@
         self._grpc: grpc.aio.Server
 
     async def start(self) -> None:
-        """Listen and follow the scheduler."""
+        """Listen for callers, peers and operators; poll for views."""
         self.intake = self._make_intake()
         routes = Routes(self.intake, self._list_addresses)
         self._http = HttpServer(
@@ -106,11 +106,11 @@
         self.events.record('started', vm=self._cfg.vm)
 
     def reload(self) -> None:
-        """Keep the settings: flags and variables stay as they were."""
+        """Record that a reload is ignored; settings are read at the start."""
         self.events.record('reload_ignored')
 
     async def stop(self) -> None:
-        """Take nothing new, let everything in flight end, then leave."""
+        """Refuse new requests, wait for those in flight, then close all."""
         self.intake.is_draining = True
         self.events.record('draining', in_flight=self.intake.in_flight)
         deadline = self._clock.monotonic() + self._cfg.drain_timeout_s
@@ -227,10 +227,10 @@
 
 
 class GatewayControl:
-    """What operators may ask of a gateway."""
+    """The gateway's side of the operators' control service."""
 
     def __init__(self, gateway: Gateway) -> None:
-        """Report on this gateway."""
+        """Serve status and drain requests for one gateway."""
         self._gateway = gateway
 
     def status(self) -> dict[str, object]:
@@ -254,6 +254,6 @@
 
 
 def make_gateway(cfg: Settings, clock: Clock) -> Gateway:
-    """Build a gateway; it gets a new incarnation with every start."""
+    """Build a gateway with a new incarnation."""
     identity = make_identity(cfg.vm, cfg.domain, str(cfg.address))
     return Gateway(cfg, identity, clock)
--- a/bramleybend/gateway/hedge.py
+++ b/bramleybend/gateway/hedge.py
@@ -1,4 +1,4 @@
-"""Starts a second run beside a slow one, where the profile allows it."""
+"""Hedging: starts a second run of a slow request where the profile allows."""
 
 import asyncio
 from types import MappingProxyType
@@ -20,7 +20,7 @@
 
 
 class Hedger:
-    """Carries a try, and a second one beside it when it is slow."""
+    """Runs an attempt, and a second concurrent one if the first is slow."""
 
     def __init__(
         self,
@@ -28,14 +28,14 @@
         search: SlotSearch,
         supervisor: Supervisor,
     ) -> None:
-        """Know no calls yet."""
+        """Start without measured calls."""
         self._deps = deps
         self._search = search
         self._supervisor = supervisor
         self._hedging = Hedging()
 
     async def run_attempt(self, job: Job, slot: Slot, label: str) -> AttemptEnd:
-        """Carry a try to its end, or to that of the faster of two."""
+        """Run an attempt, hedged if allowed; return the better of two ends."""
         if not _may_hedge(job):
             return await self._supervisor.run_attempt(job, slot, label)
         key = (job.service.name, job.profile.name)
@@ -67,30 +67,28 @@
             return await first
         self._deps.record_event(job, 'hedged', runner=slot.runner)
         self._deps.metrics.count(Metric.HEDGED, tier=int(job.tier))
-        second = asyncio.create_task(self._start_second(job, slot, label))
+        second = asyncio.create_task(self._run_second(job, slot, label))
         try:
             return await wait_for_best_end(first, second)
         finally:
             self._detach_run(job, second)
 
     def _detach_run(self, job: Job, run: asyncio.Task[AttemptEnd]) -> None:
-        """Leave a run that another one has overtaken."""
-        # A plain service can't be told to stop. Given back at once, its slot
-        # would draw the next call into the same stall, and the owner would
-        # never learn how slow the runner is; so the run is seen to its end.
+        """Cancel an unneeded run at an engine; await it at a plain service."""
+        # Runs of plain services can't be cancelled. If the slot were released
+        # early, the next call would be sent to the same stalled runner, and
+        # the owner would not learn how slow it is.
         if job.service.kind is ServiceKind.ENGINE:
             run.cancel()
         elif not run.done():
             self._supervisor.run_in_background(_wait_until_done(run))
 
-    async def _start_second(
-        self, job: Job, slot: Slot, label: str
-    ) -> AttemptEnd:
+    async def _run_second(self, job: Job, slot: Slot, label: str) -> AttemptEnd:
         found = await self._search.find(job, [slot.runner])
         if isinstance(found, Answer):
             return AttemptEnd(EndKind.NOT_SENT)
         if job.run.has_answer_data:
-            # The first run answered while this one waited for its slot.
+            # The first run answered while this one waited for a slot.
             await found.release(Ended(outcome=EndKind.NOT_SENT))
             return AttemptEnd(EndKind.NOT_SENT)
         return await self._supervisor.run_attempt(
@@ -99,8 +97,8 @@
 
 
 def _may_hedge(job: Job) -> bool:
-    # Two streams would interleave in one answer, so only answers that are
-    # taken whole are hedged.
+    # Two runs that stream would interleave their events in one answer, so
+    # only answers that are read as one body are hedged.
     return (
         job.profile.hedge
         and job.profile.repeat is Repeat.IDEMPOTENT
@@ -116,7 +114,7 @@
     first: asyncio.Task[AttemptEnd],
     second: asyncio.Task[AttemptEnd],
 ) -> AttemptEnd:
-    """Return the first whole end, else that of a run that was sent."""
+    """Return the first complete end, else one of a run that was sent."""
     done, _ = await asyncio.wait(
         (first, second),
         return_when=asyncio.FIRST_COMPLETED,
@@ -125,7 +123,7 @@
         if task.result().kind is EndKind.WHOLE:
             return task.result()
     ends = (await first, await second)
-    # `not_sent` may be told to a caller as `not_run`, so it may only stand
-    # for the request if it is true of both runs.
+    # A caller may be told `not_run` for `not_sent`, so `not_sent` is returned
+    # only if it is true of both runs.
     ranked = sorted(ends, key=lambda end: END_RANKS.get(end.kind, 1))
     return ranked[0]
--- a/bramleybend/gateway/hold_stream.py
+++ b/bramleybend/gateway/hold_stream.py
@@ -1,4 +1,4 @@
-"""The stream on which a gateway asks for a slot and holds it."""
+"""The gRPC stream on which a gateway asks an owner for a slot and holds it."""
 
 import asyncio
 from dataclasses import dataclass
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True)
 class HoldStream:
-    """A stream that its owner has answered."""
+    """An open stream on which the owner has replied at least once."""
 
     call: HoldCall
     owner: Member
 
 
 async def read_reply(call: HoldCall) -> HoldReply | None:
-    """Return the next reply; None once the stream is over or broken."""
+    """Return the next reply; None if the stream has ended or failed."""
     try:
         reply = await call.read()
     except (grpc.aio.AioRpcError, asyncio.InvalidStateError):
@@ -32,7 +32,7 @@
 async def send_and_read_reply(
     call: HoldCall, first: HoldRequest
 ) -> HoldReply | None:
-    """Send a stream's first message and return the reply to it."""
+    """Send the stream's first message and return the reply, as `read_reply`."""
     try:
         await call.write(first)
     except (grpc.aio.AioRpcError, asyncio.InvalidStateError):
--- a/bramleybend/gateway/home.py
+++ b/bramleybend/gateway/home.py
@@ -1,8 +1,9 @@
-"""A home: the one place that may run the ids minted under its tickets.
+"""A home: only it may dispatch the request ids minted under its tickets.
 
-A gateway is one home at a time. It starts a new one when another VM has
-sealed its journal, taking it for dead: the old home then only answers what
-it knows already.
+A gateway has one current home. When another VM has taken that home for dead
+and sealed its journal, the gateway opens a new one. The old home gives out no
+more tickets and dispatches nothing that needs an intent in its journal, but
+still answers for the ids that it knows.
 """
 
 import asyncio
@@ -31,7 +32,7 @@
 
 
 class Home:
-    """The ids of one incarnation, their runs and their journal."""
+    """The request ids of one incarnation, with their runs and the journal."""
 
     def __init__(
         self,
@@ -40,7 +41,7 @@
         journal: JournalWriter,
         deps: DispatchDeps,
     ) -> None:
-        """Know no id yet."""
+        """Start a home for the ticket's incarnation; `ids` starts empty."""
         self.incarnation = ticket.incarnation
         self.journal = journal
         self.run_tasks: set[asyncio.Task[None]] = set()
@@ -55,7 +56,7 @@
         return self._deps.events
 
     def ticket(self, *, intent_first: bool) -> Ticket:
-        """Return the ticket under which callers mint ids now."""
+        """Return a ticket of the current epoch, for callers to mint ids."""
         epoch = self._ids.current_epoch(self._deps.clock.monotonic())
         return Ticket(
             self._ticket.address,
@@ -66,12 +67,12 @@
         )
 
     def find_run(self, request_id: RequestId) -> Run | None:
-        """Return the run of an id that was sent before."""
+        """Return the run of an id; None for an id that is not known."""
         seen = self._ids.lookup(request_id, self._deps.clock.monotonic())
         return seen.entry if isinstance(seen, Known) else None
 
     def expired_answer(self, request_id: RequestId) -> Answer | None:
-        """Return the answer for an id that may have run and been forgotten."""
+        """Return `expired` for an id too old to know whether it has run."""
         seen = self._ids.lookup(request_id, self._deps.clock.monotonic())
         return expired(seen.reason) if isinstance(seen, Expired) else None
 
@@ -81,7 +82,7 @@
         req: CallerRequest,
         terms: Terms,
     ) -> Run | Answer:
-        """Join the run of a known id, or start a new one."""
+        """Return the run of a known id or start one; an answer if neither."""
         known_run = self.find_run(request_id)
         if known_run is not None:
             return _join_run(known_run, req)
@@ -100,8 +101,8 @@
         terms: Terms,
         profile: Profile,
     ) -> Run | Answer:
-        # A profile's timeout bounds what a caller may ask for, so that a slip
-        # in a deadline does not hold a slot for a day.
+        # The profile's timeout limits the deadline, so that a mistake in a
+        # caller's deadline doesn't hold a slot for a day.
         max_deadline = (
             self._deps.clock.monotonic() + profile.timeout.total_seconds()
         )
@@ -126,7 +127,7 @@
         return run
 
     async def _execute(self, request_id: RequestId, job: Job) -> None:
-        """Carry a run to its outcome and write it down."""
+        """Run the job to its outcome and write that to the journal."""
         begun_at = self._deps.clock.monotonic()
         self._deps.metrics.count(
             Metric.ACCEPTED,
@@ -167,8 +168,8 @@
                 (dispatching, abandoned),
                 return_when=asyncio.FIRST_COMPLETED,
             )
-            # A run that has begun is stopped by its attempt, which alone
-            # knows whether the runner has let go of it.
+            # A run that was dispatched is cancelled by its attempt, as only
+            # the attempt knows whether the runner has confirmed that.
             if not dispatching.done() and not job.run.was_dispatched:
                 job.run.give_up()
                 dispatching.cancel()
@@ -180,9 +181,9 @@
     async def _write_intent_in_time(
         self, request_id: RequestId, job: Job
     ) -> bool:
-        # A log behind a cut link answers nothing, and each call to it takes
-        # its whole timeout. The caller is answered before its deadline; a
-        # right that comes later is never used, so `not_run` stays true.
+        # If the link to the log is cut, each call takes its whole timeout. The
+        # caller is told `not_run` before its deadline, and an intent that is
+        # confirmed later is not dispatched.
         intent = encode_intent(request_id)
         left_s = self._deps.answer_deadline(job) - self._deps.clock.monotonic()
         try:
@@ -231,7 +232,7 @@
         )
 
     def _late_field(self, job: Job) -> dict[str, int]:
-        """Return how long after its deadline a request was settled."""
+        """Return `late_ms` for a request that ended after its deadline."""
         late_s = self._deps.clock.monotonic() - job.run.req.deadline
         if late_s <= 0:
             return {}
@@ -239,8 +240,7 @@
 
 
 def _join_run(run: Run, req: CallerRequest) -> Run | Answer:
-    # An id sent with other content would be given the answer to what the
-    # first sender asked, so the second one is told instead.
+    # The same id with another body must not get the first body's answer.
     if run.req.fingerprint != req.fingerprint:
         return rejected(
             'this id was sent before with another body',
--- a/bramleybend/gateway/http_messages.py
+++ b/bramleybend/gateway/http_messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers as callers' HTTP connections carry them."""
+"""HTTP requests and answers on callers' connections."""
 
 import json
 from collections.abc import AsyncIterator, Awaitable, Callable, Mapping
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class HttpRequest:
-    """A whole request, header names in lower case."""
+    """A complete HTTP request; header names are in lower case."""
 
     method: str
     target: str
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class HttpAnswer:
-    """What goes back: one body, or a stream of parts."""
+    """An HTTP answer with one body, or with `parts` that are streamed."""
 
     status: int
     content_type: str = JSON_TYPE
@@ -37,7 +37,7 @@
 
 
 def make_http_answer(answer: Answer) -> HttpAnswer:
-    """Put an answer without a runner's body in its HTTP form."""
+    """Return the HTTP answer for an answer that has no runner's body."""
     headers = {OUTCOME_HEADER: str(answer.outcome)}
     if answer.retry_after is not None:
         seconds = max(round(answer.retry_after.total_seconds()), 1)
@@ -51,7 +51,7 @@
 
 
 def make_payload(answer: Answer) -> dict[str, object]:
-    """Return the JSON object that tells an answer."""
+    """Return the JSON object that describes an answer."""
     after = answer.retry_after
     return {
         'outcome': answer.outcome,
--- a/bramleybend/gateway/http_server.py
+++ b/bramleybend/gateway/http_server.py
@@ -1,4 +1,4 @@
-"""Accepts callers' connections and ends them at a planned stop."""
+"""HTTP server: accepts callers' connections, closes them at a planned stop."""
 
 import asyncio
 from collections.abc import Callable, Iterator
@@ -11,28 +11,29 @@
 from bramleybend.gateway.run import IncompleteAnswerError
 
 CALLER_GONE_ERRORS: Final = (*BROKEN, IncompleteAnswerError)
-# Longer than a turn of the event loop, which accepts all that is queued.
+# Longer than one iteration of the event loop, which accepts all connections in
+# the listen queue.
 ACCEPT_WAIT_S: Final = 0.05
 
 
 class HttpServer:
-    """Accepts callers; owns their connections."""
+    """Accepts callers and holds their connections."""
 
     def __init__(
         self,
         handler: Handler,
         count_rejected: Callable[[], None],
     ) -> None:
-        """Answer every request by `handler`."""
+        """Answer each request by `handler`; count malformed ones."""
         self._handler = handler
         self._count_rejected = count_rejected
         self._server: asyncio.Server | None = None
         self._connections: dict[asyncio.Task[None], CallerConnection] = {}
         self._is_stopping = False
-        self.answering_count = 0  # requests that have come in and not gone out
+        self.answering_count = 0  # requests received and not yet answered
 
     async def start(self, address: str, port: int) -> None:
-        """Listen."""
+        """Listen for callers."""
         self._server = await asyncio.start_server(
             self._accept,
             address,
@@ -42,17 +43,18 @@
 
     @property
     def port(self) -> int:
-        """The port listened on, for a server that was started on any."""
+        """The port listened on; tells which one if started with port 0."""
         assert self._server is not None
         port: int = self._server.sockets[0].getsockname()[1]
         return port
 
     async def stop(self, timeout_s: float) -> None:
-        """Answer whoever has connected, for at most `limit_s`, then close.
+        """Answer all callers that have connected, then close the server.
 
-        The kernel resets what is still queued when a listener is closed, so
-        the queue is emptied first. Each connection ends with the request
-        that it is sending, or after `LAST_REQUEST_S` without one.
+        Closing a listener makes the kernel reset the connections in its queue,
+        so the server first accepts those. Each connection closes after its
+        current request, or after `LAST_REQUEST_TIMEOUT_S` without a request.
+        After `timeout_s` the remaining ones are cut.
         """
         self._is_stopping = True
         for conn in self._connections.values():
@@ -91,7 +93,7 @@
         try:
             await conn.serve(self._count_rejected)
         except CALLER_GONE_ERRORS:
-            # The caller has gone; it will send the same id again.
+            # The connection broke; the caller resends the same id.
             return
         finally:
             self._connections.pop(task)
--- a/bramleybend/gateway/intake.py
+++ b/bramleybend/gateway/intake.py
@@ -1,4 +1,4 @@
-"""Takes requests in, from callers and from other VMs' gateways."""
+"""Accepts requests from callers and from the gateways of other VMs."""
 
 import asyncio
 from collections.abc import Callable
@@ -28,13 +28,14 @@
 STALE_RETRY_AFTER: Final = timedelta(seconds=2)
 DRAIN_RETRY_AFTER: Final = timedelta(seconds=1)
 MAX_OLD_HOMES: Final = 4
-# A VM that was paused hears from a scheduler within milliseconds of waking.
+# A VM that was paused gets a view from a scheduler milliseconds after it
+# resumes; this leaves time for a slow one.
 FRESH_VIEW_TIMEOUT_S: Final = 1.0
 
 
 @dataclass(frozen=True)
 class IntakeDeps:
-    """What intake works with."""
+    """The components that the intake uses."""
 
     views: ViewFollower
     forwarder: Forwarder
@@ -46,10 +47,10 @@
 
 
 class Intake:
-    """Knows this VM's homes and decides where a request goes."""
+    """Holds this VM's homes; accepts, forwards or refuses each request."""
 
     def __init__(self, deps: IntakeDeps) -> None:
-        """Start with a fresh home."""
+        """Start with a new home."""
         self.is_draining = False
         self._deps = deps
         self._homes: dict[str, Home] = {}
@@ -62,10 +63,11 @@
         return not self.is_draining and self._refuse_on_stale_terms() is None
 
     async def wait_for_fresh_view(self) -> None:
-        """Wait a moment for a view that is overdue, if it decides anything.
+        """Wait for an overdue view, if the terms are too old to admit work.
 
-        A VM that was cut off still hears from its own scheduler that its
-        terms are old, so its callers go elsewhere at once.
+        After a pause of this VM the next view arrives at once. On a VM that is
+        cut off the view is not overdue, since its own scheduler replies, and
+        only the terms are old: its callers are sent elsewhere without a wait.
         """
         views = self._deps.views
         until = self._deps.clock.monotonic() + FRESH_VIEW_TIMEOUT_S
@@ -81,7 +83,7 @@
 
     @property
     def in_flight(self) -> int:
-        """How many runs and forwards are under way."""
+        """The number of runs and forwarded requests in progress."""
         return len(self._forward_tasks) + sum(
             len(home.run_tasks) for home in self._homes.values()
         )
@@ -89,8 +91,9 @@
     def make_ticket(self, profile: str) -> Ticket:
         """Return a ticket for requests under a profile.
 
-        Its mark says whether the log is written to first, so a VM that later
-        reads the journal knows what a missing intent proves.
+        `intent_first` in the ticket says whether the intent is written before
+        dispatch. A VM that reads the journal of a lost home needs it to know
+        whether a missing intent proves that nothing ran.
         """
         if self._current.journal.is_sealed:
             self._current = self._open_home()
@@ -104,7 +107,7 @@
         )
 
     def accept(self, received: ReceivedRequest) -> Run | Answer:
-        """Take in a caller's request; bad input is counted."""
+        """Accept a caller's request; bad input is counted."""
         run_or_answer = self._check_and_route(received)
         if (
             isinstance(run_or_answer, Answer)
@@ -114,7 +117,7 @@
         return run_or_answer
 
     def accept_forwarded(self, req: CallerRequest) -> Run | Answer | None:
-        """Take in what another VM passed on; None if its home is not here."""
+        """Accept a forwarded request; None if its home is not on this VM."""
         request_id = parse_request_id(req.request_id).ok()
         if request_id and request_id.ticket.incarnation in self._homes:
             return self._submit(request_id, req)
@@ -142,11 +145,11 @@
         self, request_id: RequestId, req: CallerRequest
     ) -> Run | Answer:
         home = self._homes[request_id.ticket.incarnation]
-        # Whether a known request may be answered does not depend on terms
-        # or on a planned stop: its answer is owed already.
+        # A known request is answered whatever the terms say and also during a
+        # planned stop, as it was accepted before.
         if home.find_run(request_id) is None:
-            # First of all refusals: the others say that nothing ran, which
-            # nobody knows of an id that was dropped with its epoch.
+            # `expired` is checked before the other refusals: they say that
+            # nothing ran, which is unknown for an id dropped with its epoch.
             refusal = home.expired_answer(request_id) or self._refuse_new(req)
             if refusal is not None:
                 return refusal
@@ -169,8 +172,8 @@
         return self._refuse_on_stale_terms()
 
     def _refuse_on_stale_terms(self) -> Answer | None:
-        # A VM that was paused or cut off would admit work on terms that
-        # were replaced meanwhile, so it first waits for fresh word.
+        # After a pause or a partition the terms may have been replaced, so
+        # nothing new is admitted until a scheduler has confirmed the terms.
         views = self._deps.views
         is_stale = views.terms_age_s > self._deps.terms_stale_after_s
         if views.view.terms is None or is_stale:
@@ -188,7 +191,7 @@
         )
         self._forward_tasks.add(task)
         task.add_done_callback(self._forward_tasks.discard)
-        task.add_done_callback(partial(_mark_torn_on_fault, run))
+        task.add_done_callback(partial(_mark_incomplete_on_fault, run))
         return run
 
     def _open_home(self) -> Home:
@@ -200,8 +203,8 @@
         return home
 
 
-def _mark_torn_on_fault(run: Run, _task: asyncio.Task[None]) -> None:
-    # Only the home knows the outcome, so a broken forward says nothing and
-    # the caller asks again.
+def _mark_incomplete_on_fault(run: Run, _task: asyncio.Task[None]) -> None:
+    # Only the home knows the outcome of a forwarded request. If forwarding
+    # fails, the caller gets no outcome and must resend.
     if run.answer is None:
-        run.mark_torn()
+        run.mark_incomplete()
--- a/bramleybend/gateway/job.py
+++ b/bramleybend/gateway/job.py
@@ -1,4 +1,4 @@
-"""A run with the terms it runs under, and what carries it."""
+"""A job: a run with its profile and service; and what dispatch needs."""
 
 from dataclasses import dataclass
 from random import Random
@@ -14,14 +14,15 @@
 from bramleybend.metrics import Metrics
 from bramleybend.models import Ask, Profile, Service, Tier
 
-# A caller stops listening at its deadline; what is told then reaches nobody.
+# A caller stops waiting at its deadline, so the answer is sent a little before:
+# by this share of the time left, at most by this many seconds.
 ANSWER_MARGIN_SHARE: Final = 0.05
 ANSWER_MARGIN_S: Final = 0.2
 
 
 @dataclass(frozen=True)
 class DispatchDeps:
-    """What a gateway's runs are carried with."""
+    """The components that dispatch uses, shared by all jobs of a gateway."""
 
     slot_client: SlotClient
     floor_rounds: FloorRounds
@@ -32,7 +33,7 @@
     rng: Random
 
     def record_event(self, job: 'Job', event: str, **fields: object) -> None:
-        """Record an event of one job."""
+        """Record an event of one job with its id and tier."""
         self.events.record(
             event,
             job.request_id,
@@ -41,14 +42,14 @@
         )
 
     def answer_deadline(self, job: 'Job') -> float:
-        """Return by when to tell a job that it was not run."""
+        """Return when a caller must be told at the latest that nothing ran."""
         margin_s = min(
             self.remaining_s(job) * ANSWER_MARGIN_SHARE, ANSWER_MARGIN_S
         )
         return job.run.req.deadline - margin_s
 
     def remaining_s(self, job: 'Job') -> float:
-        """Seconds to the job's deadline; 0 once it has passed."""
+        """Seconds until the job's deadline; 0 after it."""
         return max(job.run.req.deadline - self.clock.monotonic(), 0)
 
 
@@ -62,14 +63,14 @@
 
     @property
     def request_id(self) -> str:
-        """The request's id."""
+        """The id of the caller's request."""
         return self.run.req.request_id
 
     @property
     def tier(self) -> Tier:
-        """The request's rank."""
+        """The tier of the profile."""
         return self.profile.tier
 
     def make_ask(self) -> Ask:
-        """Return what an owner needs to decide about it."""
+        """Build the slot request for the owner."""
         return make_ask(self.run.req, self.profile, self.service.kind)
--- a/bramleybend/gateway/journal_writer.py
+++ b/bramleybend/gateway/journal_writer.py
@@ -1,8 +1,9 @@
-"""Writes a home's journal: one task that owns its stream.
+"""Writes the journal of one home to its stream in the log service.
 
-Records are appended in batches, so that the log sees a few appends a second
-from each home whatever the load. Work whose intent must stand in the log
-waits for its batch and for reading it back; other records follow behind.
+Records are appended in batches, so that each home causes few appends a second
+at any load. A request that needs its intent in the log before dispatch waits
+until the batch has been appended and read back; other records are queued and
+written later.
 """
 
 import asyncio
@@ -20,26 +21,25 @@
 from bramleybend.state.journal_records import encode_seal, stream_of
 from bramleybend.state.journal_rules import HomeJournal
 
-# Waiting callers pay for the pause, the log pays without it: at 5 ms a home
-# makes at most 200 appends a second, and in practice as many as its round
-# trips allow.
+# Delays each waiting request so that intents are batched. 5 ms allow a home at
+# most 200 appends a second; in practice the log's round trips limit them.
 INTENT_BATCH_DELAY_S: Final = 0.005
 RECORD_FLUSH_INTERVAL_S: Final = 0.25
 LOG_DOWN_RETRY_S: Final = 0.5
 MAX_BATCH: Final = 200
-# A journal that can't be finished stays unsealed, which is only less proof;
-# a planned stop must not wait out a log outage for it.
+# A planned stop must not wait for the end of a log outage. A journal that is
+# not sealed as complete only proves less: more requests end as `unknown`.
 CLOSE_TIMEOUT_S: Final = 5.0
 CLOSE_RETRY_DELAY_S: Final = 0.1
 MAYBE_APPENDED: Final = frozenset((None, ErrorKind.LOG_REPLY_LOST))
-# A log outage must not fill the memory: 20,000 records of 200 bytes are
-# 4 MB, and what is dropped only turns a later answer into `unknown`.
+# Limits memory in a log outage: 20,000 records of 200 bytes are 4 MB. The
+# oldest are dropped; a request whose record is missing may end as `unknown`.
 MAX_QUEUED_RECORDS: Final = 20_000
 
 
 @dataclass(frozen=True)
 class PendingIntent:
-    """An intent and the request that waits for its right."""
+    """An intent record, and the result that its request waits for."""
 
     request_id: str
     record: str
@@ -47,7 +47,7 @@
 
 
 class JournalWriter:
-    """Appends intents and outcomes of one incarnation."""
+    """Appends the intents and outcomes of one incarnation."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         events: EventLog,
         metrics: Metrics,
     ) -> None:
-        """Start with an empty stream; `work` does the writing."""
+        """Start with an empty stream; `run` does the writing."""
         self.journal = HomeJournal()
         self.log_ok = True
         self._log = log
@@ -71,18 +71,18 @@
 
     @property
     def is_sealed(self) -> bool:
-        """Whether this incarnation may dispatch by intent no more."""
+        """Whether a seal has been read, so that no intent counts any more."""
         return self.journal.sealed
 
     def queue_record(self, record: str) -> None:
-        """Write a record behind the work that it tells of."""
+        """Queue a record to be written later."""
         self._queued_records.append(record)
 
     async def write_intent(self, request_id: str, record: str) -> bool:
-        """Write an intent; true once its right to be dispatched stands.
+        """Write an intent; return whether its request may be dispatched.
 
-        False is final: the request must not be dispatched, even if the
-        append lands later.
+        False is final: the request must not be dispatched, even if the append
+        succeeds later.
         """
         if self.is_sealed:
             return False
@@ -103,10 +103,10 @@
                 await self._write_queued()
 
     async def close(self) -> None:
-        """Write what is left and seal, for a planned stop.
+        """Write the queued records and a seal, for a planned stop.
 
-        The seal says that the journal is complete, so that whoever reads it
-        can tell a request that never ran from one that is not written down.
+        The seal marks the journal as complete. To a reader, a request without
+        a record was then never dispatched.
         """
         with suppress(TimeoutError):
             async with asyncio.timeout(CLOSE_TIMEOUT_S):
@@ -117,8 +117,8 @@
             await self._write_queued()
             if not self.log_ok:
                 await asyncio.sleep(CLOSE_RETRY_DELAY_S)
-        # Without the lock a batch that `work` is just appending would look
-        # written, and land behind a seal that calls the journal complete.
+        # A batch that `run` is appending is no longer in the queue. Without
+        # the lock it could land behind a seal that says "complete".
         async with self._queue_lock:
             if not self._queued_records and not self.is_sealed:
                 await self._seal()
@@ -155,12 +155,12 @@
             count = min(len(self._queued_records), MAX_BATCH)
             batch = [self._queued_records.popleft() for _ in range(count)]
             if batch and await self._append(batch) is not None:
-                # A second copy of a record changes nothing for its readers,
-                # so an append whose reply was lost is simply made again.
+                # The append may have succeeded although its reply was lost.
+                # Readers ignore a second copy of a record.
                 self._queued_records.extendleft(reversed(batch))
 
     async def _append(self, records: list[str]) -> ErrorKind | None:
-        """Append; return what went wrong, if anything did."""
+        """Append records; return the kind of error, or None if it succeeded."""
         match await self._log.append(self._stream, records):
             case Ok():
                 self.log_ok = True
@@ -173,21 +173,21 @@
         return None
 
     async def _read_back(self, *, may_repeat: bool) -> frozenset[str]:
-        """Return the rights that stand; no word means no right.
+        """Return the ids that may be dispatched; without a reply, none.
 
-        With `may_repeat`, a read that failed is made once more.
+        With `may_repeat`, a failed read is repeated once.
         """
-        # Without this read, a home that was paused over its append would
-        # dispatch after another VM had sealed the stream and answered
-        # `not_run`. A right counts only from before the first seal.
+        # While this home is paused in an append, another VM may seal the
+        # stream and tell the caller `not_run`. Only intents before the first
+        # seal may be dispatched, so the stream is read back first.
         allowed: frozenset[str] = frozenset()
         is_at_tail = False
         while not is_at_tail:
             read = await self._read()
             if read is None and may_repeat:
-                # The log took the append a moment ago. A read that fails now
-                # tells rather of a pause of this process than of an outage,
-                # and its reply, if there is one, is too old to count.
+                # The log has just accepted the append, so a failed read is
+                # more likely due to a pause of this process than to an
+                # outage. A reply that arrived meanwhile is too old to use.
                 may_repeat = False
                 continue
             if read is None:
@@ -199,7 +199,7 @@
         return allowed
 
     async def _read(self) -> LogBatch | None:
-        """Read on from what is known; None if the log gave nothing."""
+        """Read the next records of the stream; None if the read failed."""
         match await self._log.read(self._stream, self.journal.next_offset):
             case Ok(batch):
                 return batch
--- a/bramleybend/gateway/lost_home.py
+++ b/bramleybend/gateway/lost_home.py
@@ -1,7 +1,7 @@
-"""Answers for homes that are gone, from their journals.
+"""Answers for requests whose home is lost, from the home's journal.
 
-No other VM ever takes over a home's right to run an id. What the journal
-proves is told; what it does not prove is told to be unknown.
+No other VM may dispatch the requests of a lost home. The caller is told the
+outcome that the journal proves, or `unknown` if it proves none.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 MAX_CACHED_JOURNALS: Final = 32
 READ_ATTEMPTS: Final = 2
 MAX_SETTLE_S: Final = 4.0
-# Of what is left to the deadline, so that the answer arrives before it.
+# Subtracted from the time left, so that the answer arrives before the deadline.
 ANSWER_MARGIN_S: Final = 0.2
 MIN_SETTLE_S: Final = 0.5
 RETRY_AFTER: Final = timedelta(seconds=1)
@@ -41,14 +41,14 @@
 
 @dataclass(frozen=True)
 class LockedJournal:
-    """A journal as it was read here; one request reads on at a time."""
+    """A journal as far as it was read; one request at a time reads on."""
 
     view: JournalView = field(default_factory=JournalView)
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
 
 class LostHomes:
-    """Reads journals of gone homes, a few kept at a time."""
+    """Reads the journals of lost homes; caches those that were used last."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         clock: Clock,
         events: EventLog,
     ) -> None:
-        """Have read nothing yet."""
+        """Start with no journal read."""
         self._log = log
         self._clock = clock
         self._vm = vm
@@ -65,7 +65,7 @@
         self._journals: OrderedDict[str, LockedJournal] = OrderedDict()
 
     async def settle(self, request_id: RequestId, run: Run) -> None:
-        """Give a run the answer that the home's journal proves."""
+        """Finish the run with the answer that the home's journal proves."""
         answer = await self._find_answer_in_time(request_id, run)
         self._events.record(
             'home_lost',
@@ -77,9 +77,9 @@
     async def _find_answer_in_time(
         self, request_id: RequestId, run: Run
     ) -> Answer:
-        # A VM dies with many requests, and their callers all come at once. If
-        # the log hangs just then, each would wait for the reads of all that
-        # came before it, long past its deadline.
+        # When a VM dies, all its callers ask at once, and their reads of its
+        # journal queue for the lock. If the log hangs, the last would wait far
+        # beyond its deadline, so the limit includes the wait for the lock.
         journal = self._open_journal(request_id.ticket.incarnation)
         try:
             async with asyncio.timeout(self._time_limit_s(run)), journal.lock:
@@ -100,8 +100,8 @@
         if not await self._read_to_tail(request_id, view):
             return unknown(LOG_DOWN_REASON)
         if request_id.ticket.intent_first and not view.sealed:
-            # A home that is not dead after all reads this back before its
-            # next dispatch, and so runs nothing that is told `not_run` here.
+            # If the home is still alive, it reads the seal back before its
+            # next dispatch, and dispatches nothing reported as `not_run` here.
             await self._seal(request_id)
             if (
                 not await self._read_to_tail(request_id, view)
@@ -127,7 +127,7 @@
     async def _read_to_tail(
         self, request_id: RequestId, view: JournalView
     ) -> bool:
-        """Read the journal to its tail."""
+        """Read the journal to its end; false if the log gave an error."""
         stream = stream_of(request_id.ticket.incarnation)
         while True:
             batch = await self._read_batch(stream, view.next_offset)
@@ -138,9 +138,9 @@
                 return view.next_offset >= batch.next_offset
 
     async def _read_batch(self, stream: str, start: int) -> LogBatch | None:
-        """Read once; a read that failed is made once more."""
-        # If this process stands still over a read, its reply is too old to
-        # count, and the log looks down.
+        """Read the next records; None if `READ_ATTEMPTS` reads failed."""
+        # If this process is paused during a read, the read fails as if the
+        # log were down, since its reply is too old to use.
         for _ in range(READ_ATTEMPTS):
             batch = (await self._log.read(stream, start)).ok()
             if batch is not None:
@@ -149,13 +149,13 @@
 
     async def _seal(self, request_id: RequestId) -> None:
         stream = stream_of(request_id.ticket.incarnation)
-        # Whether the reply came does not matter: the next read tells if the
-        # seal stands, and a second one changes nothing.
+        # The result of the append is ignored: the next read shows whether the
+        # seal was written, and a second seal changes nothing.
         await self._log.append(stream, (encode_seal(self._vm),))
 
 
 def _repeat_outcome(record: OutcomeRecord, run: Run) -> Answer:
-    """Repeat a written outcome, with its body if that was kept."""
+    """Return the recorded outcome; add the recorded body to the run."""
     if record.outcome is not Outcome.DONE:
         status = HTTPStatus(record.status) if record.status else None
         return Answer(
--- a/bramleybend/gateway/request_checks.py
+++ b/bramleybend/gateway/request_checks.py
@@ -1,4 +1,4 @@
-"""Checks a caller's request before anything is kept of it."""
+"""Validates a caller's headers, deadline and names before it is accepted."""
 
 import json
 from collections.abc import Mapping
@@ -20,13 +20,13 @@
 SERVICE: Final = 'bramleybend-service'
 PROFILE: Final = 'bramleybend-profile'
 DEADLINE: Final = 'bramleybend-deadline'
-MAX_ECHOED_CHARS: Final = 64  # characters of a bad value that an answer repeats
+MAX_ECHOED_CHARS: Final = 64  # of a bad value, in an answer
 REQUIRED_HEADERS: Final = (REQUEST_ID, WORKSPACE, SERVICE, PROFILE, DEADLINE)
 
 
 @dataclass(frozen=True)
 class ReceivedRequest:
-    """A request as it came in: headers in lower case, and the body."""
+    """An unchecked request: headers with lower-case names, and the body."""
 
     headers: Mapping[str, str]
     body: bytes
@@ -36,7 +36,7 @@
     received: ReceivedRequest,
     clock: Clock,
 ) -> Result[CallerRequest, Answer]:
-    """Turn headers and body into a request, or say what is wrong."""
+    """Parse headers and body into a request, or return a `rejected` answer."""
     missing = [
         name for name in REQUIRED_HEADERS if not received.headers.get(name)
     ]
@@ -56,7 +56,7 @@
 
 
 def check_terms(req: CallerRequest, terms: Terms) -> Result[Profile, Answer]:
-    """Return the profile that the request runs under."""
+    """Return the request's profile, or an answer if a name is not allowed."""
     workspace = terms.workspaces.get(req.workspace)
     if workspace is None:
         return Err(_unknown_name('workspace', req.workspace))
@@ -84,10 +84,10 @@
 
 
 def check_deadline(req: CallerRequest, clock: Clock) -> Answer | None:
-    """Refuse a new request whose deadline has passed.
+    """Return an answer for a new request whose deadline has passed.
 
-    Only a new one: a caller that asks again about a request that has run is
-    owed its answer, and `rejected` would tell it that nothing ran.
+    Not for resends: a request that ran must get its own answer, and `rejected`
+    would tell the caller that nothing ran.
     """
     if req.deadline > clock.monotonic():
         return None
@@ -98,7 +98,7 @@
 
 
 def fingerprint_of(body: bytes) -> str:
-    """Return a hash that equal contents share, whatever their ids."""
+    """Return a hash of the body, equal for equal contents."""
     return xxh3_128_hexdigest(body)
 
 
--- a/bramleybend/gateway/routes.py
+++ b/bramleybend/gateway/routes.py
@@ -1,4 +1,4 @@
-"""The callers' interface; docs/CALLERS.md describes it for them."""
+"""HTTP routes of the callers' interface, described in docs/CALLERS.md."""
 
 import json
 from collections.abc import AsyncIterator, Callable
@@ -22,27 +22,25 @@
 from bramleybend.gateway.run import Run
 
 KEEP_TICKET_FOR: Final = timedelta(minutes=0.5)
-MAX_ECHOED_CHARS: Final = (
-    64  # characters of a wrong path that an answer repeats
-)
+MAX_ECHOED_CHARS: Final = 64  # of a wrong path, in an answer
 MAX_ADDRESSES: Final = 6
 RETRY_AFTER: Final = timedelta(seconds=1)
 
 
 class Routes:
-    """Answers each request by its method and path."""
+    """Routes each HTTP request by its method and path."""
 
     def __init__(
         self,
         intake: Intake,
         addresses: Callable[[], list[str]],
     ) -> None:
-        """Serve one gateway's intake."""
+        """Serve an intake; `addresses` lists VMs, this VM's address first."""
         self._intake = intake
         self._addresses = addresses
 
     async def handle(self, req: HttpRequest) -> HttpAnswer:
-        """Answer one request."""
+        """Return the answer to one HTTP request."""
         parts = urlsplit(req.target)
         match req.method, parts.path:
             case HTTPMethod.GET, '/v1/address':
@@ -111,8 +109,8 @@
             yield event
         answer = await run.wait_for_outcome()
     payload = json.dumps(make_payload(answer))
-    # The last event is the proof that the answer is whole: a stream that
-    # breaks off never has it, whatever the connection looks like.
+    # The final event proves that the answer is complete. A stream that broke
+    # off lacks it, even if its connection was closed cleanly.
     yield f'event: outcome\ndata: {payload}\n\n'.encode()
 
 
--- a/bramleybend/gateway/run.py
+++ b/bramleybend/gateway/run.py
@@ -1,8 +1,8 @@
-"""One request at its home: what is known of its answer so far.
+"""A run: one caller's request with the answer received so far.
 
-Every caller that sends the same id follows the same run: it reads the kept
-events from the start, then new ones as they come. So a resend joins its own
-request in flight, and one that comes after the end gets the same answer.
+All callers that send the same request id share one run. Each reads the stored
+answer from its start and then new parts as they arrive. A resend therefore
+joins the request in flight, or gets the same answer after its end.
 """
 
 import asyncio
@@ -15,8 +15,8 @@
 from bramleybend.answers import Answer, Outcome, not_run, unknown
 from bramleybend.events import EventLog
 
-# A caller whose connection broke sends the same id again, at once if it is
-# well written; work that nobody asks for after this long is wasted.
+# A well-written caller resends the same id at once when its connection breaks.
+# A run that had no caller for this long is abandoned as wasted work.
 ABANDON_AFTER_S: Final = 3.0
 FAULT_RETRY_AFTER: Final = timedelta(seconds=1)
 MAX_KEPT_BYTES: Final = 4 * 1024 * 1024
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class CallerRequest:
-    """A caller's request after the border checks."""
+    """A caller's request whose headers have been parsed."""
 
     request_id: str
     workspace: str
@@ -37,7 +37,7 @@
 
 
 class IncompleteAnswerError(Exception):
-    """The rest of the answer can't be had here; the caller must resend."""
+    """The rest of the answer is not available here; the caller must resend."""
 
 
 def finish_on_fault(
@@ -45,10 +45,10 @@
     events: EventLog,
     task: asyncio.Task[None],
 ) -> None:
-    """Settle a run whose task broke; a done callback of that task.
+    """Finish a run whose task failed; used as done callback of that task.
 
-    A fault of ours would otherwise leave the caller waiting for an answer
-    that nobody is going to give.
+    Without it, a bug in the gateway would leave the caller waiting for an
+    answer that never comes.
     """
     if run.answer is not None:
         return
@@ -61,17 +61,20 @@
 
 
 class Run:
-    """The answer to one request, growing until its outcome is known."""
+    """The answer to one request, which grows until its outcome is known.
+
+    `on_first_data` is called when the first part of the answer arrives.
+    """
 
     def __init__(self, req: CallerRequest) -> None:
-        """Start with nothing known."""
+        """Start without an answer."""
         self.req = req
         self.content_type = ''
         self.answer: Answer | None = None
         self.is_given_up = False
         self.on_first_data: Callable[[], None] | None = None
         self._sent_attempts = 0
-        self.is_torn = False
+        self.is_incomplete = False
         self.abandoned = asyncio.Event()
         self._followers = 0
         self._abandon_timer: asyncio.TimerHandle | None = None
@@ -79,23 +82,23 @@
         self._changed = asyncio.Event()
 
     def give_up(self) -> None:
-        """Let nothing more be sent for this run."""
+        """Forbid attempts that have not sent anything from sending."""
         self.is_given_up = True
 
     def record_send(self) -> None:
-        """Note that a try is about to send its first byte."""
+        """Count an attempt that is about to send its first byte."""
         self._sent_attempts += 1
 
     def record_refusal(self) -> None:
-        """Note that a runner says it ran nothing of a try."""
+        """Discount an attempt that its runner refused without running it."""
         self._sent_attempts -= 1
 
     @property
     def was_dispatched(self) -> bool:
-        """Whether any try may have reached a runner.
+        """Whether any attempt may have reached a runner.
 
-        Counted, since of two tries side by side one may be refused while the
-        other runs: the request must not pass for never sent.
+        This is a count rather than a flag: of two concurrent attempts one may
+        be refused while the other runs, and the request was sent then.
         """
         return self._sent_attempts > 0
 
@@ -110,9 +113,9 @@
         return bytes(self._answer_bytes)
 
     def add_chunk(self, chunk: bytes) -> bool:
-        """Keep a part of the answer; false once it grows too large."""
+        """Store a part of the answer; return whether it is within the limit."""
         if self.answer is not None:
-            return True  # told already; nobody waits for the rest
+            return True  # the outcome is final; the rest is dropped
         if not self._answer_bytes and self.on_first_data is not None:
             self.on_first_data()
         self._answer_bytes += chunk
@@ -120,24 +123,25 @@
         return len(self._answer_bytes) <= MAX_KEPT_BYTES
 
     def finish(self, answer: Answer) -> None:
-        """Settle the outcome; the first one stands."""
-        # A late end of an old attempt must not overwrite what a caller may
-        # have read already, so later calls change nothing.
+        """Set the outcome; calls after the first change nothing."""
+        # A caller may have read the first outcome, so the late end of an
+        # earlier attempt must not replace it.
         if self.answer is None:
             self.answer = answer
-            # Kept for as long as the id is, a logbook's prompt would weigh
-            # many times its answer; its fingerprint is all a resend needs.
+            # The run is kept as long as its id. A large prompt (a logbook)
+            # takes many times the memory of its answer, and a resend is
+            # compared by fingerprint only.
             self.req = replace(self.req, body=b'')
             self._notify_followers()
 
-    def mark_torn(self) -> None:
-        """Give up on the rest; what was passed on must not look whole."""
-        self.is_torn = True
+    def mark_incomplete(self) -> None:
+        """Mark the rest as lost; callers must not take the answer as whole."""
+        self.is_incomplete = True
         self._notify_followers()
 
     @contextmanager
     def track_follower(self) -> Iterator[None]:
-        """Count a caller that waits for this run."""
+        """Count a waiting caller; abandon the run some time after the last."""
         self._followers += 1
         if self._abandon_timer is not None:
             self._abandon_timer.cancel()
@@ -153,20 +157,23 @@
                 )
 
     async def wait_until_started(self) -> None:
-        """Wait for the first event of a stream, or for the outcome."""
+        """Wait for the first data of a stream, or until the run has ended."""
         while not self._is_streaming and not self._has_ended:
             await self._wait_for_change()
 
     async def wait_for_outcome(self) -> Answer:
-        """Wait for the outcome; raises `TornError` where there is none."""
+        """Wait for the outcome; raise `IncompleteAnswerError` if it is lost."""
         while self.answer is None:
-            if self.is_torn:
+            if self.is_incomplete:
                 raise IncompleteAnswerError
             await self._wait_for_change()
         return self.answer
 
     async def stream_answer(self) -> AsyncIterator[bytes]:
-        """Yield the answer from its start until the outcome is known."""
+        """Yield the answer from its start until the outcome is known.
+
+        Raises `IncompleteAnswerError` if the rest is lost.
+        """
         position = 0
         while True:
             if position < len(self._answer_bytes):
@@ -176,18 +183,18 @@
                 continue
             if self.answer is not None:
                 return
-            if self.is_torn:
+            if self.is_incomplete:
                 raise IncompleteAnswerError
             await self._wait_for_change()
 
     @property
     def is_complete(self) -> bool:
-        """Whether the answer is whole."""
+        """Whether the outcome is `done`, so the answer is complete."""
         return self.answer is not None and self.answer.outcome is Outcome.DONE
 
     @property
     def _has_ended(self) -> bool:
-        return self.is_torn or self.answer is not None
+        return self.is_incomplete or self.answer is not None
 
     @property
     def _is_streaming(self) -> bool:
--- a/bramleybend/gateway/shard_race.py
+++ b/bramleybend/gateway/shard_race.py
@@ -1,8 +1,9 @@
-"""Asks the shards of a service for one slot, at first only the best one.
+"""Asks the shards of a service for one slot, one shard after another.
 
-A request that waits at one shard is turned away there in the end, while
-another shard may be starting lower tiers. So once half of its time is gone it
-waits at a few others too, and the first slot that is granted counts.
+A request that waits at one shard may be refused there while another shard
+starts lower tiers. After a delay (half of the time that it has left) it
+therefore waits at a few other shards too. It takes the first slot that is
+granted and releases any other.
 """
 
 import asyncio
@@ -24,7 +25,7 @@
 
 
 class ShardRace:
-    """One request's asks, each at another shard; used once."""
+    """The concurrent asks of one request, one for each shard; used once."""
 
     def __init__(
         self,
@@ -32,10 +33,10 @@
         shards: Sequence[int],
         run_in_background: RunInBackground,
     ) -> None:
-        """Take the shards in rank.
+        """Take the shards, best first.
 
-        `ask_shard` also hears whether another one was asked before; `leave`
-        finishes what nobody waits for.
+        `ask_shard` gets the shard and whether another was asked before it;
+        `run_in_background` runs work that nobody awaits.
         """
         self._ask_shard = ask_shard
         self._run_in_background = run_in_background
@@ -47,7 +48,7 @@
         """Return the first slot or final answer, else the last refusal.
 
         The second shard is asked when the first refuses, or after
-        `patience_s` seconds.
+        `next_shard_delay_s`.
         """
         found: AskResult | None = None
         try:
@@ -63,7 +64,7 @@
         return found
 
     async def _cancel_others(self, found: AskResult | None) -> None:
-        """Let the other asks go; cancelled meanwhile, give back the winner."""
+        """Cancel the other asks; release `found` if this task is cancelled."""
         cancelling = asyncio.create_task(self._cancel_pending_asks())
         try:
             await asyncio.shield(cancelling)
@@ -100,13 +101,13 @@
         )
         if not done:
             return None
-        # One at a time: what else is done is met, or let go, afterwards.
+        # Take one result only; the next call or the clean-up takes the others.
         task = done.pop()
         self._pending_asks.discard(task)
         return task.result()
 
     async def _cancel_pending_asks(self) -> None:
-        """Give up what still waits, and what was granted beside the winner."""
+        """Cancel pending asks and release slots that they were granted."""
         for task in self._pending_asks:
             task.cancel()
         ended = await asyncio.gather(
--- a/bramleybend/gateway/slot.py
+++ b/bramleybend/gateway/slot.py
@@ -1,9 +1,9 @@
-"""A granted slot, held by a gateway for one run.
+"""A granted slot that a gateway holds for one run.
 
-One stream a request: while it is open the slot is held, so a gateway that
-dies gives its slots back without a message. When an owner dies instead, the
-runs go on and are registered with the next owner, which would otherwise
-think its runners idle.
+Each request has a stream to the shard's owner, and the slot is held while the
+stream is open. If the gateway dies, its streams close and the owner frees the
+slots. If the owner dies, the runs continue and the gateway registers them with
+the new owner, which would otherwise take the runners for idle.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 ADOPT_RETRY_S: Final = 0.3
 OWNER_TIMEOUT_S: Final = 1.0
 CRASH_REPORT_TIMEOUT_S: Final = 10.0
-CACHED_TOKENS_UNKNOWN: Final = -1  # engines tell what was cached at the end
+CACHED_TOKENS_UNKNOWN: Final = -1  # engines report cached tokens at the end
 
 
 class OwnerStreams(Protocol):
@@ -42,7 +42,7 @@
 
 
 class Slot:
-    """A granted slot; held until `end`, through the loss of its owner."""
+    """A granted slot; held until `release`, also across a change of owner."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         self._reply_task = asyncio.create_task(self._read_replies())
 
     async def report_first_token(self, prompt_tokens: int) -> None:
-        """Tell the owner that the prefill is over."""
+        """Report to the owner that the prefill has ended."""
         await self._send(
             HoldRequest(
                 first_token=FirstToken(
@@ -76,18 +76,22 @@
         )
 
     async def release(self, ended: Ended) -> None:
-        """Give the slot back with what was learned from the run."""
+        """Release the slot and report how the run ended.
+
+        If the owner missed a crash, report it to the present owner.
+        """
         self._is_ending = True
         if not await self._report_end(ended) and ended.runner_crashed:
             await self._report_crash_to_new_owner(ended)
 
     async def _report_end(self, ended: Ended) -> bool:
-        """Whether the owner has read how the run ended."""
+        """Send the run's end; return whether the owner has read it."""
         call = self._call
         await self._send(HoldRequest(ended=ended))
-        # The owner ends the stream once it has read this. One that is gone
-        # or frozen does not, and then the closed stream gives the slot back;
-        # but a crash that it never read of would be counted by nobody.
+        # The owner ends the stream when it has read the message. If it is dead
+        # or frozen, closing the stream frees the slot, but the report is
+        # lost. A crash report is therefore waited for longer, and repeated to
+        # the present owner if the first one missed it.
         is_crash_report = ended.runner_crashed
         wait_s = CRASH_REPORT_TIMEOUT_S if is_crash_report else OWNER_TIMEOUT_S
         done, _ = await asyncio.wait((self._reply_task,), timeout=wait_s)
@@ -98,7 +102,7 @@
         return await call.code() is grpc.StatusCode.OK
 
     async def _report_crash_to_new_owner(self, ended: Ended) -> None:
-        """Tell the present owner of a crash that the one before missed."""
+        """Report to the present owner a crash that the previous one missed."""
         adopt = HoldRequest(adopt=Adopt(ask=self._ask, runner=self.runner))
         with suppress(TimeoutError):
             async with asyncio.timeout(CRASH_REPORT_TIMEOUT_S):
@@ -130,8 +134,10 @@
                 self.preempted.set()
 
     async def _register_with_owner(self) -> None:
-        """Register the run with whoever owns the shard now."""
-        # Only the owner: registered elsewhere the run stays unknown to it.
+        """Register the run with the shard's present owner, until that succeeds.
+
+        It is not registered with any other VM, as the owner would not see it.
+        """
         adopt = HoldRequest(adopt=Adopt(ask=self._ask, runner=self.runner))
         opened = None
         while opened is None:
--- a/bramleybend/gateway/slot_client.py
+++ b/bramleybend/gateway/slot_client.py
@@ -1,4 +1,4 @@
-"""Asks the owners of shards for slots."""
+"""Client of shard owners: asks for a slot and waits for the decision."""
 
 import asyncio
 from collections.abc import Callable, Coroutine, Sequence
@@ -31,8 +31,8 @@
 from bramleybend.wire.channels import Channels
 from bramleybend.wire.headers import Headers
 
-# An owner answers `queued` at once. One that does not is frozen or cut off;
-# the highest tier, which any VM may grant, then goes to the next in rank.
+# An owner replies `queued` at once, unless it is frozen or unreachable. For
+# the highest tier, which any VM may grant, the next VM in rank is asked then.
 ACK_TIMEOUT_S: Final = 0.8
 AVOID_UNREACHABLE_S: Final = 3.0
 OWNER_CHECK_INTERVAL_S: Final = 0.2
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class OwnerRpc:
-    """What is needed to speak to owners."""
+    """How to reach owners: members, channels and message headers."""
 
     channels: Channels
     port: int
@@ -54,7 +54,7 @@
 
 
 class SlotClient:
-    """Finds a shard's owner and waits there for a slot."""
+    """Acquires slots from the owners of shards."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         clock: Clock,
         events: EventLog,
     ) -> None:
-        """Know no owner as unreachable yet."""
+        """Start with every owner presumed reachable."""
         self._rpc = rpc
         self._clock = clock
         self._events = events
@@ -75,8 +75,8 @@
     ) -> Result[Slot, Refused | Problem]:
         """Wait for a slot until `deadline` on the monotonic clock.
 
-        A `Refused` is the owner's word; a `Problem` means that no owner
-        could be reached.
+        `Refused` is the owner's decision, or means that the deadline passed;
+        a `Problem` means that no owner could be reached.
         """
         while self._clock.monotonic() < deadline:
             opened = await self._open(ask, deadline)
@@ -93,10 +93,11 @@
         first: HoldRequest,
         deadline: float,
     ) -> HoldStream | None:
-        """Open a stream with the shard's owner, also one that is paused.
+        """Open a stream with the shard's owner; None after the deadline.
 
-        Below the highest tier no other VM's grant counts, so a slow owner is
-        waited for until it answers or the members have replaced it.
+        Below the highest tier only the owner's grants are valid. A slow or
+        paused owner is therefore waited for until it replies or the view of
+        the members names a new owner.
         """
         started_at = self._clock.monotonic()
         unreachable_incarnation = ''
@@ -116,12 +117,12 @@
         return None
 
     def find_owner(self, service: str, shard: int) -> Member | None:
-        """Return the member that the present view makes the owner."""
+        """Return the shard's owner according to the current member view."""
         ranked = owners_of(service, shard, self._rpc.members())
         return ranked[0] if ranked else None
 
     def owner_incarnation(self, service: str, shard: int) -> str:
-        """Return the incarnation of the present owner; empty without one."""
+        """Return the current owner's incarnation; empty without an owner."""
         owner = self.find_owner(service, shard)
         return owner.incarnation if owner else ''
 
@@ -163,7 +164,7 @@
         ask: AskMessage,
         first: HoldRequest,
     ) -> HoldStream | None:
-        """Open a stream with the VM that answers first in rank."""
+        """Open a stream with the first VM in rank order that replies."""
         for owner in self._rank_owners(ask.service, ask.shard):
             call = self._start_call(owner)
             if await self._send_and_await_ack(call, first):
@@ -173,7 +174,7 @@
         return None
 
     def _rank_owners(self, service: str, shard: int) -> list[Member]:
-        """Return owners in rank order, those just found dead last."""
+        """Return members by rank; those that just failed to reply come last."""
         now = self._clock.monotonic()
         ranked = owners_of(service, shard, self._rpc.members())
         return sorted(
@@ -222,7 +223,10 @@
         opened: HoldStream,
         deadline: float,
     ) -> HoldReply | None:
-        """Wait for the owner's decision; None if it no longer counts."""
+        """Wait for the owner's decision; None if it is late or invalid.
+
+        It is invalid if the sender lost the shard or its stream broke.
+        """
         reading = read_reply(opened.call)
         reply = None
         try:
@@ -233,8 +237,8 @@
                     reading, ask, opened.owner, deadline
                 )
         finally:
-            # A grant that crosses with our giving up must not stay taken:
-            # the cancelled stream gives it back.
+            # The owner may send a grant just as the gateway stops waiting.
+            # Cancelling the stream frees that slot.
             if reply is None or not reply.HasField('granted'):
                 opened.call.cancel()
         return reply
@@ -269,7 +273,7 @@
         owner: Member,
         deadline: float,
     ) -> HoldReply | None:
-        """Wait for a reply while its sender is the shard's owner."""
+        """Wait for a reply while the sender is still the shard's owner."""
         task = asyncio.create_task(reading)
         try:
             while not task.done() and self._is_owner(ask, owner):
@@ -304,8 +308,8 @@
 
 
 def _deadline_refusal() -> Refused:
-    # A deadline that runs out in a queue is a request shed, so it is no more
-    # final than an owner's refusal: the tier floor is asked for first.
+    # A request whose deadline passes in a queue is shed, so the tier floor
+    # must allow it first, as with a refusal by the owner.
     return Refused(
         reason='no slot came free before the deadline',
         retry_after_s=DEADLINE_RETRY_AFTER_S,
--- a/bramleybend/gateway/slot_search.py
+++ b/bramleybend/gateway/slot_search.py
@@ -1,4 +1,4 @@
-"""Finds a slot for a job, and refuses it only where that is allowed."""
+"""Finds a slot for a job; sheds the job only where the tier floor allows."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -22,22 +22,22 @@
 from bramleybend.wire.bramleybend_pb2 import AskMessage, Ended, Refused
 
 RETRY_AFTER: Final = timedelta(seconds=1)
-# Under a long shortage each waiting request asks again and again; 64 of them
-# at the first pause alone made 1,300 refusals in the event log of one test.
+# In a long shortage each waiting request asks repeatedly. With the first delay
+# only, 64 requests caused 1,300 refusals in one event log, so delays double.
 FIRST_RETRY_DELAY_S: Final = 0.05
 MAX_RETRY_DELAY_S: Final = 0.4
 
 
 class SlotSearch:
-    """Asks shards in rank, and for the tier floor before it sheds."""
+    """Asks shards in rank order; sheds only with leave of the tier floor."""
 
     def __init__(self, deps: DispatchDeps) -> None:
-        """Take the means; hold no state between jobs."""
+        """Keep no state between jobs, but for tasks that still run."""
         self._deps = deps
         self._background_tasks: set[asyncio.Task[None]] = set()
 
     async def find(self, job: Job, excluded: list[str]) -> Slot | Answer:
-        """Wait for a slot; refuse only what may be refused."""
+        """Wait for a slot; the answer says why the job is not run."""
         asked_at = self._deps.clock.monotonic()
         found = await self._find(job, excluded)
         if isinstance(found, Slot):
@@ -80,19 +80,19 @@
         refused: Refused,
         answer_by: float,
     ) -> Answer | None:
-        """Return the final answer, or None while it may not be shed."""
+        """Return the final answer, or None while the job may not be shed."""
         if await self._may_shed(job, answer_by):
             return self._record_shed(job, refused, proved=True)
         if self._deps.clock.monotonic() >= answer_by:
-            # No owner would say that nothing lower runs, and the time is
-            # up: told apart, since the promise is not proved.
+            # The time is up, but not every owner confirmed that no lower tier
+            # runs. The event and a counter mark such jobs as unproved.
             return self._record_shed(job, refused, proved=False)
         return None
 
     async def _accept_grant(self, job: Job, slot: Slot) -> bool:
-        """Whether the grant is still its shard owner's; else give it back."""
-        # The highest tier is never below a floor, so for it any VM that
-        # grants will do, and bookings don't wait for an owner's succession.
+        """Return whether the shard's owner gave the grant; else release it."""
+        # The highest tier is never below a floor, so a grant of any VM is
+        # valid for it: bookings don't wait for a change of owner.
         if job.tier is min(Tier) or grant_usable(
             granted_by=slot.owner_incarnation,
             owner=self._deps.slot_client.owner_incarnation(
@@ -147,7 +147,7 @@
         answer_by: float,
         is_extra: bool,
     ) -> AskResult:
-        """Ask one shard; a `Refused` is one that may go on elsewhere."""
+        """Ask one shard; `Refused` means that other shards may be asked."""
         match await self._deps.slot_client.acquire(message, answer_by):
             case Ok(slot):
                 return slot
@@ -156,10 +156,10 @@
             case Err(Problem() as problem):
                 return not_run(str(problem), RETRY_AFTER)
             case Err(Refused() as refused):
-                # What was refused for want of capacity before, here or at
-                # another shard, is shed whatever its deadline says by now.
-                # Taken for a late arrival it would be turned away without
-                # the tier floor, beside lower tiers that are served.
+                # An urgent request was refused for lack of capacity before,
+                # or waits at another shard: a refusal sheds it, also if it
+                # names the deadline. Taken as a late arrival it would be
+                # rejected without the tier floor while lower tiers run.
                 if refused.quarantined:
                     return _refusal_answer(refused)
                 if refused.shed or message.urgent:
--- a/bramleybend/gateway/supervisor.py
+++ b/bramleybend/gateway/supervisor.py
@@ -1,4 +1,4 @@
-"""Watches over one attempt: preemption, lost callers, the deadline."""
+"""Runs an attempt; cancels it on preemption, a lost caller or the deadline."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -13,18 +13,20 @@
 from bramleybend.wire.bramleybend_pb2 import Ended
 
 LAST_EVENTS_WAIT_S: Final = 0.2
-# A caller leaves at its deadline; a stop that takes longer is told to nobody.
+# Waits at least this long for a cancellation that starts at the deadline. The
+# caller leaves at its deadline, so a later answer would reach nobody.
 MIN_CANCEL_WAIT_S: Final = 0.3
-# For a run that goes on after its request's deadline, to see how it ends.
+# Waits this long for the end of a run that continues after its deadline, so
+# that the owner learns how it ended.
 AFTER_DEADLINE_WAIT_S: Final = 5.0
 COMPLETE_ENDS: Final = frozenset((EndKind.WHOLE, EndKind.OVERTAKEN))
 
 
 class Supervisor:
-    """Carries attempts to their end, and stops them where that is allowed."""
+    """Runs attempts to their end and cancels them where the profile allows."""
 
     def __init__(self, deps: DispatchDeps) -> None:
-        """Supervise nothing yet."""
+        """Start without attempts."""
         self._deps = deps
         self._background_tasks: set[asyncio.Task[Any]] = set()
 
@@ -47,7 +49,7 @@
             self.run_in_background(self._cancel_and_release(slot, attempt))
             raise
         if end.kind is not EndKind.UNHEARD:
-            # At once: what is told of as not sent must not be sent later.
+            # An attempt that is reported as not sent must not send later.
             attempt_task.cancel()
         self._deps.record_event(
             job,
@@ -57,20 +59,21 @@
             crashed=end.crashed,
         )
         self._count_prefill(job, end, ask.prompt_tokens)
-        # The caller's answer does not wait for the owner's last word.
+        # The caller's answer doesn't wait until the owner has released the
+        # slot.
         self.run_in_background(
             self._release_slot(job, slot, attempt_task, end, started)
         )
         return end
 
     def run_in_background(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Finish something that nobody waits for."""
+        """Run `work` as a task that nobody awaits; keep a reference to it."""
         task = asyncio.create_task(work)
         self._background_tasks.add(task)
         task.add_done_callback(self._background_tasks.discard)
 
     async def _cancel_and_release(self, slot: Slot, attempt: Attempt) -> None:
-        """Give up a try that another one has overtaken."""
+        """Cancel the run of a cancelled attempt and release its slot."""
         await attempt.stop()
         await slot.release(Ended(outcome=EndKind.STOPPED))
 
@@ -82,11 +85,11 @@
         end: AttemptEnd,
         started: float,
     ) -> None:
-        """Tell the owner how the run ended, once that is known.
+        """Release the slot and report to the owner how the run ended.
 
-        A run that could not be stopped at its request's deadline still holds
-        its runner, and may crash it; unreported, its content would go on
-        crashing runners.
+        A run that could not be cancelled at its deadline still occupies its
+        runner and may crash it. If that crash were not reported, the owner
+        would not quarantine the content, which would crash more runners.
         """
         if end.kind is EndKind.UNHEARD and not attempt_task.done():
             done, _ = await asyncio.wait(
@@ -125,8 +128,8 @@
                         tier=int(job.tier),
                     )
                 return AttemptEnd(EndKind.STOPPED)
-            # What may not be stopped, or can't be reached to be stopped,
-            # goes on to its end.
+            # A run that may not be cancelled, or whose cancellation is not
+            # confirmed, continues to its end.
             await self._wait_for_first(job, attempt_task)
             return _current_end(attempt, attempt_task)
         finally:
@@ -136,7 +139,7 @@
     async def _wait_for_first(
         self, job: Job, *tasks: asyncio.Task[Any]
     ) -> None:
-        """Wait for the first of the tasks, at most to the deadline."""
+        """Wait until one task has ended, at most until the job's deadline."""
         await asyncio.wait(
             tasks,
             timeout=self._deps.remaining_s(job),
@@ -149,24 +152,26 @@
         attempt: Attempt,
         attempt_task: asyncio.Task[AttemptEnd],
     ) -> bool:
-        """Stop the run where that is allowed; true once it is certain."""
+        """Cancel a sent run if allowed; return whether that is confirmed."""
         if attempt_task.done() or not attempt.was_sent:
             return False
         if not job.profile.cancellable or not await self._cancel_run(
             job, attempt
         ):
             return False
-        # A run that ended as it was being cancelled has its last events on
-        # the way; thrown away, a whole answer would count as cancelled.
+        # A run that ended during its cancellation may still have events in
+        # transit. They are awaited, or a complete answer would be reported
+        # as cancelled.
         await asyncio.wait((attempt_task,), timeout=LAST_EVENTS_WAIT_S)
         return not (
             attempt_task.done() and attempt_task.result().kind is EndKind.WHOLE
         )
 
     async def _cancel_run(self, job: Job, attempt: Attempt) -> bool:
-        """Whether the run is over for certain while its caller listens.
+        """Return whether the runner confirms the cancellation in time.
 
-        A stop that is not confirmed by then goes on in the background.
+        Waits until the deadline, at least `MIN_CANCEL_WAIT_S`. A cancellation
+        that takes longer continues in the background.
         """
         cancelling = asyncio.create_task(attempt.stop())
         self._background_tasks.add(cancelling)
@@ -176,7 +181,7 @@
         return cancelling.done() and cancelling.result()
 
     def _count_prefill(self, job: Job, end: AttemptEnd, estimate: int) -> None:
-        """Count prompt tokens by whether their answer reached somebody."""
+        """Count prefilled prompt tokens, as wasted without a whole answer."""
         if end.kind is EndKind.NOT_SENT:
             return
         tier = int(job.tier)
@@ -209,10 +214,10 @@
 
 
 def _make_run_id(job: Job, label: str) -> str:
-    """Return the id the runner sees.
+    """Return the run's id at the runner.
 
-    Work that may run once keeps one id over all tries, so an engine that
-    did admit a try that looked unsent refuses the next.
+    A request that may run only once has the same run id in all attempts: an
+    engine that did admit an attempt reported as not sent rejects the next.
     """
     base = job.request_id.replace('/', '_').replace(':', '_')
     if job.profile.repeat is Repeat.IDEMPOTENT:
--- a/bramleybend/gateway/view.py
+++ b/bramleybend/gateway/view.py
@@ -1,8 +1,9 @@
-"""The gateway's view of terms, members and shards, from a scheduler.
+"""The gateway's view of terms, members and shards, polled from schedulers.
 
-The VM's own scheduler is asked first; while it is down another one is, so a
-scheduler's death leaves its gateway serving. The view knows its age: a VM
-that was paused or cut off must not admit work on old terms.
+The gateway asks its own VM's scheduler first, and another one while that does
+not reply, so that it serves on when its scheduler dies. The ages of the view
+and of its terms are known, since a VM that was paused or cut off must not admit
+requests on old terms.
 """
 
 import asyncio
@@ -31,9 +32,11 @@
 from bramleybend.wire.headers import Headers
 
 VIEW_LONG_POLL_S: Final = 0.4
-# With a view older than this, no scheduler may wait for news before it replies.
+# If the view is older than this, schedulers must reply at once instead of
+# holding the request until there is news.
 VIEW_OVERDUE_S: Final = 0.8
-# After this another scheduler is asked too. Later replies still count.
+# Time beyond the long poll after which the next scheduler is asked too. Later
+# replies are still used.
 REPLY_GRACE_S: Final = 0.2
 VIEW_TIMEOUT_S: Final = 2.0
 RETRY_DELAY_S: Final = 0.1
@@ -41,7 +44,11 @@
 
 @dataclass(frozen=True)
 class View:
-    """What the last reply said; `heard_at` is when its word was fresh."""
+    """The content of the last replies.
+
+    `fresh_at` is the monotonic time at which the terms were last known to be
+    in force.
+    """
 
     terms: Terms | None = None
     offset: int = -1
@@ -53,7 +60,7 @@
 
 
 class ViewFollower:
-    """Keeps the view fresh; owns its calls."""
+    """Polls schedulers for the view and keeps the newest."""
 
     def __init__(
         self,
@@ -81,33 +88,33 @@
     def owner_candidates(self) -> tuple[Member, ...]:
         """Return the members that may own shards.
 
-        The view holds the others too: a VM that is leaving still has runs
-        under way, and requests for them are forwarded to it.
+        `view.members` also holds VMs that are leaving: they still have runs in
+        progress, and requests for those are forwarded to them.
         """
         return self._owner_candidates
 
     @property
     def terms_version(self) -> int:
-        """The version in force here; 0 before any."""
+        """The version of the terms in force here; 0 before the first."""
         return self.view.terms.version if self.view.terms else 0
 
     @property
     def terms_age_s(self) -> float:
-        """Seconds since the system was last heard of."""
+        """Seconds since the terms were last known to be in force."""
         return self._clock.monotonic() - self.view.fresh_at
 
     @property
     def view_age_s(self) -> float:
-        """Seconds since the last view was asked for.
+        """Seconds since the newest view was requested.
 
-        Owners seen in an old view may have been replaced since; see
+        Owners in an old view may have been replaced since; see
         `decisions.floor`.
         """
         return self._clock.monotonic() - self._asked_at
 
     @property
     def is_overdue(self) -> bool:
-        """Whether a view should have come by now."""
+        """Whether the next view should have arrived by now."""
         return self.view_age_s >= VIEW_OVERDUE_S
 
     async def wait_for_view(self, limit_s: float) -> None:
@@ -117,7 +124,7 @@
                 await self._view_received.wait()
 
     async def follow(self) -> None:
-        """Ask for views until cancelled."""
+        """Poll for views until cancelled."""
         try:
             while True:
                 await self._ask_next()
@@ -126,7 +133,7 @@
                 asking.cancel()
 
     async def _ask_next(self) -> None:
-        """Ask one scheduler; turn to the next if it is silent."""
+        """Ask one scheduler; select the next one if it does not reply."""
         wait_s = 0 if self.is_overdue else VIEW_LONG_POLL_S
         if self._scheduler_index:
             self._probe_own()
@@ -139,7 +146,7 @@
             await asyncio.sleep(RETRY_DELAY_S)
 
     def _probe_own(self) -> None:
-        """Ask the VM's own scheduler beside another one, until it replies."""
+        """Ask the VM's own scheduler too, unless such a request is pending."""
         if self._own_address not in self._pending_asks.values():
             self._start_ask(self._own_address, wait_s=0)
 
@@ -150,14 +157,14 @@
         return asking
 
     async def _ask_and_apply(self, address: str, wait_s: float) -> bool:
-        """Take one scheduler's view; false if it gave none."""
+        """Request and apply one scheduler's view; false if the call failed."""
         asked_at = self._clock.monotonic()
         try:
             reply = await self._request_view(address, wait_s)
         except grpc.aio.AioRpcError:
             return False
         terms = await self._parse_newer_terms(reply)
-        # Several schedulers may be asked at once, and reply in any order.
+        # Several schedulers may be asked at once and may reply in any order.
         if asked_at > self._asked_at:
             self._apply_reply(reply, terms, asked_at)
         if address == self._own_address:
@@ -165,8 +172,9 @@
         return True
 
     def _current_address(self) -> str:
-        # Turn 0 is the VM's own scheduler. Each that is silent moves the turn
-        # on to the next member, a reply of the own one brings it back.
+        # Index 0 is the VM's own scheduler. A scheduler that does not reply
+        # moves the index to the next member; a reply of the VM's own scheduler
+        # resets it.
         others = [
             member.address
             for member in self.view.members
@@ -192,8 +200,8 @@
         terms: Terms | None,
         asked_at: float,
     ) -> None:
-        # The wait for a reply may have frozen this process with it, so the
-        # word is dated from before the question, never from its arrival.
+        # This process may have been paused while it waited for the reply, so
+        # the view's age counts from before the request.
         self._asked_at = asked_at
         self.view = replace(
             self.view,
@@ -219,7 +227,8 @@
                 for record in reply.suspects
                 if record.refused
             ),
-            # A scheduler that was paused knows less than others have said.
+            # A scheduler that was paused may report older terms than another
+            # scheduler has reported already.
             fresh_at=max(asked_at - reply.age_s, self.view.fresh_at),
         )
         self._owner_candidates = tuple(
@@ -230,14 +239,14 @@
 
     async def _parse_newer_terms(self, reply: ViewReply) -> Terms | None:
         known = self.view.terms
-        # Terms never revert: a scheduler that knows less than we do is
-        # left behind, and we keep what we have.
+        # Terms never go back to an older version: a scheduler that has only an
+        # older one is behind.
         if known is not None and reply.version <= known.version:
             return known
         if not reply.document:
             return known
-        # A document of 4,300 workspaces takes 0.26 s to read, as long as all
-        # answers under way would stand still if it were read right here.
+        # Parsing a document of 4,300 workspaces takes 0.26 s, and would block
+        # all answers in progress on the event loop for that time.
         read = await asyncio.to_thread(
             parse_terms,
             reply.document,
@@ -253,7 +262,7 @@
 
 
 def _newer_terms(known: Terms | None, read: Terms | None) -> Terms | None:
-    # The known ones may have been replaced while a document was being read.
+    # The known terms may have been replaced while a document was parsed.
     if known is None or read is None:
         return read or known
     return max(known, read, key=attrgetter('version'))
