--- a/bramleybend/gateway/ask.py
+++ b/bramleybend/gateway/ask.py
@@ -45,7 +45,7 @@
     excluded: Sequence[str],
     timeout_s: float,
 ) -> AskMessage:
-    """Encode the ask; the deadline is sent as `timeout_s`, in seconds left."""
+    """Build the message; the deadline is sent as `timeout_s`, the time left."""
     return AskMessage(
         request_id=ask.request_id,
         service=ask.service,
--- a/bramleybend/gateway/attempt.py
+++ b/bramleybend/gateway/attempt.py
@@ -108,7 +108,7 @@
         finally:
             exchange.close()
 
-    async def stop(self) -> bool:
+    async def cancel(self) -> bool:
         """Cancel the run at the runner; return whether it confirmed."""
         return await cancel_run(self._address, self._run_id)
 
--- a/bramleybend/gateway/caller_connection.py
+++ b/bramleybend/gateway/caller_connection.py
@@ -113,7 +113,7 @@
 
     def _buffer_early_data(self, early: bytes) -> None:
         if not early:
-            raise ConnectionResetError('the caller has gone')
+            raise ConnectionResetError('the caller closed the connection')
         self._http.receive_data(early)
 
     async def _receive_request(self) -> HttpRequest | Answer | None:
--- a/bramleybend/gateway/dispatcher.py
+++ b/bramleybend/gateway/dispatcher.py
@@ -24,7 +24,7 @@
     """Acquires slots and runs attempts; retries only where that is safe."""
 
     def __init__(self, deps: DispatchDeps) -> None:
-        """Start with full retry budgets; only those outlast a job."""
+        """Start with full retry budgets and without measured calls."""
         self._deps = deps
         self._search = SlotSearch(deps)
         self._hedger = Hedger(deps, self._search, Supervisor(deps))
@@ -34,11 +34,11 @@
         """Run the job until its outcome is final."""
         excluded: list[str] = []
         sent_end: AttemptEnd | None = None
-        for number in range(MAX_ATTEMPTS):
+        for attempt_number in range(MAX_ATTEMPTS):
             slot = await self._search.find(job, excluded)
             if isinstance(slot, Answer):
                 return self._failure_answer(job, slot, sent_end)
-            end = await self._hedger.run_attempt(job, slot, str(number))
+            end = await self._hedger.run_attempt(job, slot, str(attempt_number))
             if end.kind is EndKind.WHOLE:
                 self._retries.succeeded(
                     job.run.req.workspace,
@@ -53,10 +53,10 @@
             excluded.append(slot.runner)
             self._deps.record_event(job, 'retry', end=end.kind)
             self._deps.metrics.count(Metric.RETRIED, tier=int(job.tier))
-            delay = backoff(number + 1, self._deps.rng)
+            delay = backoff(attempt_number + 1, self._deps.rng)
             await asyncio.sleep(delay.total_seconds())
-        refused = not_run('no runner took it', RETRY_AFTER)
-        return self._failure_answer(job, refused, sent_end)
+        refusal = not_run('no runner took it', RETRY_AFTER)
+        return self._failure_answer(job, refusal, sent_end)
 
     def _failure_answer(
         self,
--- a/bramleybend/gateway/floor_round.py
+++ b/bramleybend/gateway/floor_round.py
@@ -90,7 +90,7 @@
         return round_task
 
     async def _run_round(self, service: str, tier: Tier, shards: int) -> None:
-        started = self._permits.begin(
+        current_round = self._permits.begin(
             service,
             tier,
             frozenset(range(shards)),
@@ -103,7 +103,7 @@
         for shard, reply in enumerate(replies):
             if reply is not None:
                 self._permits.reply(
-                    started,
+                    current_round,
                     shard,
                     self._clock.monotonic(),
                     settled=reply.settled,
--- a/bramleybend/gateway/forwarding.py
+++ b/bramleybend/gateway/forwarding.py
@@ -17,7 +17,7 @@
 from bramleybend.clock import Clock
 from bramleybend.events import EventLog
 from bramleybend.gateway.lost_home import LostHomes
-from bramleybend.gateway.request_checks import fingerprint_of, wants_stream
+from bramleybend.gateway.request_checks import compute_fingerprint, wants_stream
 from bramleybend.gateway.run import CallerRequest, IncompleteAnswerError, Run
 from bramleybend.state.tickets import RequestId
 from bramleybend.wire.bramleybend_pb2 import (
@@ -71,7 +71,7 @@
         # The caller supplies the ticket's address, so the gateway connects to
         # it only if it belongs to a member VM.
         if not self._rpc.is_member(ticket.address):
-            await self._lost_homes.settle(request_id, run)
+            await self._lost_homes.finish_from_journal(request_id, run)
             return
         self._events.record(
             'forwarded',
@@ -105,7 +105,7 @@
                 run.finish(_parse_answer(reply.end))
             reply = await call.read()
         if run.answer is None:
-            raise TimeoutError('the home ended without an outcome')
+            raise TimeoutError('the home closed the stream without an outcome')
 
     async def _handle_lost_home(self, request_id: RequestId, run: Run) -> None:
         if run.has_answer_data:
@@ -113,7 +113,7 @@
             # then gets the answer that the journal proves.
             run.mark_incomplete()
             return
-        await self._lost_homes.settle(request_id, run)
+        await self._lost_homes.finish_from_journal(request_id, run)
 
     def _make_request(self, req: CallerRequest) -> ForwardRequest:
         return ForwardRequest(
@@ -136,7 +136,7 @@
         clock: Clock,
         headers: Headers,
     ) -> None:
-        """Accept requests by `submit`; it returns None for an unknown home."""
+        """Serve requests by `submit`; it returns None for an unknown home."""
         self._headers = headers
         self._submit = submit
         self._clock = clock
@@ -193,7 +193,7 @@
             profile=request.profile,
             deadline=self._clock.monotonic() + request.timeout_s,
             body=request.body,
-            fingerprint=fingerprint_of(request.body),
+            fingerprint=compute_fingerprint(request.body),
             stream=wants_stream(request.body),
         )
 
--- a/bramleybend/gateway/hold_stream.py
+++ b/bramleybend/gateway/hold_stream.py
@@ -32,7 +32,7 @@
 async def send_and_read_reply(
     call: HoldCall, first: HoldRequest
 ) -> HoldReply | None:
-    """Send the stream's first message and return the reply, as `read_reply`."""
+    """Send the stream's first message and return the reply to it, or None."""
     try:
         await call.write(first)
     except (grpc.aio.AioRpcError, asyncio.InvalidStateError):
--- a/bramleybend/gateway/home.py
+++ b/bramleybend/gateway/home.py
@@ -55,7 +55,7 @@
         """The gateway's event log."""
         return self._deps.events
 
-    def ticket(self, *, intent_first: bool) -> Ticket:
+    def make_ticket(self, *, intent_first: bool) -> Ticket:
         """Return a ticket of the current epoch, for callers to mint ids."""
         epoch = self._ids.current_epoch(self._deps.clock.monotonic())
         return Ticket(
@@ -113,12 +113,12 @@
         if isinstance(added, Full):
             return not_run('this VM holds too many ids', NEW_TICKET_RETRY_AFTER)
         job = Job(run, profile, terms.services[profile.service])
-        begun_at = self._deps.clock.monotonic()
+        started_at = self._deps.clock.monotonic()
         run.on_first_data = partial(
             self._record_duration,
             Metric.FIRST_TOKEN,
             job,
-            begun_at,
+            started_at,
         )
         task = asyncio.create_task(self._execute(request_id, job))
         self.run_tasks.add(task)
@@ -128,7 +128,7 @@
 
     async def _execute(self, request_id: RequestId, job: Job) -> None:
         """Run the job to its outcome and write that to the journal."""
-        begun_at = self._deps.clock.monotonic()
+        started_at = self._deps.clock.monotonic()
         self._deps.metrics.count(
             Metric.ACCEPTED,
             tier=int(job.profile.tier),
@@ -142,7 +142,7 @@
         )
         answer = await self._run_to_outcome(request_id, job)
         job.run.finish(answer)
-        self._record_duration(Metric.REQUEST, job, begun_at)
+        self._record_duration(Metric.REQUEST, job, started_at)
         self._record_outcome(job, answer)
         self.journal.queue_record(
             encode_outcome(
@@ -161,20 +161,20 @@
                 return self._intent_refusal()
         else:
             self.journal.queue_record(encode_intent(request_id))
-        dispatching = asyncio.create_task(self._dispatcher.dispatch(job))
+        dispatch_task = asyncio.create_task(self._dispatcher.dispatch(job))
         abandoned = asyncio.create_task(job.run.abandoned.wait())
         try:
             await asyncio.wait(
-                (dispatching, abandoned),
+                (dispatch_task, abandoned),
                 return_when=asyncio.FIRST_COMPLETED,
             )
             # A run that was dispatched is cancelled by its attempt, as only
             # the attempt knows whether the runner has confirmed that.
-            if not dispatching.done() and not job.run.was_dispatched:
+            if not dispatch_task.done() and not job.run.was_dispatched:
                 job.run.give_up()
-                dispatching.cancel()
+                dispatch_task.cancel()
                 return not_run('its caller has gone', NEW_TICKET_RETRY_AFTER)
-            return await dispatching
+            return await dispatch_task
         finally:
             abandoned.cancel()
 
@@ -204,9 +204,9 @@
         )
 
     def _record_duration(
-        self, metric: Metric, job: Job, begun_at: float
+        self, metric: Metric, job: Job, started_at: float
     ) -> None:
-        elapsed = self._deps.clock.monotonic() - begun_at
+        elapsed = self._deps.clock.monotonic() - started_at
         self._deps.metrics.timing(
             metric,
             timedelta(seconds=elapsed),
--- a/bramleybend/gateway/intake.py
+++ b/bramleybend/gateway/intake.py
@@ -98,11 +98,11 @@
         if self._current.journal.is_sealed:
             self._current = self._open_home()
         terms = self._deps.views.view.terms
-        named = terms.profiles.get(profile) if terms else None
-        return self._current.ticket(
+        named_profile = terms.profiles.get(profile) if terms else None
+        return self._current.make_ticket(
             intent_first=(
-                named is not None
-                and named.journal is JournalMode.BEFORE_DISPATCH
+                named_profile is not None
+                and named_profile.journal is JournalMode.BEFORE_DISPATCH
             ),
         )
 
--- a/bramleybend/gateway/journal_writer.py
+++ b/bramleybend/gateway/journal_writer.py
@@ -140,13 +140,13 @@
     async def _write_intents(self) -> None:
         count = min(len(self._pending_intents), MAX_BATCH)
         batch = [self._pending_intents.popleft() for _ in range(count)]
-        failure = await self._append([each.record for each in batch])
+        failure = await self._append([intent.record for intent in batch])
         allowed: frozenset[str] = frozenset()
         if failure in MAYBE_APPENDED:
             allowed = await self._read_back(may_repeat=failure is None)
-        for each in batch:
-            if not each.may_dispatch.done():
-                each.may_dispatch.set_result(each.request_id in allowed)
+        for intent in batch:
+            if not intent.may_dispatch.done():
+                intent.may_dispatch.set_result(intent.request_id in allowed)
         if self._pending_intents:
             self._intent_added.set()
 
@@ -183,18 +183,19 @@
         allowed: frozenset[str] = frozenset()
         is_at_tail = False
         while not is_at_tail:
-            read = await self._read()
-            if read is None and may_repeat:
+            batch = await self._read()
+            if batch is None and may_repeat:
                 # The log has just accepted the append, so a failed read is
                 # more likely due to a pause of this process than to an
                 # outage. A reply that arrived meanwhile is too old to use.
                 may_repeat = False
                 continue
-            if read is None:
+            if batch is None:
                 return allowed
-            allowed |= self.journal.read(read.records)
+            allowed |= self.journal.read(batch.records)
             is_at_tail = (
-                not read.records or self.journal.next_offset >= read.next_offset
+                not batch.records
+                or self.journal.next_offset >= batch.next_offset
             )
         return allowed
 
--- a/bramleybend/gateway/lost_home.py
+++ b/bramleybend/gateway/lost_home.py
@@ -64,7 +64,9 @@
         self._events = events
         self._journals: OrderedDict[str, LockedJournal] = OrderedDict()
 
-    async def settle(self, request_id: RequestId, run: Run) -> None:
+    async def finish_from_journal(
+        self, request_id: RequestId, run: Run
+    ) -> None:
         """Finish the run with the answer that the home's journal proves."""
         answer = await self._find_answer_in_time(request_id, run)
         self._events.record(
--- a/bramleybend/gateway/request_checks.py
+++ b/bramleybend/gateway/request_checks.py
@@ -47,8 +47,8 @@
                 'send it; docs/CALLERS.md lists the headers',
             ),
         )
-    left_s = _parse_seconds_left(received.headers[DEADLINE], clock)
-    match left_s:
+    parsed = _parse_seconds_left(received.headers[DEADLINE], clock)
+    match parsed:
         case Err() as err:
             return err
         case Ok(seconds):
@@ -97,7 +97,7 @@
     )
 
 
-def fingerprint_of(body: bytes) -> str:
+def compute_fingerprint(body: bytes) -> str:
     """Return a hash of the body, equal for equal contents."""
     return xxh3_128_hexdigest(body)
 
@@ -111,7 +111,7 @@
         profile=headers[PROFILE],
         deadline=deadline,
         body=received.body,
-        fingerprint=fingerprint_of(received.body),
+        fingerprint=compute_fingerprint(received.body),
         stream=wants_stream(received.body),
     )
 
--- a/bramleybend/gateway/slot.py
+++ b/bramleybend/gateway/slot.py
@@ -49,18 +49,18 @@
         owners: OwnerStreams,
         ask: AskMessage,
         granted: Granted,
-        opened: HoldStream,
+        stream: HoldStream,
     ) -> None:
         """Take over the stream on which the grant came."""
         self.runner = granted.runner
         self.endpoint = granted.endpoint
-        self.owner_incarnation = opened.owner.incarnation
+        self.owner_incarnation = stream.owner.incarnation
         self.service = ask.service
         self.shard = ask.shard
         self.preempted = asyncio.Event()
         self._owner_streams = owners
         self._ask = ask
-        self._call = opened.call
+        self._call = stream.call
         self._is_ending = False
         self._reply_task = asyncio.create_task(self._read_replies())
 
@@ -106,12 +106,12 @@
         adopt = HoldRequest(adopt=Adopt(ask=self._ask, runner=self.runner))
         with suppress(TimeoutError):
             async with asyncio.timeout(CRASH_REPORT_TIMEOUT_S):
-                opened = await self._owner_streams.open_at_owner(
+                stream = await self._owner_streams.open_at_owner(
                     self._ask, adopt, inf
                 )
-                if opened is None:
+                if stream is None:
                     return
-                self._call = opened.call
+                self._call = stream.call
                 await self._send(HoldRequest(ended=ended))
                 await read_reply(self._call)
         self._call.cancel()
@@ -139,10 +139,10 @@
         It is not registered with any other VM, as the owner would not see it.
         """
         adopt = HoldRequest(adopt=Adopt(ask=self._ask, runner=self.runner))
-        opened = None
-        while opened is None:
+        stream = None
+        while stream is None:
             await asyncio.sleep(ADOPT_RETRY_S)
-            opened = await self._owner_streams.open_at_owner(
+            stream = await self._owner_streams.open_at_owner(
                 self._ask, adopt, inf
             )
-        self._call = opened.call
+        self._call = stream.call
--- a/bramleybend/gateway/slot_client.py
+++ b/bramleybend/gateway/slot_client.py
@@ -79,12 +79,12 @@
         a `Problem` means that no owner could be reached.
         """
         while self._clock.monotonic() < deadline:
-            opened = await self._open(ask, deadline)
-            if opened is None:
+            stream = await self._open(ask, deadline)
+            if stream is None:
                 return Err(self._open_failure(ask, deadline))
-            reply = await self._wait_for_decision(ask, opened, deadline)
+            reply = await self._wait_for_decision(ask, stream, deadline)
             if reply is not None:
-                return self._make_result(ask, opened, reply)
+                return self._make_result(ask, stream, reply)
         return Err(_deadline_refusal())
 
     async def open_at_owner(
@@ -104,9 +104,9 @@
         while self._clock.monotonic() < deadline:
             owner = self.find_owner(ask.service, ask.shard)
             if owner is not None:
-                opened = await self._open_stream(ask, first, owner, deadline)
-                if opened is not None:
-                    return opened
+                stream = await self._open_stream(ask, first, owner, deadline)
+                if stream is not None:
+                    return stream
                 if owner.incarnation != unreachable_incarnation:
                     self._record_unreachable(ask, owner)
                 unreachable_incarnation = owner.incarnation
@@ -220,38 +220,38 @@
     async def _wait_for_decision(
         self,
         ask: AskMessage,
-        opened: HoldStream,
+        stream: HoldStream,
         deadline: float,
     ) -> HoldReply | None:
         """Wait for the owner's decision; None if it is late or invalid.
 
         It is invalid if the sender lost the shard or its stream broke.
         """
-        reading = read_reply(opened.call)
+        reading = read_reply(stream.call)
         reply = None
         try:
             if ask.tier == min(Tier):
                 reply = await self._read_until(reading, deadline)
             else:
                 reply = await self._read_while_owner(
-                    reading, ask, opened.owner, deadline
+                    reading, ask, stream.owner, deadline
                 )
         finally:
             # The owner may send a grant just as the gateway stops waiting.
             # Cancelling the stream frees that slot.
             if reply is None or not reply.HasField('granted'):
-                opened.call.cancel()
+                stream.call.cancel()
         return reply
 
     def _make_result(
         self,
         ask: AskMessage,
-        opened: HoldStream,
+        stream: HoldStream,
         reply: HoldReply,
     ) -> Result[Slot, Refused | Problem]:
         self._rpc.headers.observe(reply.header)
         if reply.HasField('granted'):
-            return Ok(Slot(self, ask, reply.granted, opened))
+            return Ok(Slot(self, ask, reply.granted, stream))
         return Err(reply.refused)
 
     async def _read_until(
--- a/bramleybend/gateway/slot_search.py
+++ b/bramleybend/gateway/slot_search.py
@@ -136,9 +136,9 @@
 
         view = self._deps.views.view
         ranked = rank_shards(ask, view.shards, self._deps.rng) or [0]
-        patience_s = 0 if urgent else self._remaining_s(ask) / 2
+        next_shard_delay_s = 0 if urgent else self._remaining_s(ask) / 2
         return await ShardRace(ask_shard, ranked, self._run_in_background).run(
-            patience_s
+            next_shard_delay_s
         )
 
     async def _ask_shard(
--- a/bramleybend/gateway/supervisor.py
+++ b/bramleybend/gateway/supervisor.py
@@ -13,8 +13,8 @@
 from bramleybend.wire.bramleybend_pb2 import Ended
 
 LAST_EVENTS_WAIT_S: Final = 0.2
-# Waits at least this long for a cancellation that starts at the deadline. The
-# caller leaves at its deadline, so a later answer would reach nobody.
+# Minimum wait for a cancellation, also if it starts at the deadline. Kept
+# short, as the caller leaves at its deadline and would miss a later answer.
 MIN_CANCEL_WAIT_S: Final = 0.3
 # Waits this long for the end of a run that continues after its deadline, so
 # that the owner learns how it ended.
@@ -74,7 +74,7 @@
 
     async def _cancel_and_release(self, slot: Slot, attempt: Attempt) -> None:
         """Cancel the run of a cancelled attempt and release its slot."""
-        await attempt.stop()
+        await attempt.cancel()
         await slot.release(Ended(outcome=EndKind.STOPPED))
 
     async def _release_slot(
@@ -173,7 +173,7 @@
         Waits until the deadline, at least `MIN_CANCEL_WAIT_S`. A cancellation
         that takes longer continues in the background.
         """
-        cancelling = asyncio.create_task(attempt.stop())
+        cancelling = asyncio.create_task(attempt.cancel())
         self._background_tasks.add(cancelling)
         cancelling.add_done_callback(self._background_tasks.discard)
         wait_s = max(self._deps.remaining_s(job), MIN_CANCEL_WAIT_S)
--- a/bramleybend/gateway/view.py
+++ b/bramleybend/gateway/view.py
@@ -129,19 +129,21 @@
             while True:
                 await self._ask_next()
         finally:
-            for asking in self._pending_asks:
-                asking.cancel()
+            for ask_task in self._pending_asks:
+                ask_task.cancel()
 
     async def _ask_next(self) -> None:
         """Ask one scheduler; select the next one if it does not reply."""
         wait_s = 0 if self.is_overdue else VIEW_LONG_POLL_S
         if self._scheduler_index:
             self._probe_own()
-        asking = self._start_ask(self._current_address(), wait_s)
-        done, _ = await asyncio.wait((asking,), timeout=wait_s + REPLY_GRACE_S)
-        if asking not in done:
+        ask_task = self._start_ask(self._current_address(), wait_s)
+        done, _ = await asyncio.wait(
+            (ask_task,), timeout=wait_s + REPLY_GRACE_S
+        )
+        if ask_task not in done:
             self._scheduler_index += 1
-        elif not asking.result():
+        elif not ask_task.result():
             self._scheduler_index += 1
             await asyncio.sleep(RETRY_DELAY_S)
 
@@ -151,10 +153,10 @@
             self._start_ask(self._own_address, wait_s=0)
 
     def _start_ask(self, address: str, wait_s: float) -> asyncio.Task[bool]:
-        asking = asyncio.create_task(self._ask_and_apply(address, wait_s))
-        self._pending_asks[asking] = address
-        asking.add_done_callback(self._pending_asks.pop)
-        return asking
+        ask_task = asyncio.create_task(self._ask_and_apply(address, wait_s))
+        self._pending_asks[ask_task] = address
+        ask_task.add_done_callback(self._pending_asks.pop)
+        return ask_task
 
     async def _ask_and_apply(self, address: str, wait_s: float) -> bool:
         """Request and apply one scheduler's view; false if the call failed."""
@@ -247,12 +249,12 @@
             return known
         # Parsing a document of 4,300 workspaces takes 0.26 s, and would block
         # all answers in progress on the event loop for that time.
-        read = await asyncio.to_thread(
+        parsed = await asyncio.to_thread(
             parse_terms,
             reply.document,
             reply.version,
         )
-        match read:
+        match parsed:
             case Ok(terms):
                 self._events.record('terms_in_force', version=terms.version)
                 return terms
@@ -261,11 +263,11 @@
         return known
 
 
-def _newer_terms(known: Terms | None, read: Terms | None) -> Terms | None:
+def _newer_terms(known: Terms | None, parsed: Terms | None) -> Terms | None:
     # The known terms may have been replaced while a document was parsed.
-    if known is None or read is None:
-        return read or known
-    return max(known, read, key=attrgetter('version'))
+    if known is None or parsed is None:
+        return parsed or known
+    return max(known, parsed, key=attrgetter('version'))
 
 
 def _make_member(record: MemberRecord) -> Member:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,9 +1,8 @@
-"""Bad input at the callers' border.
+"""Bad input from callers to the gateway's HTTP interface.
 
-The caller sees a typed answer that names what is wrong and the remedy, at
-once, and the gateway goes on serving. Order: bytes come in, are found wrong
-before anything is kept of them, and the connection ends where it must. Why:
-one caller's slip must cost no other caller anything.
+The caller gets an answer that names the error and the remedy. The gateway
+rejects the input before it stores anything, closes the connection where it
+must, and continues to serve other callers.
 """
 
 import asyncio
@@ -46,27 +45,27 @@
         yield cluster.vms[0].endpoint
 
 
-async def _ticket(gateway: str) -> str:
+async def _get_ticket(gateway: str) -> str:
     reply = await call('GET', f'http://{gateway}/v1/address')
     return str(json.loads(reply.body)['ticket'])
 
 
-async def _raw(gateway: str, sent: bytes) -> bytes:
-    """Send bytes as they are and return all that comes back."""
+async def _send_bytes(gateway: str, sent: bytes) -> bytes:
+    """Send the bytes unchanged and return the whole response."""
     host, _, port = gateway.partition(':')
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(sent)
     async with asyncio.timeout(LIMIT_S):
-        got = await reader.read()
+        received = await reader.read()
     writer.close()
-    return got
+    return received
 
 
-async def _send(gateway: str, **changed: str | None) -> Reply:
-    """Send a good request with some headers changed or left out."""
+async def _send_request(gateway: str, **changed: str | None) -> Reply:
+    """Send a valid request with some headers changed, or omitted if None."""
     deadline = datetime.now(UTC) + timedelta(seconds=LIMIT_S)
     headers = {
-        'Bramleybend-Request-Id': f'{await _ticket(gateway)}/one',
+        'Bramleybend-Request-Id': f'{await _get_ticket(gateway)}/one',
         'Bramleybend-Workspace': LARGE_SCHOOL,
         'Bramleybend-Service': 'booking-app',
         'Bramleybend-Profile': 'availability',
@@ -86,7 +85,7 @@
 
 
 @pytest.mark.parametrize(
-    ('changed', 'status', 'named'),
+    ('changed', 'status', 'expected_text'),
     [
         ({'workspace': 'nobody'}, 404, 'nobody'),
         ({'service': 'nothing'}, 404, 'nothing'),
@@ -103,14 +102,14 @@
     gateway: str,
     changed: dict[str, str | None],
     status: int,
-    named: str,
+    expected_text: str,
 ) -> None:
-    """The answer says `rejected`, what is wrong and what to do."""
-    reply = await _send(gateway, **changed)
+    """The outcome is `rejected`, with the reason and the remedy."""
+    reply = await _send_request(gateway, **changed)
     answer = json.loads(reply.body)
     assert reply.status == status
     assert answer['outcome'] == Outcome.REJECTED
-    assert named in answer['reason']
+    assert expected_text in answer['reason']
     assert answer['remedy']
 
 
@@ -131,30 +130,30 @@
     sent: bytes,
     status: bytes,
 ) -> None:
-    """Malformed, oversized and unknown ones, each with its status."""
-    got = await _raw(gateway, sent)
-    assert got.split()[1] == status, got[:200]
-    assert b'"remedy"' in got
+    """Malformed, oversized and unknown requests get their HTTP status."""
+    received = await _send_bytes(gateway, sent)
+    assert received.split()[1] == status, received[:200]
+    assert b'"remedy"' in received
 
 
 async def test_the_gateway_goes_on_after_a_half_sent_request(
     gateway: str,
 ) -> None:
-    """A caller hangs up within its body; the next one is served."""
+    """A caller disconnects within its body; the next caller is served."""
     host, _, port = gateway.partition(':')
     _, writer = await asyncio.open_connection(host, int(port))
     writer.write(b'POST /v1/requests HTTP/1.1\r\nHost: a\r\n')
     writer.write(b'Content-Length: 100\r\n\r\nhalf')
     await writer.drain()
     writer.close()
-    reply = await _send(gateway)
+    reply = await _send_request(gateway)
     assert reply.headers['bramleybend-outcome'] == Outcome.DONE
 
 
 async def test_an_id_sent_with_another_body_is_refused(gateway: str) -> None:
-    """Else its sender would be given the answer to another request."""
-    ticket = await _ticket(gateway)
-    first = await _send(gateway, request_id=f'{ticket}/two')
+    """Guards against returning the answer to another request."""
+    ticket = await _get_ticket(gateway)
+    first = await _send_request(gateway, request_id=f'{ticket}/two')
     assert first.status == 200
     deadline = datetime.now(UTC) + timedelta(seconds=LIMIT_S)
     second = await call(
@@ -175,14 +174,14 @@
 async def test_a_resend_after_the_deadline_gets_the_answer(
     gateway: str,
 ) -> None:
-    """The caller lost patience, and asks again when its time is up.
+    """A resend after the deadline must get the answer of the run.
 
-    Its request has run by then. Told `rejected`, which means that nothing
-    ran, it would have its work done a second time under a new id.
+    The request ran before. An answer `rejected` would mean that nothing ran,
+    and the caller would run the request again under a new id.
     """
-    request_id = f'{await _ticket(gateway)}/three'
-    first = await _send(gateway, request_id=request_id)
-    again = await _send(
+    request_id = f'{await _get_ticket(gateway)}/three'
+    first = await _send_request(gateway, request_id=request_id)
+    again = await _send_request(
         gateway,
         request_id=request_id,
         deadline='2020-01-01T00:00:00Z',
--- a/tests/test_dispatch_truth.py
+++ b/tests/test_dispatch_truth.py
@@ -1,4 +1,4 @@
-"""What may be told of a request whose tries met different ends."""
+"""The outcome of a request whose attempts ended in different ways."""
 
 import asyncio
 import contextlib
@@ -14,13 +14,13 @@
 from bramleybend.models import ServiceKind
 
 
-async def _ended(end: EndKind) -> AttemptEnd:
+async def _make_end(end: EndKind) -> AttemptEnd:
     await asyncio.sleep(0)
     return AttemptEnd(end)
 
 
 @pytest.mark.parametrize(
-    ('first', 'second', 'told'),
+    ('first', 'second', 'expected'),
     [
         (EndKind.NOT_SENT, EndKind.UNHEARD, EndKind.UNHEARD),
         (EndKind.UNHEARD, EndKind.NOT_SENT, EndKind.UNHEARD),
@@ -32,23 +32,22 @@
 async def test_a_run_that_was_sent_outweighs_one_that_was_not(
     first: EndKind,
     second: EndKind,
-    told: EndKind,
+    expected: EndKind,
 ) -> None:
-    """One of two runs was refused, the other was sent and never answered.
+    """Guards against `not_run` for a request that may have run.
 
-    The caller is told `unknown`. Order: the first run's runner refuses it,
-    the second's takes it and is silent. Were the first one's end told, the
-    caller would hear `not_run` of a call that may have taken effect.
+    One of two concurrent runs is refused by its runner; the other is sent and
+    never answered. The second end counts, and the caller is told `unknown`.
     """
-    runs = [asyncio.create_task(_ended(end)) for end in (first, second)]
-    assert (await wait_for_best_end(*runs)).kind is told
+    runs = [asyncio.create_task(_make_end(end)) for end in (first, second)]
+    assert (await wait_for_best_end(*runs)).kind is expected
 
 
 def test_a_refused_try_does_not_undo_one_that_was_sent() -> None:
-    """A second run is refused while the first one is under way.
+    """Guards against recording `not_run` for a request that is running.
 
-    Its caller leaves. Were the request taken for never sent, it would be
-    written down as `not_run`, and a resend would be told so.
+    A second run is refused while the first is in progress, and then the
+    caller leaves. A resend would be told the recorded `not_run`.
     """
     run = Run(CallerRequest('id', 'w', 's', 'p', 1, b'{}', 'f', stream=False))
     run.record_send()
@@ -60,22 +59,22 @@
 
 
 async def test_nothing_is_sent_for_a_run_that_was_given_up() -> None:
-    """A caller leaves just as its runner accepts the connection.
+    """Guards against sending a request that was recorded as `not_run`.
 
-    The request is told and written down as `not_run`. Order: the home gives
-    it up and cancels its tasks; the connect had ended a moment before, and
-    the task that would send is woken first. Its look at the run stops it.
+    The caller leaves just as its runner accepts the connection. The home
+    gives up the run and cancels its tasks, but the attempt's task, whose
+    connection opened a moment before, runs first. It must check the run.
     """
-    got = bytearray()
+    received = bytearray()
 
-    async def _take(
+    async def _receive(
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        got.extend(await reader.read())
+        received.extend(await reader.read())
         writer.close()
 
-    server = await asyncio.start_server(_take, '127.0.0.1', 0)
+    server = await asyncio.start_server(_receive, '127.0.0.1', 0)
     port = server.sockets[0].getsockname()[1]
     run = Run(CallerRequest('id', 'w', 's', 'p', 1, b'{}', 'f', stream=False))
     run.give_up()
@@ -84,13 +83,13 @@
     end = await attempt.run()
     server.close()
     await server.wait_closed()
-    assert (end.kind, bytes(got)) == (EndKind.NOT_SENT, b'')
+    assert (end.kind, bytes(received)) == (EndKind.NOT_SENT, b'')
     assert not run.was_dispatched
 
 
 @pytest.mark.parametrize('kind', list(ServiceKind))
 @pytest.mark.parametrize(
-    ('head', 'body', 'told'),
+    ('head', 'body', 'expected'),
     [
         ('', b'{"text": "whole"}', EndKind.WHOLE),
         ('', b'{"text": "cut', EndKind.TORN),
@@ -101,11 +100,11 @@
     ids=['whole', 'cut', 'nothing', 'empty', 'framed'],
 )
 async def test_an_answer_that_ends_with_its_connection_proves_itself_whole(
-    kind: ServiceKind, head: str, body: bytes, told: EndKind
+    kind: ServiceKind, head: str, body: bytes, expected: EndKind
 ) -> None:
-    """A runner that crashes and closes in order looks like one that is done."""
+    """Guards against taking a crash for an end: it may close cleanly, too."""
 
-    async def _cut(
+    async def _answer_and_close(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         with contextlib.suppress(asyncio.IncompleteReadError):
@@ -113,11 +112,11 @@
         writer.write(f'HTTP/1.1 200 OK\r\n{head}\r\n'.encode() + body)
         writer.close()
 
-    server = await asyncio.start_server(_cut, '127.0.0.1', 0)
+    server = await asyncio.start_server(_answer_and_close, '127.0.0.1', 0)
     port = server.sockets[0].getsockname()[1]
     run = Run(CallerRequest('id', 'w', 's', 'p', 1, b'{}', 'f', stream=False))
     slot = cast('Slot', SimpleNamespace(endpoint=f'127.0.0.1:{port}'))
     attempt = Attempt(run, slot, kind, 'run', 1)
     end = await attempt.run()
     server.close()
-    assert end.kind is told
+    assert end.kind is expected
--- a/tests/test_floor_round.py
+++ b/tests/test_floor_round.py
@@ -1,4 +1,4 @@
-"""How long a request waits for proof that nothing lower is served."""
+"""How long a request waits for a permit to be shed."""
 
 import asyncio
 import time
@@ -28,43 +28,43 @@
 
 CLOCK = SystemClock()
 SERVICE = 'briefing-llm'
-ASKING = 5
-ROUND_S = 0.4
+CONCURRENT_REQUESTS = 5
+ROUND_TIMEOUT_S = 0.4
 
 
 @dataclass
 class _Owner(OwnerServicer):
-    """Answers after a while, that nothing lower runs."""
+    """Replies after a delay that no lower tier runs."""
 
-    after_s: float
-    asked: list[float] = field(default_factory=list)
+    reply_delay_s: float
+    asked_at: list[float] = field(default_factory=list)
 
     async def SetFloor(
         self, request: FloorRequest, context: Context
     ) -> FloorReply:
-        self.asked.append(time.monotonic())
-        await asyncio.sleep(self.after_s)
+        self.asked_at.append(time.monotonic())
+        await asyncio.sleep(self.reply_delay_s)
         return FloorReply(settled=True)
 
 
 @dataclass
-class _Play:
-    """One gateway's rounds with one owner."""
+class _Gateway:
+    """A gateway's floor rounds, with one owner."""
 
     rounds: FloorRounds
     owner: _Owner
 
     async def may_shed(self, within_s: float) -> bool:
-        """Ask for leave to shed that is of use until then."""
+        """Ask for a permit to shed, to be answered within that time."""
         answer_by = CLOCK.monotonic() + within_s
         return await self.rounds.may_shed(SERVICE, Tier.HIGH, 1, answer_by)
 
 
 @pytest_asyncio.fixture
-async def play(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[_Play]:
-    """An owner that takes longer than a round waits for it."""
-    monkeypatch.setattr(floor_round, 'FLOOR_TIMEOUT_S', ROUND_S)
-    owner = _Owner(after_s=60)
+async def gateway(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[_Gateway]:
+    """A gateway whose owner replies later than the rounds' timeout."""
+    monkeypatch.setattr(floor_round, 'FLOOR_TIMEOUT_S', ROUND_TIMEOUT_S)
+    owner = _Owner(reply_delay_s=60)
     server = grpc.aio.server()
     add_OwnerServicer_to_server(owner, server)
     port = server.add_insecure_port('127.0.0.1:0')
@@ -83,31 +83,40 @@
         ),
         CLOCK,
     )
-    yield _Play(rounds, owner)
+    yield _Gateway(rounds, owner)
     await channels.close()
     await server.stop(0)
 
 
-async def test_requests_that_ask_at_once_share_a_round(play: _Play) -> None:
-    """Guards against answers after the deadline while an owner is paused."""
+async def test_requests_that_ask_at_once_share_a_round(
+    gateway: _Gateway,
+) -> None:
+    """Guards against answers after the deadline while an owner is paused.
+
+    With a round of its own for each request, the last would wait for all.
+    """
     began = time.monotonic()
-    told = await asyncio.gather(*(play.may_shed(60) for _ in range(ASKING)))
-    assert told == [False] * ASKING
-    assert time.monotonic() - began < 2 * ROUND_S
-    assert len(play.owner.asked) == 1
+    results = await asyncio.gather(
+        *(gateway.may_shed(60) for _ in range(CONCURRENT_REQUESTS))
+    )
+    assert results == [False] * CONCURRENT_REQUESTS
+    assert time.monotonic() - began < 2 * ROUND_TIMEOUT_S
+    assert len(gateway.owner.asked_at) == 1
 
 
 async def test_a_round_does_not_outlast_the_request_that_asks(
-    play: _Play,
+    gateway: _Gateway,
 ) -> None:
-    """Guards against an answer that comes when its caller has left."""
+    """Guards against an answer after the deadline, when the caller has left."""
     began = time.monotonic()
-    assert not await play.may_shed(ROUND_S / 4)
-    assert time.monotonic() - began < ROUND_S / 2
+    assert not await gateway.may_shed(ROUND_TIMEOUT_S / 4)
+    assert time.monotonic() - began < ROUND_TIMEOUT_S / 2
 
 
-async def test_leave_comes_from_an_owner_that_answers(play: _Play) -> None:
-    """A round that is given up early still counts for those who ask later."""
-    play.owner.after_s = ROUND_S / 4
-    assert not await play.may_shed(0)
-    assert await play.may_shed(60)
+async def test_a_permit_comes_from_an_owner_that_replies(
+    gateway: _Gateway,
+) -> None:
+    """A round continues for later requests when its first request gives up."""
+    gateway.owner.reply_delay_s = ROUND_TIMEOUT_S / 4
+    assert not await gateway.may_shed(0)
+    assert await gateway.may_shed(60)
--- a/tests/test_home.py
+++ b/tests/test_home.py
@@ -1,4 +1,4 @@
-"""When a home tells a request that it may not be dispatched."""
+"""When a home answers a request whose intent the log does not confirm."""
 
 import asyncio
 from random import Random
@@ -18,11 +18,11 @@
 from tests.utils.scenario import LARGE_SCHOOL
 
 CLOCK = SystemClock()
-LEFT_S = 1
+TIME_LEFT_S = 1
 
 
 class _SilentJournal:
-    """Is never told whether an intent stands."""
+    """A journal whose log never replies to the append of an intent."""
 
     is_sealed = False
 
@@ -31,7 +31,7 @@
         return True
 
     def queue_record(self, record: str) -> None:
-        """Forget it."""
+        """Drop the record."""
 
 
 def _home() -> Home:
@@ -51,12 +51,12 @@
 async def test_a_claim_is_told_before_its_deadline_that_the_log_is_silent() -> (
     None
 ):
-    """Guards against an answer that comes when its caller has left."""
+    """Guards against an answer after the deadline, when the caller has left."""
     terms = parse_terms(EXAMPLE.read_text(), 1).unwrap()
-    name = '10.0.0.1:7001:feed:0/one'
-    deadline = CLOCK.monotonic() + LEFT_S
+    request_id = '10.0.0.1:7001:feed:0/one'
+    deadline = CLOCK.monotonic() + TIME_LEFT_S
     req = CallerRequest(
-        name,
+        request_id,
         LARGE_SCHOOL,
         PLAIN_SERVICE,
         'slot-claim',
@@ -65,7 +65,7 @@
         'fingerprint',
         stream=False,
     )
-    run = _home().submit(parse_request_id(name).unwrap(), req, terms)
+    run = _home().submit(parse_request_id(request_id).unwrap(), req, terms)
     assert isinstance(run, Run)
     answer = await run.wait_for_outcome()
     assert answer.outcome is Outcome.NOT_RUN
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -1,4 +1,4 @@
-"""What a gateway tells of ids that it may have forgotten."""
+"""How a gateway answers for expired ids, bad input and stale terms."""
 
 from dataclasses import dataclass, field
 from datetime import UTC, datetime, timedelta
@@ -48,12 +48,12 @@
 
 
 def test_a_forgotten_id_is_expired_and_nothing_more_is_claimed() -> None:
-    """A caller asks about a request of twenty minutes ago.
+    """Guards against saying that nothing ran for an id that may have run.
 
-    It is told `expired`: the request may have run. Order: the home forgot
-    the id with its epoch, the deadline in the header has passed since, and
-    the VM is draining. Told `rejected` or `not_run`, which say that nothing
-    ran, the caller would have its work done twice.
+    A caller resends a request of twenty minutes ago. The home has dropped the
+    id with its epoch, the deadline has passed and the VM is draining. The
+    answer must be `expired`: on `rejected` or `not_run` the caller would run
+    its request a second time.
     """
     unused = cast('Any', None)
     intake = Intake(
@@ -70,7 +70,7 @@
 
 @dataclass
 class Counting(NullMetrics):
-    """Keeps what was counted."""
+    """Records which metrics were counted."""
 
     counted: list[Metric] = field(default_factory=list)
 
@@ -80,12 +80,12 @@
         n: int = 1,
         **labels: Unpack[Labels],
     ) -> None:
-        """Keep the metric."""
+        """Record the metric."""
         self.counted.append(metric)
 
 
 def test_bad_input_is_counted() -> None:
-    """A header is missing: the caller is told, and operators can see it."""
+    """A request without headers is rejected, and operators see the count."""
     unused = cast('Any', None)
     metrics = Counting()
     intake = Intake(
@@ -99,7 +99,7 @@
 
 @dataclass
 class _Views:
-    """A view that is too old until the next one comes."""
+    """A view that is too old until the next one arrives."""
 
     is_overdue: bool
     terms_age_s: float = STALE_S + 1
@@ -113,9 +113,9 @@
 async def test_a_woken_vm_waits_for_the_view_that_is_on_its_way(
     is_overdue: bool,
 ) -> None:
-    """Guards against callers sent away a moment before fresh terms are here.
+    """Guards against refusing callers just before fresh terms arrive.
 
-    One that hears from its scheduler, but of no fresh terms, is cut off.
+    A VM whose scheduler replies with old terms is cut off and does not wait.
     """
     views = cast('Any', _Views(is_overdue))
     unused = cast('Any', None)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""A home's journal and what other VMs make of it, over a faulty log."""
+"""Writing a home's journal and reading that of a lost home, with log faults."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -32,7 +32,7 @@
 
 
 class HangingLog(FakeLog):
-    """Takes calls and answers none."""
+    """A log that accepts calls and never replies."""
 
     async def read(
         self,
@@ -41,15 +41,15 @@
         limit: int = READ_LIMIT,
         wait: timedelta = NO_WAIT,
     ) -> Result[LogBatch, Problem]:
-        """Hang."""
+        """Wait forever."""
         return await asyncio.Future()
 
 
 class FailingOnceLog(FakeLog):
-    """Fails one read."""
+    """A log that fails one read."""
 
     def __init__(self, clock: ManualClock, at_read: int) -> None:
-        """Fail the read after so many that were answered."""
+        """Fail the read that follows `at_read` successful ones."""
         super().__init__(clock)
         self._at_read = at_read
 
@@ -60,18 +60,18 @@
         limit: int = READ_LIMIT,
         wait: timedelta = NO_WAIT,
     ) -> Result[LogBatch, Problem]:
-        """Read, or fail."""
+        """Read, or fail once."""
         if len(self.read_from) == self._at_read:
             self.down_reads = 1
         return await super().read(stream, start, limit, wait)
 
 
-def _id(own: str, *, intent_first: bool = True) -> RequestId:
+def _make_id(own: str, *, intent_first: bool = True) -> RequestId:
     ticket = Ticket('10.0.0.1', 7001, INCARNATION, 0, intent_first)
     return RequestId(ticket, own)
 
 
-def _run(request_id: RequestId) -> Run:
+def _make_run(request_id: RequestId) -> Run:
     return Run(
         CallerRequest(
             str(request_id), 'w', 's', 'p', 1, b'{}', 'f', stream=False
@@ -80,7 +80,7 @@
 
 
 @asynccontextmanager
-async def _writing(log: FakeLog) -> AsyncIterator[JournalWriter]:
+async def _run_writer(log: FakeLog) -> AsyncIterator[JournalWriter]:
     writer = JournalWriter(log, INCARNATION, EVENTS, NullMetrics())
     working = asyncio.create_task(writer.run())
     try:
@@ -90,78 +90,81 @@
         working.cancel()
 
 
-async def _right(writer: JournalWriter, request_id: RequestId) -> bool:
+async def _write_intent(writer: JournalWriter, request_id: RequestId) -> bool:
     return await writer.write_intent(str(request_id), encode_intent(request_id))
 
 
-async def _fate(log: FakeLog, request_id: RequestId) -> Run:
-    run = _run(request_id)
-    await LostHomes(log, 'other', CLOCK, EVENTS).settle(request_id, run)
+async def _finish_lost_run(log: FakeLog, request_id: RequestId) -> Run:
+    run = _make_run(request_id)
+    await LostHomes(log, 'other', CLOCK, EVENTS).finish_from_journal(
+        request_id, run
+    )
     return run
 
 
-async def test_an_intent_in_the_log_gives_the_right() -> None:
-    """The usual case: append, read back, dispatch."""
-    async with _writing(FakeLog(CLOCK)) as writer:
-        assert await _right(writer, _id('a'))
+async def test_an_intent_in_the_log_may_be_dispatched() -> None:
+    """Without faults: append the intent, read it back, dispatch."""
+    async with _run_writer(FakeLog(CLOCK)) as writer:
+        assert await _write_intent(writer, _make_id('a'))
 
 
-async def test_a_log_that_is_down_gives_no_right() -> None:
-    """The caller is told `not_run` at once; nothing was dispatched."""
-    async with _writing(FakeLog(CLOCK, down=1)) as writer:
-        assert not await _right(writer, _id('a'))
-        assert await _right(writer, _id('b'))
+async def test_a_log_that_is_down_allows_no_dispatch() -> None:
+    """Nothing is dispatched while the append fails, but later intents are."""
+    async with _run_writer(FakeLog(CLOCK, down=1)) as writer:
+        assert not await _write_intent(writer, _make_id('a'))
+        assert await _write_intent(writer, _make_id('b'))
 
 
 async def test_a_lost_reply_is_settled_by_reading_back() -> None:
-    """The append landed without an answer, so the right stands."""
-    async with _writing(FakeLog(CLOCK, lose_replies=1)) as writer:
-        assert await _right(writer, _id('a'))
+    """The append succeeded without a reply, so the request may run."""
+    async with _run_writer(FakeLog(CLOCK, lose_replies=1)) as writer:
+        assert await _write_intent(writer, _make_id('a'))
 
 
 async def test_a_read_that_failed_after_the_append_is_made_again() -> None:
-    """Guards against taking an own pause during a read for a log outage."""
-    async with _writing(FakeLog(CLOCK, down_reads=1)) as writer:
-        assert await _right(writer, _id('a'))
+    """Guards against taking a pause of this process for a log outage."""
+    async with _run_writer(FakeLog(CLOCK, down_reads=1)) as writer:
+        assert await _write_intent(writer, _make_id('a'))
 
 
-async def test_a_log_that_fails_after_the_append_gives_no_right() -> None:
+async def test_a_log_that_fails_after_the_append_allows_no_dispatch() -> None:
     """Guards against asking a log that is down until the deadline."""
-    async with _writing(FakeLog(CLOCK, down_reads=2)) as writer:
-        assert not await _right(writer, _id('a'))
-        assert await _right(writer, _id('b'))
+    async with _run_writer(FakeLog(CLOCK, down_reads=2)) as writer:
+        assert not await _write_intent(writer, _make_id('a'))
+        assert await _write_intent(writer, _make_id('b'))
 
 
-async def test_an_append_that_vanished_gives_no_right() -> None:
-    """No reply and no record: the request must not run on a guess."""
-    async with _writing(FakeLog(CLOCK, lose_records=1)) as writer:
-        assert not await _right(writer, _id('a'))
+async def test_a_lost_append_allows_no_dispatch() -> None:
+    """Without a reply and without a record the request must not run."""
+    async with _run_writer(FakeLog(CLOCK, lose_records=1)) as writer:
+        assert not await _write_intent(writer, _make_id('a'))
 
 
-async def test_an_intent_behind_a_seal_gives_no_right() -> None:
-    """A paused home wakes after another VM took it for dead.
+async def test_an_intent_behind_a_seal_allows_no_dispatch() -> None:
+    """Guards against running a request that another VM reported as `not_run`.
 
-    The caller was told `not_run` by that VM. Order: the seal lands, then the
-    woken home's intent. Reading back shows the seal first, so nothing runs.
+    While a home is paused, another VM takes it for dead, seals its journal and
+    answers the caller. The home resumes and appends its intent behind the
+    seal. Reading back shows the seal first, so nothing is dispatched.
     """
     log = FakeLog(CLOCK, overtaken_by=[encode_seal('other')])
-    async with _writing(log) as writer:
-        assert not await _right(writer, _id('a'))
+    async with _run_writer(log) as writer:
+        assert not await _write_intent(writer, _make_id('a'))
         assert writer.is_sealed
 
 
 async def test_a_journal_without_an_intent_is_sealed_before_not_run() -> None:
-    """Told `not_run`, the request can't run later: the seal stands first."""
+    """The seal keeps a request that was told `not_run` from running later."""
     log = FakeLog(CLOCK)
-    run = await _fate(log, _id('a'))
+    run = await _finish_lost_run(log, _make_id('a'))
     assert run.answer
     assert run.answer.outcome is Outcome.NOT_RUN
     assert '"seal"' in log.records[0]
 
 
 async def test_a_lost_seal_reply_is_no_ground_for_not_run() -> None:
-    """Whether the seal stands is not known, so neither is the fate."""
-    run = await _fate(FakeLog(CLOCK, lose_records=1), _id('a'))
+    """It is unknown whether the journal is sealed, so the outcome is, too."""
+    run = await _finish_lost_run(FakeLog(CLOCK, lose_records=1), _make_id('a'))
     assert run.answer
     assert run.answer.outcome is Outcome.UNKNOWN
 
@@ -169,85 +172,84 @@
 @pytest.mark.parametrize(
     ('records', 'outcome'),
     [
-        ([encode_intent(_id('a'))], Outcome.UNKNOWN),
+        ([encode_intent(_make_id('a'))], Outcome.UNKNOWN),
         (
             [
-                encode_intent(_id('a')),
-                encode_outcome(_id('a'), Outcome.DONE, 200, 't', b'whole'),
+                encode_intent(_make_id('a')),
+                encode_outcome(_make_id('a'), Outcome.DONE, 200, 't', b'whole'),
             ],
             Outcome.DONE,
         ),
         (
             [
-                encode_intent(_id('a')),
-                encode_outcome(_id('a'), Outcome.DONE, 200, 't', None),
+                encode_intent(_make_id('a')),
+                encode_outcome(_make_id('a'), Outcome.DONE, 200, 't', None),
             ],
             Outcome.UNKNOWN,
         ),
     ],
 )
-async def test_a_gone_home_is_answered_for_by_what_it_wrote(
+async def test_a_lost_home_is_answered_from_its_journal(
     records: list[str],
     outcome: Outcome,
 ) -> None:
-    """An intent alone proves nothing; an outcome is repeated with its body."""
-    run = await _fate(FakeLog(CLOCK, list(records)), _id('a'))
+    """An intent alone proves nothing; an outcome is returned with its body."""
+    run = await _finish_lost_run(FakeLog(CLOCK, list(records)), _make_id('a'))
     assert run.answer
     assert run.answer.outcome is outcome
     assert run.answer_body == (b'whole' if outcome is Outcome.DONE else b'')
 
 
 async def test_a_log_that_is_down_leaves_a_gone_home_unknown() -> None:
-    """Nothing can be proved, so nothing is claimed."""
-    run = await _fate(FakeLog(CLOCK, down_reads=2), _id('a'))
+    """Without the journal nothing is proved."""
+    run = await _finish_lost_run(FakeLog(CLOCK, down_reads=2), _make_id('a'))
     assert run.answer
     assert run.answer.outcome is Outcome.UNKNOWN
 
 
 @pytest.mark.parametrize('at_read', [0, 2])
-async def test_a_gone_home_is_told_of_though_one_read_failed(
+async def test_a_lost_home_is_answered_though_one_read_failed(
     at_read: int,
 ) -> None:
-    """Guards against taking an own pause during a read for a log outage."""
-    run = await _fate(FailingOnceLog(CLOCK, at_read), _id('a'))
+    """Guards against taking a pause of this process for a log outage."""
+    run = await _finish_lost_run(FailingOnceLog(CLOCK, at_read), _make_id('a'))
     assert run.answer
     assert run.answer.outcome is Outcome.NOT_RUN
 
 
 async def test_a_planned_stop_proves_what_never_ran() -> None:
-    """Its journal is complete, so an id it never saw was not run.
+    """After a planned stop the journal is complete, so a missing id never ran.
 
-    Also one under a ticket without the mark, for which a missing intent
-    alone would prove nothing.
+    This also holds for tickets without `intent_first`, for which a missing
+    intent alone proves nothing.
     """
     log = FakeLog(CLOCK)
-    async with _writing(log) as writer:
-        writer.queue_record(encode_intent(_id('a', intent_first=False)))
+    async with _run_writer(log) as writer:
+        writer.queue_record(encode_intent(_make_id('a', intent_first=False)))
         await writer.close()
-    run = await _fate(log, _id('b', intent_first=False))
+    run = await _finish_lost_run(log, _make_id('b', intent_first=False))
     assert run.answer
     assert run.answer.outcome is Outcome.NOT_RUN
 
 
 async def test_a_complete_seal_waits_for_records_the_log_lost() -> None:
-    """A planned stop while an append vanishes without an answer.
+    """Guards against `not_run` for a request that was dispatched.
 
-    The dispatched request must not be told `not_run` afterwards. Order: its
-    intent is appended and lost, the home stops and seals its journal as
-    complete. The intent has to be written again before that seal.
+    An append of its intent is lost without a reply while the home stops. The
+    intent must be appended again before the journal is sealed as complete.
     """
     log = FakeLog(CLOCK, lose_records=1)
-    async with _writing(log) as writer:
-        writer.queue_record(encode_intent(_id('a', intent_first=False)))
+    async with _run_writer(log) as writer:
+        writer.queue_record(encode_intent(_make_id('a', intent_first=False)))
         await writer.close()
-    run = await _fate(log, _id('a', intent_first=False))
+    run = await _finish_lost_run(log, _make_id('a', intent_first=False))
     assert run.answer
     assert run.answer.outcome is Outcome.UNKNOWN
 
 
 async def test_a_seal_whose_reply_was_lost_still_counts() -> None:
-    """Reading again shows the seal, so the caller gets its `not_run`."""
-    run = await _fate(FakeLog(CLOCK, lose_replies=1), _id('a'))
+    """The next read shows the seal, so the caller is told `not_run`."""
+    run = await _finish_lost_run(FakeLog(CLOCK, lose_replies=1), _make_id('a'))
     assert run.answer
     assert run.answer.outcome is Outcome.NOT_RUN
 
@@ -255,14 +257,19 @@
 async def test_callers_of_a_lost_home_are_answered_while_the_log_hangs() -> (
     None
 ):
-    """A VM dies with many requests while the log answers nothing.
+    """Guards against callers that wait one after another for a hanging log.
 
-    Each caller is told `unknown` within seconds. Without a limit each would
-    wait for the hanging reads of all that came before it.
+    A VM dies with many requests while the log does not reply. Each caller is
+    told `unknown` within seconds, without waiting for the reads of the others.
     """
     lost = LostHomes(HangingLog(CLOCK), 'other', CLOCK, EVENTS)
-    runs = [(_id(str(number)), _run(_id(str(number)))) for number in range(5)]
+    runs = [
+        (_make_id(str(number)), _make_run(_make_id(str(number))))
+        for number in range(5)
+    ]
     async with asyncio.timeout(MAX_SETTLE_S + 2):
-        await asyncio.gather(*(lost.settle(*each) for each in runs))
+        await asyncio.gather(
+            *(lost.finish_from_journal(*each) for each in runs)
+        )
     outcomes = {run.answer.outcome for _, run in runs if run.answer}
     assert outcomes == {Outcome.UNKNOWN}
--- a/tests/test_lost_home.py
+++ b/tests/test_lost_home.py
@@ -1,4 +1,4 @@
-"""Answers for requests whose home is gone, while the log hangs."""
+"""Answers for requests whose home is lost, while the log does not reply."""
 
 import asyncio
 import time
@@ -18,20 +18,20 @@
 
 
 class _HangingLog:
-    """Takes calls and says nothing."""
+    """A log that accepts reads and never replies."""
 
     async def read(self, stream: str, start: int) -> None:
         await asyncio.Event().wait()
 
 
-async def _settled_after(deadline_s: float) -> float:
+async def _time_to_finish_s(deadline_s: float) -> float:
     clock = SystemClock()
     log = cast('LogService', _HangingLog())
     homes = LostHomes(log, 'vm', clock, EventLog('gateway', 'a', clock))
     deadline = clock.monotonic() + deadline_s
     run = Run(CallerRequest('id', 'w', 's', 'p', deadline, b'', 'f', False))
     began = time.monotonic()
-    await homes.settle(RequestId(TICKET, 'own'), run)
+    await homes.finish_from_journal(RequestId(TICKET, 'own'), run)
     assert run.answer
     assert run.answer.outcome is Outcome.UNKNOWN
     return time.monotonic() - began
@@ -39,10 +39,10 @@
 
 @pytest.mark.parametrize('deadline_s', [1, 2])
 async def test_a_caller_is_told_before_its_deadline(deadline_s: float) -> None:
-    """Guards against an answer that comes when its caller has left."""
-    assert await _settled_after(deadline_s) < deadline_s
+    """Guards against an answer after the deadline, when the caller has left."""
+    assert await _time_to_finish_s(deadline_s) < deadline_s
 
 
 async def test_a_caller_past_its_deadline_gets_a_short_try() -> None:
-    """Guards against a resend that is refused what the log still tells."""
-    assert MIN_SETTLE_S <= await _settled_after(-1) < MAX_SETTLE_S
+    """Guards against answering a late resend without reading the journal."""
+    assert MIN_SETTLE_S <= await _time_to_finish_s(-1) < MAX_SETTLE_S
--- a/tests/test_shard_race.py
+++ b/tests/test_shard_race.py
@@ -1,4 +1,4 @@
-"""One request's asks for a slot, each at another shard."""
+"""Concurrent asks of one request for a slot at several shards."""
 
 import asyncio
 from collections.abc import Sequence
@@ -16,12 +16,12 @@
 from bramleybend.wire.bramleybend_pb2 import Ended, Refused
 
 LONG_S = 30
-left: set[asyncio.Task[None]] = set()
-FULL = Refused(reason='deadline_unmet', shed=True)
+background_tasks: set[asyncio.Task[None]] = set()
+NO_CAPACITY = Refused(reason='deadline_unmet', shed=True)
 
 
 class _Slot(Slot):
-    """A granted slot that only notes how it ended."""
+    """A granted slot that records its release."""
 
     def __init__(self) -> None:
         self.ends: list[Ended] = []
@@ -32,43 +32,45 @@
 
 @dataclass
 class _Shards:
-    """Answer after some time, or not at all."""
+    """Shards that answer after a delay, or not at all."""
 
     answers: dict[int, tuple[float, AskResult]]
     asked: list[tuple[int, bool]] = field(default_factory=list)
-    given_up: list[int] = field(default_factory=list)
+    cancelled: list[int] = field(default_factory=list)
 
     async def ask(self, shard: int, is_extra: bool) -> AskResult:
         self.asked.append((shard, is_extra))
-        after_s, found = self.answers.get(shard, (LONG_S, FULL))
+        reply_delay_s, found = self.answers.get(shard, (LONG_S, NO_CAPACITY))
         try:
-            await asyncio.sleep(after_s)
+            await asyncio.sleep(reply_delay_s)
         except asyncio.CancelledError:
-            self.given_up.append(shard)
+            self.cancelled.append(shard)
             raise
         return found
 
 
 def _race(ask: AskShard, shards: Sequence[int]) -> ShardRace:
     return ShardRace(
-        ask, shards, lambda work: left.add(asyncio.create_task(work))
+        ask,
+        shards,
+        lambda work: background_tasks.add(asyncio.create_task(work)),
     )
 
 
 async def test_a_request_waits_elsewhere_too_once_its_patience_is_over() -> (
     None
 ):
-    """Guards against lower tiers that start at a shard it doesn't wait at."""
+    """Guards against lower tiers that start at another shard meanwhile."""
     slot = _Slot()
     shards = _Shards({1: (0, slot)})
     assert await _race(shards.ask, [0, 1]).run(0.05) is slot
     assert shards.asked == [(0, False), (1, True)]
-    assert shards.given_up == [0]
+    assert shards.cancelled == [0]
     assert not slot.ends
 
 
 async def test_only_the_best_shard_is_asked_while_there_is_time() -> None:
-    """Guards against a request that counts in every shard's queue."""
+    """Guards against requests that lengthen every shard's queue."""
     slot = _Slot()
     shards = _Shards({0: (0.05, slot)})
     assert await _race(shards.ask, [0, 1, 2]).run(LONG_S) is slot
@@ -76,7 +78,7 @@
 
 
 async def test_a_second_slot_is_given_back() -> None:
-    """Guards against a slot that nobody uses until its timeout."""
+    """Guards against holding a second slot that nobody uses."""
     slots = [_Slot(), _Slot()]
     both_asked = asyncio.Event()
 
@@ -86,28 +88,28 @@
         await both_asked.wait()
         return slots[shard]
 
-    kept = await _race(ask, [0, 1]).run(0)
-    await asyncio.gather(*left)
+    used = await _race(ask, [0, 1]).run(0)
+    await asyncio.gather(*background_tasks)
     given_back = [slot for slot in slots if slot.ends]
     assert [each.outcome for each in given_back[0].ends] == ['not_sent']
-    assert [slot for slot in slots if not slot.ends] == [kept]
+    assert [slot for slot in slots if not slot.ends] == [used]
 
 
 async def test_the_refusals_of_all_shards_are_one_refusal() -> None:
-    shards = _Shards({number: (0, FULL) for number in range(9)})
-    assert await _race(shards.ask, range(9)).run(LONG_S) is FULL
+    shards = _Shards({number: (0, NO_CAPACITY) for number in range(9)})
+    assert await _race(shards.ask, range(9)).run(LONG_S) is NO_CAPACITY
     assert [shard for shard, _ in shards.asked] == list(range(9))
 
 
 async def test_few_shards_are_asked_at_once() -> None:
-    """Guards against asks that grow with the number of shards."""
+    """Guards against as many concurrent asks as there are shards."""
     shards = _Shards({})
     race = asyncio.create_task(_race(shards.ask, range(40)).run(0))
     await asyncio.sleep(1)
     assert len(shards.asked) == MAX_CONCURRENT_ASKS
     race.cancel()
     await asyncio.gather(race, return_exceptions=True)
-    assert sorted(shards.given_up) == list(range(MAX_CONCURRENT_ASKS))
+    assert sorted(shards.cancelled) == list(range(MAX_CONCURRENT_ASKS))
 
 
 async def test_a_final_answer_ends_the_search() -> None:
@@ -120,7 +122,11 @@
 async def test_a_slot_that_was_found_is_not_lost_with_a_caller_that_leaves() -> (
     None
 ):
-    """Guards against slots that stay taken while nobody uses them."""
+    """Guards against slots that stay taken after their caller has left.
+
+    The race is cancelled while it still cancels the ask that lost, which
+    takes a while. The slot that was granted must be returned or released.
+    """
     slot = _Slot()
 
     async def ask(shard: int, is_extra: bool) -> AskResult:
@@ -130,7 +136,7 @@
             await asyncio.sleep(LONG_S)
         finally:
             await asyncio.sleep(0.3)  # its stream takes a while to close
-        return FULL
+        return NO_CAPACITY
 
     racing = asyncio.create_task(_race(ask, [0, 1]).run(0))
     await asyncio.sleep(0.1)
--- a/tests/test_slot_search.py
+++ b/tests/test_slot_search.py
@@ -1,4 +1,4 @@
-"""When a request that gets no slot is told so."""
+"""When a request that gets no slot is answered."""
 
 import asyncio
 import time
@@ -26,7 +26,7 @@
 
 
 class _SilentOwner:
-    """Queues every request and decides nothing."""
+    """An owner that never decides; the ask is refused at its deadline."""
 
     async def acquire(
         self, ask: AskMessage, deadline: float
@@ -78,7 +78,7 @@
 async def test_a_request_without_a_slot_is_told_before_its_deadline(
     deadline_s: float,
 ) -> None:
-    """Guards against an answer that comes when its caller has left."""
+    """Guards against an answer after the deadline, when the caller has left."""
     began = time.monotonic()
     job = _job(CLOCK.monotonic() + deadline_s)
     found = await SlotSearch(_deps()).find(job, [])
@@ -88,7 +88,7 @@
 
 
 async def test_a_silent_owner_does_not_delay_the_answer() -> None:
-    """Guards against a wait for proof that goes on past the deadline."""
+    """Guards against waiting for a permit to shed beyond the deadline."""
 
     async def ask_for_long(
         service: str, tier: Tier, shards: int, answer_by: float
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""How a slot is given back to an owner that is slow or gone."""
+"""Releasing a slot when its owner is slow or lost."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -23,25 +23,25 @@
 
 @dataclass
 class _Call:
-    """A stream that its owner ends some time after the run's end is told."""
+    """A stream that its owner ends some time after the run's end is sent."""
 
     ends_after_s: float
     status: grpc.StatusCode = grpc.StatusCode.OK
-    told: list[Ended] = field(default_factory=list)
+    sent: list[Ended] = field(default_factory=list)
     read_by_owner: list[Ended] = field(default_factory=list)
     cancelled: bool = False
     _ended: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def write(self, message: HoldRequest) -> None:
         if message.HasField('ended'):
-            self.told.append(message.ended)
+            self.sent.append(message.ended)
             self._ended.set()
 
     async def read(self) -> object:
         await self._ended.wait()
         await asyncio.sleep(self.ends_after_s)
         if self.status is grpc.StatusCode.OK and not self.cancelled:
-            self.read_by_owner.extend(self.told)
+            self.read_by_owner.extend(self.sent)
         return grpc.aio.EOF
 
     async def code(self) -> grpc.StatusCode:
@@ -53,7 +53,7 @@
 
 @dataclass
 class _Owners:
-    """Opens the stream of whoever owns the shard by now."""
+    """Opens a stream with the shard's next owner."""
 
     next_call: _Call
 
@@ -61,10 +61,10 @@
         self, ask: AskMessage, first: HoldRequest, deadline: float
     ) -> HoldStream | None:
         assert first.HasField('adopt')
-        return _opened(self.next_call)
+        return _make_stream(self.next_call)
 
 
-def _opened(call: _Call) -> HoldStream:
+def _make_stream(call: _Call) -> HoldStream:
     return cast(
         'HoldStream',
         SimpleNamespace(call=call, owner=SimpleNamespace(incarnation='a')),
@@ -74,20 +74,20 @@
 async def _end_slot(call: _Call, next_call: _Call, ended: Ended) -> None:
     granted = Granted(runner='engine-1', endpoint='127.0.0.1:1')
     owners = _Owners(next_call)
-    slot = Slot(owners, AskMessage(), granted, _opened(call))
-    await asyncio.sleep(0)  # the slot begins to listen to its owner
+    slot = Slot(owners, AskMessage(), granted, _make_stream(call))
+    await asyncio.sleep(0)  # the slot starts to read its owner's replies
     await slot.release(ended)
 
 
 async def test_a_crash_is_told_to_an_owner_that_is_slow_to_read() -> None:
-    """Guards against a crash that is counted by nobody."""
+    """Guards against a crash report that the owner never reads."""
     call = _Call(SLOW_S)
     await _end_slot(call, _Call(0), CRASHED)
     assert call.read_by_owner == [CRASHED]
 
 
 async def test_a_crash_is_told_to_the_next_owner_if_the_first_is_lost() -> None:
-    """Guards against a crash that dies with the owner that was told."""
+    """Guards against a crash report that is lost with the previous owner."""
     next_call = _Call(0)
     lost = _Call(0, grpc.StatusCode.UNAVAILABLE)
     await _end_slot(lost, next_call, CRASHED)
@@ -96,7 +96,7 @@
 
 @pytest.mark.parametrize('outcome', ['done', 'unheard'])
 async def test_other_ends_do_not_wait_for_a_slow_owner(outcome: str) -> None:
-    """Guards against streams that stay open at an owner that froze."""
+    """Guards against streams that stay open with a frozen owner."""
     call = _Call(SLOW_S)
     await _end_slot(call, _Call(0), Ended(outcome=outcome))
     assert call.cancelled
--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -1,4 +1,4 @@
-"""What the owner of a slot is told of the run that held it."""
+"""How a run that outlives its deadline is answered and reported."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -21,16 +21,19 @@
 
 
 class _Engine:
-    """Takes a run, stops none, and goes down with all of them."""
+    """An engine that accepts runs, cancels none and ends all in a crash.
+
+    If `silent`, it doesn't reply to cancellations; else it cuts them off.
+    """
 
     def __init__(self, *, silent: bool = False) -> None:
         self.runs: list[asyncio.StreamWriter] = []
-        self.stops: list[asyncio.StreamWriter] = []
+        self.cancels: list[asyncio.StreamWriter] = []
         self._silent = silent
         self._server: asyncio.Server
 
     async def start(self) -> str:
-        self._server = await asyncio.start_server(self._take, '127.0.0.1', 0)
+        self._server = await asyncio.start_server(self._accept, '127.0.0.1', 0)
         port = self._server.sockets[0].getsockname()[1]
         return f'127.0.0.1:{port}'
 
@@ -39,14 +42,14 @@
         for writer in self.runs:
             writer.transport.abort()
 
-    async def _take(
+    async def _accept(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
         head = await reader.readline()
         if b'/cancel' in head:
-            self.stops.append(writer)
+            self.cancels.append(writer)
             if not self._silent:
                 writer.transport.abort()
             return
@@ -58,10 +61,10 @@
     endpoint: str
     runner: str = 'briefing-llm-1'
     preempted: asyncio.Event = field(default_factory=asyncio.Event)
-    told: list[Ended] = field(default_factory=list)
+    reports: list[Ended] = field(default_factory=list)
 
     async def release(self, ended: Ended) -> None:
-        self.told.append(ended)
+        self.reports.append(ended)
 
 
 def _job(deadline_s: float) -> Job:
@@ -94,7 +97,7 @@
 
 
 async def test_a_crash_after_the_deadline_is_reported() -> None:
-    """Guards against content that crashes runners and is never refused."""
+    """Guards against content that crashes runners and is never quarantined."""
     engine = _Engine()
     slot = _Slot(await engine.start())
     asyncio.get_running_loop().call_later(CRASH_S, engine.crash)
@@ -102,18 +105,20 @@
         _job(DEADLINE_S), cast('Slot', slot), '0'
     )
     assert end.kind is EndKind.UNHEARD
-    assert not slot.told
-    await wait_until(lambda: bool(slot.told), 'the owner is told of the end')
-    assert slot.told[0].runner_crashed
+    assert not slot.reports
+    await wait_until(
+        lambda: bool(slot.reports), 'the end is reported to the owner'
+    )
+    assert slot.reports[0].runner_crashed
 
 
 async def test_a_run_that_is_slow_to_stop_is_told_of_at_its_deadline() -> None:
-    """Guards against an answer that comes when its caller has left."""
+    """Guards against an answer after the deadline, when the caller has left."""
     engine = _Engine(silent=True)
     slot = _Slot(await engine.start())
     job = _job(DEADLINE_S)
     end = await Supervisor(_deps()).run_attempt(job, cast('Slot', slot), '0')
     assert SystemClock().monotonic() - job.run.req.deadline < DEADLINE_S * 2
     assert end.kind is EndKind.UNHEARD
-    assert engine.stops
+    assert engine.cancels
     engine.crash()
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -1,4 +1,4 @@
-"""How a gateway keeps its view while schedulers stand still."""
+"""How a gateway keeps its view fresh while schedulers are paused."""
 
 import asyncio
 import time
@@ -39,19 +39,19 @@
 CLOCK = SystemClock()
 PAUSE_S = 4
 SAMPLE_S = 0.01
-ON_TIME_S = 0.05  # a sample that took longer was held up
+ON_TIME_S = 0.05  # a longer sample means that this process was stalled
 HOSTS = (11, 12, 13)
 PORT = 7002
 
 
 @dataclass
 class _Scheduler(LocalServicer):
-    """Replies like a scheduler without news, unless it is paused."""
+    """A scheduler without news, which doesn't reply while it is paused."""
 
     members: list[MemberRecord]
     running: asyncio.Event = field(default_factory=asyncio.Event)
     asked: int = 0
-    age_s: float = 0  # of its word that the terms are in force
+    age_s: float = 0  # since the terms were known to be in force
 
     def __post_init__(self) -> None:
         self.running.set()
@@ -64,33 +64,34 @@
 
 
 @dataclass(frozen=True)
-class _Play:
-    """A gateway's follower and three schedulers, its own first."""
+class _Gateway:
+    """A gateway's view follower and three schedulers, its own first."""
 
     views: ViewFollower
     schedulers: list[_Scheduler]
 
-    async def oldest_view(self) -> float:
-        """Return the highest age of the view over a pause.
+    async def max_view_age_s(self) -> float:
+        """Return the highest age of the view during `PAUSE_S`.
 
-        Less what this process itself stood still: it plays all schedulers.
+        The time for which this process stalled is subtracted, as it simulates
+        all schedulers.
         """
-        oldest = float(0)
-        late = float(0)
+        max_age_s = float(0)
+        stalled_s = float(0)
         now = CLOCK.monotonic()
         until = now + PAUSE_S
         while now < until:
             before = now
             await asyncio.sleep(SAMPLE_S)
             now = CLOCK.monotonic()
-            late += max(now - before - ON_TIME_S, 0)
-            oldest = max(oldest, self.views.view_age_s)
-        return oldest - late
+            stalled_s += max(now - before - ON_TIME_S, 0)
+            max_age_s = max(max_age_s, self.views.view_age_s)
+        return max_age_s - stalled_s
 
 
 @pytest_asyncio.fixture
-async def play() -> AsyncIterator[_Play]:
-    """A follower that has had its first view."""
+async def gateway() -> AsyncIterator[_Gateway]:
+    """A gateway that has received its first view."""
     prefix = free_prefix()
     addresses = [f'{prefix}.{host}' for host in HOSTS]
     members = [
@@ -118,7 +119,7 @@
     )
     following = asyncio.create_task(views.follow())
     await wait_until(lambda: bool(views.owner_candidates()), 'the first view')
-    yield _Play(views, schedulers)
+    yield _Gateway(views, schedulers)
     following.cancel()
     await channels.close()
     for server in servers:
@@ -127,51 +128,59 @@
 
 @pytest.mark.parametrize('paused', [1, 2])
 async def test_a_view_stays_fresh_while_schedulers_stand_still(
-    play: _Play, paused: int
+    gateway: _Gateway, paused: int
 ) -> None:
-    """Guards against grants of sound owners that a gateway drops."""
-    for scheduler in play.schedulers[:paused]:
+    """Guards against dropping valid grants because the view is too old."""
+    for scheduler in gateway.schedulers[:paused]:
         scheduler.running.clear()
-    assert await play.oldest_view() < FRESH_S
+    assert await gateway.max_view_age_s() < FRESH_S
 
 
 async def test_the_own_scheduler_is_asked_again_once_it_replies(
-    play: _Play,
+    gateway: _Gateway,
 ) -> None:
-    """Guards against a gateway that stays with another VM's scheduler."""
-    own, other, *_ = play.schedulers
+    """Guards against staying with another VM's scheduler."""
+    own, other, *_ = gateway.schedulers
     own.running.clear()
     await wait_until(lambda: other.asked > 0, 'another scheduler is asked')
     own.running.set()
     goal = own.asked + 5
-    await wait_until(lambda: own.asked > goal, 'the own one is followed again')
-    own_was, other_was = own.asked, other.asked
-    await play.oldest_view()
-    # One that is late for a moment is asked beside another once more.
-    assert own.asked - own_was > 2 * (other.asked - other_was)
+    await wait_until(
+        lambda: own.asked > goal, 'its own scheduler is asked again'
+    )
+    own_before, other_before = own.asked, other.asked
+    await gateway.max_view_age_s()
+    # If its own scheduler is late once, the gateway also asks another one.
+    assert own.asked - own_before > 2 * (other.asked - other_before)
 
 
 async def test_a_gateway_hears_from_a_scheduler_as_soon_as_it_wakes(
-    play: _Play,
+    gateway: _Gateway,
 ) -> None:
-    """Guards against callers that a woken VM sends away."""
-    time.sleep(VIEW_OVERDUE_S + REPLY_GRACE_S)  # the whole process stands still
-    assert play.views.is_overdue
+    """Guards against refusing callers on a VM that has just resumed."""
+    time.sleep(VIEW_OVERDUE_S + REPLY_GRACE_S)  # stalls the whole process
+    assert gateway.views.is_overdue
     began = CLOCK.monotonic()
-    while play.views.is_overdue:
-        await play.views.wait_for_view(PAUSE_S)
+    while gateway.views.is_overdue:
+        await gateway.views.wait_for_view(PAUSE_S)
     assert CLOCK.monotonic() - began < VIEW_LONG_POLL_S
 
 
 async def test_a_woken_scheduler_takes_back_nothing_that_others_have_said(
-    play: _Play,
+    gateway: _Gateway,
 ) -> None:
-    """Guards against callers sent away by a VM that has fresh terms."""
-    own, other, *_ = play.schedulers
+    """Guards against refusing callers because a scheduler was paused.
+
+    The gateway has fresh terms from another scheduler; a reply of its own one
+    that is older must not replace them.
+    """
+    own, other, *_ = gateway.schedulers
     own.running.clear()
     await wait_until(lambda: other.asked > 0, 'another scheduler is asked')
     own.age_s = PAUSE_S
     own.running.set()
     goal = own.asked + 3
-    await wait_until(lambda: own.asked > goal, 'the own one is followed again')
-    assert play.views.terms_age_s < PAUSE_S
+    await wait_until(
+        lambda: own.asked > goal, 'its own scheduler is asked again'
+    )
+    assert gateway.views.terms_age_s < PAUSE_S
