--- a/bramleybend/gateway/attempt.py
+++ b/bramleybend/gateway/attempt.py
@@ -140,7 +140,7 @@
             async for chunk in exchange.chunks():
                 parts.append(chunk)
         except BROKEN:
-            return await self._end_broken(EndKind.TORN)
+            return await self._make_broken_end(EndKind.TORN)
         body = b''.join(parts)
         self._usage = usage_in(body) or Usage()
         if head.status >= HTTPStatus.BAD_REQUEST:
@@ -148,7 +148,7 @@
         if head.framing is Framing.CONNECTION and not is_json(body):
             # The answer has no length, and a crashing runner may close its
             # connection cleanly: only complete JSON counts as complete.
-            return await self._end_broken(EndKind.TORN)
+            return await self._make_broken_end(EndKind.TORN)
         if self._run.has_answer_data:
             return AttemptEnd(EndKind.OVERTAKEN, self._usage)
         if not self._run.add_chunk(body):
@@ -167,7 +167,7 @@
                 # A long answer over a poor link may break many times. Only
                 # consecutive resumes without a new event end the attempt.
                 failures = 0
-        return end or await self._end_broken(EndKind.TORN)
+        return end or await self._make_broken_end(EndKind.TORN)
 
     async def _resume_stream(self) -> AttemptEnd | None:
         # The engine replays from the first missing event, so the answer has
@@ -219,14 +219,14 @@
     async def _handle_no_response(self) -> AttemptEnd:
         """Resume a stream whose response never began, if its engine has it."""
         if self._address.kind is not ServiceKind.ENGINE:
-            return await self._end_broken(EndKind.UNHEARD)
+            return await self._make_broken_end(EndKind.UNHEARD)
         if self._is_streaming:
             end = await self._resume_stream()
             if end is not None:
                 return end
-        return await self._end_broken(EndKind.UNHEARD)
+        return await self._make_broken_end(EndKind.UNHEARD)
 
-    async def _end_broken(self, end: EndKind) -> AttemptEnd:
+    async def _make_broken_end(self, end: EndKind) -> AttemptEnd:
         """Return an end of this kind; connect to see if the runner crashed."""
         if not self._runner_crashed:
             try:
--- a/bramleybend/gateway/dispatcher.py
+++ b/bramleybend/gateway/dispatcher.py
@@ -69,7 +69,9 @@
         # again, and it could run twice.
         if sent_end is None:
             return answer
-        return _answer_of(sent_end, out_of_time=not self._deps.remaining_s(job))
+        return _answer_of(
+            sent_end, is_past_deadline=not self._deps.remaining_s(job)
+        )
 
     def _may_retry(self, job: Job, end: AttemptEnd) -> bool:
         """Whether another attempt is safe and can still be in time."""
@@ -91,10 +93,10 @@
         )
 
 
-def _answer_of(end: AttemptEnd, *, out_of_time: bool) -> Answer:
+def _answer_of(end: AttemptEnd, *, is_past_deadline: bool) -> Answer:
     match end.kind:
         case EndKind.STOPPED:
-            reason = 'its deadline passed' if out_of_time else 'given up'
+            reason = 'its deadline passed' if is_past_deadline else 'given up'
             return Answer(
                 Outcome.CANCELLED,
                 f'stopped while it ran: {reason}',
--- a/bramleybend/gateway/gateway_process.py
+++ b/bramleybend/gateway/gateway_process.py
@@ -150,7 +150,7 @@
         )
 
     def _make_dispatch_deps(self) -> DispatchDeps:
-        asker = SlotClient(
+        slot_client = SlotClient(
             OwnerRpc(
                 self._channels,
                 self._cfg.scheduler_port,
@@ -160,20 +160,20 @@
             self._clock,
             self.events,
         )
-        floors = FloorRounds(
+        floor_rounds = FloorRounds(
             ShedPermits(),
             FloorRpc(
                 self._channels,
                 self._cfg.scheduler_port,
-                asker.find_owner,
+                slot_client.find_owner,
                 lambda: self.views.view_age_s,
                 self._headers,
             ),
             self._clock,
         )
         return DispatchDeps(
-            asker,
-            floors,
+            slot_client,
+            floor_rounds,
             self.views,
             self._clock,
             self.events,
@@ -201,14 +201,14 @@
         )
 
     def _new_home(self) -> Home:
-        fresh = make_identity(
+        home_identity = make_identity(
             self._cfg.vm,
             self._cfg.domain,
             str(self._cfg.address),
         )
         journal = JournalWriter(
             self._log,
-            fresh.incarnation,
+            home_identity.incarnation,
             self.events,
             self._metrics,
         )
@@ -217,10 +217,10 @@
             Ticket(
                 str(self._cfg.address),
                 self._cfg.gateway_port,
-                fresh.incarnation,
+                home_identity.incarnation,
                 epoch=0,
             ),
-            IdTable(fresh.incarnation, self._clock.monotonic()),
+            IdTable(home_identity.incarnation, self._clock.monotonic()),
             journal,
             self._deps,
         )
--- a/bramleybend/gateway/hold_stream.py
+++ b/bramleybend/gateway/hold_stream.py
@@ -30,11 +30,11 @@
 
 
 async def send_and_read_reply(
-    call: HoldCall, first: HoldRequest
+    call: HoldCall, first_message: HoldRequest
 ) -> HoldReply | None:
     """Send the stream's first message and return the reply to it, or None."""
     try:
-        await call.write(first)
+        await call.write(first_message)
     except (grpc.aio.AioRpcError, asyncio.InvalidStateError):
         return None
     return await read_reply(call)
--- a/bramleybend/gateway/intake.py
+++ b/bramleybend/gateway/intake.py
@@ -28,8 +28,8 @@
 STALE_RETRY_AFTER: Final = timedelta(seconds=2)
 DRAIN_RETRY_AFTER: Final = timedelta(seconds=1)
 MAX_OLD_HOMES: Final = 4
-# A VM that was paused gets a view from a scheduler milliseconds after it
-# resumes; this leaves time for a slow one.
+# Far above the milliseconds in which a VM that was paused gets a view from a
+# scheduler after it resumes.
 FRESH_VIEW_TIMEOUT_S: Final = 1.0
 
 
@@ -70,11 +70,11 @@
         only the terms are old: its callers are sent elsewhere without a wait.
         """
         views = self._deps.views
-        until = self._deps.clock.monotonic() + FRESH_VIEW_TIMEOUT_S
+        deadline = self._deps.clock.monotonic() + FRESH_VIEW_TIMEOUT_S
         left_s = FRESH_VIEW_TIMEOUT_S
         while left_s > 0 and views.is_overdue and self._refuse_on_stale_terms():
             await views.wait_for_view(left_s)
-            left_s = until - self._deps.clock.monotonic()
+            left_s = deadline - self._deps.clock.monotonic()
 
     @property
     def homes(self) -> tuple[Home, ...]:
@@ -158,9 +158,9 @@
         return home.submit(request_id, req, terms)
 
     def _refuse_new(self, req: CallerRequest) -> Answer | None:
-        late = check_deadline(req, self._deps.clock)
-        if late is not None:
-            return late
+        rejection = check_deadline(req, self._deps.clock)
+        if rejection is not None:
+            return rejection
         if self.is_draining:
             return not_run(
                 'this VM is stopping; ask another one for a ticket',
--- a/bramleybend/gateway/journal_writer.py
+++ b/bramleybend/gateway/journal_writer.py
@@ -32,8 +32,8 @@
 CLOSE_TIMEOUT_S: Final = 5.0
 CLOSE_RETRY_DELAY_S: Final = 0.1
 MAYBE_APPENDED: Final = frozenset((None, ErrorKind.LOG_REPLY_LOST))
-# Limits memory in a log outage: 20,000 records of 200 bytes are 4 MB. The
-# oldest are dropped; a request whose record is missing may end as `unknown`.
+# Limits memory in a log outage: 20,000 records of 200 bytes are 4 MB. Records
+# beyond that are dropped; a request without its record may end as `unknown`.
 MAX_QUEUED_RECORDS: Final = 20_000
 
 
--- a/bramleybend/gateway/run.py
+++ b/bramleybend/gateway/run.py
@@ -177,9 +177,9 @@
         position = 0
         while True:
             if position < len(self._answer_bytes):
-                fresh = bytes(self._answer_bytes[position:])
-                position += len(fresh)
-                yield fresh
+                chunk = bytes(self._answer_bytes[position:])
+                position += len(chunk)
+                yield chunk
                 continue
             if self.answer is not None:
                 return
--- a/bramleybend/gateway/shard_race.py
+++ b/bramleybend/gateway/shard_race.py
@@ -110,10 +110,10 @@
         """Cancel pending asks and release slots that they were granted."""
         for task in self._pending_asks:
             task.cancel()
-        ended = await asyncio.gather(
+        results = await asyncio.gather(
             *self._pending_asks, return_exceptions=True
         )
-        for found in ended:
+        for found in results:
             self._release_slot(found)
 
     def _release_slot(self, found: object) -> None:
--- a/bramleybend/gateway/slot.py
+++ b/bramleybend/gateway/slot.py
@@ -35,7 +35,7 @@
     async def open_at_owner(
         self,
         ask: AskMessage,
-        first: HoldRequest,
+        first_message: HoldRequest,
         deadline: float,
     ) -> HoldStream | None:
         """Open a stream with the owner; None once the deadline passed."""
--- a/bramleybend/gateway/slot_client.py
+++ b/bramleybend/gateway/slot_client.py
@@ -90,7 +90,7 @@
     async def open_at_owner(
         self,
         ask: AskMessage,
-        first: HoldRequest,
+        first_message: HoldRequest,
         deadline: float,
     ) -> HoldStream | None:
         """Open a stream with the shard's owner; None after the deadline.
@@ -104,16 +104,18 @@
         while self._clock.monotonic() < deadline:
             owner = self.find_owner(ask.service, ask.shard)
             if owner is not None:
-                stream = await self._open_stream(ask, first, owner, deadline)
+                stream = await self._open_stream(
+                    ask, first_message, owner, deadline
+                )
                 if stream is not None:
                     return stream
                 if owner.incarnation != unreachable_incarnation:
                     self._record_unreachable(ask, owner)
                 unreachable_incarnation = owner.incarnation
             await asyncio.sleep(REOPEN_DELAY_S)
-            if first.HasField('ask'):
+            if first_message.HasField('ask'):
                 waited_s = self._clock.monotonic() - started_at
-                first.ask.timeout_s = max(ask.timeout_s - waited_s, 0)
+                first_message.ask.timeout_s = max(ask.timeout_s - waited_s, 0)
         return None
 
     def find_owner(self, service: str, shard: int) -> Member | None:
@@ -129,22 +131,22 @@
     async def _open(
         self, ask: AskMessage, deadline: float
     ) -> HoldStream | None:
-        first = HoldRequest(ask=ask)
+        first_message = HoldRequest(ask=ask)
         if ask.tier == min(Tier):
-            return await self._open_at_any(ask, first)
+            return await self._open_at_any(ask, first_message)
         if self.find_owner(ask.service, ask.shard) is None:
             return None
-        return await self.open_at_owner(ask, first, deadline)
+        return await self.open_at_owner(ask, first_message, deadline)
 
     async def _open_stream(
         self,
         ask: AskMessage,
-        first: HoldRequest,
+        first_message: HoldRequest,
         owner: Member,
         deadline: float,
     ) -> HoldStream | None:
         call = self._start_call(owner)
-        reading = send_and_read_reply(call, self._with_header(first))
+        reading = send_and_read_reply(call, self._with_header(first_message))
         reply = None
         try:
             reply = await self._read_while_owner(reading, ask, owner, deadline)
@@ -162,12 +164,12 @@
     async def _open_at_any(
         self,
         ask: AskMessage,
-        first: HoldRequest,
+        first_message: HoldRequest,
     ) -> HoldStream | None:
         """Open a stream with the first VM in rank order that replies."""
         for owner in self._rank_owners(ask.service, ask.shard):
             call = self._start_call(owner)
-            if await self._send_and_await_ack(call, first):
+            if await self._send_and_await_ack(call, first_message):
                 return HoldStream(call, owner)
             self._record_unreachable(ask, owner)
             self._avoid_owner(owner)
@@ -199,14 +201,14 @@
         call: HoldCall = stub.Hold()
         return call
 
-    def _with_header(self, first: HoldRequest) -> HoldRequest:
-        first.header.CopyFrom(self._rpc.headers.make())
-        return first
+    def _with_header(self, first_message: HoldRequest) -> HoldRequest:
+        first_message.header.CopyFrom(self._rpc.headers.make())
+        return first_message
 
     async def _send_and_await_ack(
-        self, call: HoldCall, first: HoldRequest
+        self, call: HoldCall, first_message: HoldRequest
     ) -> bool:
-        reading = send_and_read_reply(call, self._with_header(first))
+        reading = send_and_read_reply(call, self._with_header(first_message))
         reply = None
         try:
             reply = await within(ACK_TIMEOUT_S, reading)
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -58,9 +58,9 @@
     next_call: _Call
 
     async def open_at_owner(
-        self, ask: AskMessage, first: HoldRequest, deadline: float
+        self, ask: AskMessage, first_message: HoldRequest, deadline: float
     ) -> HoldStream | None:
-        assert first.HasField('adopt')
+        assert first_message.HasField('adopt')
         return _make_stream(self.next_call)
 
 
