--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -200,7 +200,7 @@
     assert run.answer_body == (b'whole' if outcome is Outcome.DONE else b'')
 
 
-async def test_a_log_that_is_down_leaves_a_gone_home_unknown() -> None:
+async def test_a_log_that_is_down_leaves_a_lost_home_unknown() -> None:
     """Without the journal nothing is proved."""
     run = await _finish_lost_run(FakeLog(CLOCK, down_reads=2), _make_id('a'))
     assert run.answer
--- a/tests/test_shard_race.py
+++ b/tests/test_shard_race.py
@@ -57,9 +57,7 @@
     )
 
 
-async def test_a_request_waits_elsewhere_too_once_its_patience_is_over() -> (
-    None
-):
+async def test_a_request_waits_at_other_shards_after_a_delay() -> None:
     """Guards against lower tiers that start at another shard meanwhile."""
     slot = _Slot()
     shards = _Shards({1: (0, slot)})
--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -112,7 +112,9 @@
     assert slot.reports[0].runner_crashed
 
 
-async def test_a_run_that_is_slow_to_stop_is_told_of_at_its_deadline() -> None:
+async def test_a_run_that_is_slow_to_cancel_is_answered_at_its_deadline() -> (
+    None
+):
     """Guards against an answer after the deadline, when the caller has left."""
     engine = _Engine(silent=True)
     slot = _Slot(await engine.start())
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -166,7 +166,7 @@
     assert CLOCK.monotonic() - began < VIEW_LONG_POLL_S
 
 
-async def test_a_woken_scheduler_takes_back_nothing_that_others_have_said(
+async def test_a_resumed_scheduler_does_not_replace_fresher_terms(
     gateway: _Gateway,
 ) -> None:
     """Guards against refusing callers because a scheduler was paused.
