--- a/bramleybend/gateway/floor_round.py
+++ b/bramleybend/gateway/floor_round.py
@@ -1,9 +1,9 @@
-"""Asks every owner of a pool before a request of some tier is shed.
+"""Tier floor rounds: ask every owner of a service before a request is shed.
 
-The brief's promise is over the whole pool: nothing of a higher tier is shed
-while a lower tier is being served anywhere. One owner sees one shard, so the
-gateway asks them all; each that answers also starts nothing lower for a
-while, which keeps the answer true until the permit ends.
+No request may be shed while a lower tier is served anywhere in the pool. Each
+owner knows only its shard, so the gateway asks all owners. An owner that
+replies starts no lower tier for `HOLD_S`, so that its reply stays true until
+the permit to shed expires.
 """
 
 import asyncio
@@ -24,32 +24,32 @@
 
 FLOOR_TIMEOUT_S: Final = 1.0
 
-OwnerOf = Callable[[str, int], Member | None]
+FindOwner = Callable[[str, int], Member | None]
 
 
 @dataclass(frozen=True)
-class FloorPort:
-    """What is needed to speak to owners about floors."""
+class FloorRpc:
+    """How to reach the owners of shards for tier floor requests."""
 
     channels: Channels
     port: int
-    owner: OwnerOf
+    find_owner: FindOwner
     view_age_s: Callable[[], float]
     headers: Headers
 
 
 class FloorRounds:
-    """Runs rounds, one at a time for a service and tier."""
+    """Runs the rounds, at most one at a time for each service and tier."""
 
     def __init__(
         self,
         permits: ShedPermits,
-        port: FloorPort,
+        rpc: FloorRpc,
         clock: Clock,
     ) -> None:
-        """Hold no permit yet."""
+        """Start without rounds."""
         self._permits = permits
-        self._port = port
+        self._rpc = rpc
         self._clock = clock
         self._rounds: dict[tuple[str, Tier], asyncio.Task[None]] = {}
 
@@ -60,71 +60,74 @@
         shards: int,
         answer_by: float,
     ) -> bool:
-        """Whether no owner serves anything below `tier` of the service.
+        """Return whether a request of this tier may be shed now.
 
-        False if that is not proved by `answer_by` on the monotonic clock.
+        False unless all owners confirm by `answer_by` (monotonic clock) that
+        they serve no lower tier of the service.
         """
         if self._permits.permit(service, tier, self._clock.monotonic()):
             return True
-        # Under a shortage many requests ask at once. They share a round, as
-        # one each would keep the last of them waiting past its deadline while
-        # an owner is silent.
+        # In a shortage many requests ask at once, so they share a round. With
+        # one round each, the last would wait past its deadline while an owner
+        # does not reply.
         left_s = answer_by - self._clock.monotonic()
         if left_s > 0:
-            asking = self._round(service, tier, shards)
-            await asyncio.wait((asking,), timeout=left_s)
+            round_task = self._join_round(service, tier, shards)
+            await asyncio.wait((round_task,), timeout=left_s)
         return self._permits.permit(service, tier, self._clock.monotonic())
 
-    def _round(
+    def _join_round(
         self, service: str, tier: Tier, shards: int
     ) -> asyncio.Task[None]:
-        """Return the round that is under way, or begin one."""
+        """Return the task of the current round; start one if there is none."""
         key = (service, tier)
-        asking = self._rounds.get(key)
-        if asking is None or asking.done():
-            asking = asyncio.create_task(self._ask_all(service, tier, shards))
-            self._rounds[key] = asking
-        return asking
-
-    async def _ask_all(self, service: str, tier: Tier, shards: int) -> None:
-        started = self._permits.begin(
+        round_task = self._rounds.get(key)
+        if round_task is None or round_task.done():
+            round_task = asyncio.create_task(
+                self._run_round(service, tier, shards)
+            )
+            self._rounds[key] = round_task
+        return round_task
+
+    async def _run_round(self, service: str, tier: Tier, shards: int) -> None:
+        current_round = self._permits.begin(
             service,
             tier,
             frozenset(range(shards)),
             self._clock.monotonic(),
-            view_age=self._port.view_age_s(),
+            view_age=self._rpc.view_age_s(),
         )
         replies = await asyncio.gather(
-            *(self._ask(service, tier, shard) for shard in range(shards))
+            *(self._ask_owner(service, tier, shard) for shard in range(shards))
         )
         for shard, reply in enumerate(replies):
             if reply is not None:
                 self._permits.reply(
-                    started,
+                    current_round,
                     shard,
                     self._clock.monotonic(),
                     settled=reply.settled,
                     lower_running=reply.lower_running,
                 )
 
-    async def _ask(
+    async def _ask_owner(
         self,
         service: str,
         tier: Tier,
         shard: int,
     ) -> FloorReply | None:
-        owner = self._port.owner(service, shard)
+        owner = self._rpc.find_owner(service, shard)
         if owner is None:
             return None
-        endpoint = f'{owner.address}:{self._port.port}'
+        endpoint = f'{owner.address}:{self._rpc.port}'
         request = FloorRequest(
-            header=self._port.headers.make(),
+            header=self._rpc.headers.make(),
             service=service,
             tier=tier,
             shard=shard,
             hold_s=HOLD_S,
         )
-        stub = OwnerStub(self._port.channels.get(endpoint))
+        stub = OwnerStub(self._rpc.channels.get(endpoint))
         try:
             reply: FloorReply = await stub.SetFloor(
                 request,
@@ -132,5 +135,5 @@
             )
         except grpc.aio.AioRpcError:
             return None
-        self._port.headers.observe(reply.header)
+        self._rpc.headers.observe(reply.header)
         return reply
