--- a/bramleybend/decisions/admission.py
+++ b/bramleybend/decisions/admission.py
@@ -21,11 +21,11 @@
 from bramleybend.decisions.shard import Shard
 from bramleybend.models import Ask, Tier
 
-SURE_WAIT = 1.5  # times the time left
-MOST_WAITING = 10_000
+MAX_WAIT_RATIO = 1.5  # times the time left
+MAX_QUEUED = 10_000
 
 
-def cleaned(ask: Ask) -> Ask:
+def sanitize_ask(ask: Ask) -> Ask:
     """Give bad values a defined meaning, the one that harms others least."""
     tokens = max(ask.prompt_tokens, 0)
     cost = ask.cost
@@ -42,39 +42,39 @@
     )
 
 
-def refusal(
-    shard: Shard, ask: Ask, now: float, *, is_open: bool = False
+def refusal_reason(
+    shard: Shard, ask: Ask, now: float, *, has_unassigned_slots: bool = False
 ) -> str | None:
     """Return why a request can't be queued, `None` if it can.
 
-    `is_open`: what is queued has not been weighed for the free slots yet.
+    `has_unassigned_slots`: what is queued has not been weighed for the free slots yet.
     """
-    if all(_is_out(runner, ask) for runner in shard.pool):
+    if all(_is_unavailable(runner, ask) for runner in shard.pool):
         return 'no_live_runner'
-    if len(shard.queue) >= MOST_WAITING:
+    if len(shard.queue) >= MAX_QUEUED:
         return 'queue_full'
-    if not is_open and _waits_too_long(shard, ask, now):
+    if not has_unassigned_slots and _exceeds_deadline(shard, ask, now):
         return 'wait_exceeds_deadline'
     return None
 
 
-def _is_out(runner: Runner, ask: Ask) -> bool:
+def _is_unavailable(runner: Runner, ask: Ask) -> bool:
     return (
         runner.leaving
         or runner.name in ask.excluded
-        or (runner.rate is not None and not runner.rate.per_s)
+        or (runner.start_rate is not None and not runner.start_rate.per_s)
     )
 
 
-def _waits_too_long(shard: Shard, ask: Ask, now: float) -> bool:
-    if not shard.switches.admission or shard.has_lower_run(ask.tier):
+def _exceeds_deadline(shard: Shard, ask: Ask, now: float) -> bool:
+    if not shard.switches.admission or shard.has_run_below(ask.tier):
         return False
-    rate = shard.drained_per_second(now)
+    rate = shard.drain_per_s(now)
     if rate is None:
         return False
     wait = shard.queue.cost_ahead(ask) / rate
-    least_per_s = shard.least_starts_per_s(now)
-    if least_per_s:
-        wait = min(wait, shard.queue.count_ahead(ask) / least_per_s)
-    left = min(ask.begin_by, ask.deadline) - now
-    return wait > left * SURE_WAIT
+    min_starts_per_s = shard.min_starts_per_s(now)
+    if min_starts_per_s:
+        wait = min(wait, shard.queue.count_ahead(ask) / min_starts_per_s)
+    time_left_s = min(ask.begin_by, ask.deadline) - now
+    return wait > time_left_s * MAX_WAIT_RATIO
--- a/bramleybend/decisions/allotments.py
+++ b/bramleybend/decisions/allotments.py
@@ -31,19 +31,19 @@
 from dataclasses import dataclass, field
 from math import inf, isinf
 
-LEAST_SHARE = 0.05  # of the burst; any small part does
+MIN_BURST_SHARE = 0.05  # of the burst; any small part does
 # Of the burst, for VMs that hear few others. Six VMs that hear nobody then
 # let in three bursts at most, which the contracts' tolerance covers.
-LEAST_BURST = 0.5
+MIN_USABLE_BURST = 0.5
 # Of what the contracts tolerate, for work on idle runners. The rest covers
 # what VMs admit at once without knowing of each other: the arrivals between
 # two heartbeats (0.2 s), and a cut between VMs that begins just then.
-IDLE_SHARE = 0.5
+IDLE_TOLERANCE_SHARE = 0.5
 # Two heartbeats, in which most VMs that start together hear of each other.
 SETTLE_S = 0.4
 # Accounts that are complete from about the same time on: the same accounts,
 # told with the delay of the network and of a busy VM.
-SAME_S = 0.2
+MIN_AGE_LEAD_S = 0.2
 
 
 @dataclass(frozen=True)
@@ -89,7 +89,7 @@
 
 @dataclass
 class _Account:
-    at: float
+    updated_at: float
     debt: float = 0
     beyond_debt: float = 0
     used: float = 0  # by us
@@ -97,15 +97,15 @@
 
 
 @dataclass
-class _Heard:
+class _PeerAccounts:
     """What one peer told."""
 
     spendings: dict[str, Spending] = field(default_factory=dict)
-    is_whole: bool = False  # what isn't there was not spent
+    is_complete: bool = False  # what isn't there was not spent
 
-    def known(self, workspace: str) -> Spending | None:
+    def last_totals(self, workspace: str) -> Spending | None:
         """Return a workspace's totals, if the peer has told them."""
-        unspent = Spending() if self.is_whole else None
+        unspent = Spending() if self.is_complete else None
         return self.spendings.get(workspace, unspent)
 
 
@@ -118,7 +118,7 @@
     # for spent. Minus infinity: nothing was admitted before.
     since: float = -inf
     _accounts: dict[str, _Account] = field(default_factory=dict)
-    _heard: dict[str, _Heard] = field(default_factory=dict)
+    _peers: dict[str, _PeerAccounts] = field(default_factory=dict)
 
     def admit(
         self,
@@ -135,8 +135,8 @@
         `share` is the part of all VMs that this one hears.
         """
         account = self._account(workspace, now)
-        self._pay_back(account, allowance, now, share)
-        needed = min(units, allowance.burst * LEAST_SHARE)
+        self._repay_debt(account, allowance, now, share)
+        needed = min(units, allowance.burst * MIN_BURST_SHARE)
         left = allowance.burst - account.debt
         if now < self._settled_at():
             # The same for all, or they would come back in the same moment.
@@ -149,7 +149,7 @@
             return Verdict(is_let_in=True)
         # While some VMs are silent, the tolerance covers what they admit.
         if are_runners_idle and share >= 1:
-            if account.beyond_debt + units <= self._held(allowance):
+            if account.beyond_debt + units <= self._idle_allowance(allowance):
                 account.beyond_debt += units
                 account.beyond += units
                 return Verdict(is_let_in=True, is_beyond=True)
@@ -198,14 +198,14 @@
         What is only assumed to be owed gives way to what the peer knows.
         """
         since = now - age_s
-        if since >= self.since - SAME_S:
+        if since >= self.since - MIN_AGE_LEAD_S:
             return
         self.since = since
         for workspace, account in self._accounts.items():
             owed = told.get(workspace, Spending())
             ours = min(account.used, account.debt)
             beyond = min(account.beyond, account.beyond_debt)
-            account.at = max(account.at, now)
+            account.updated_at = max(account.updated_at, now)
             account.debt = max(owed.debt, ours)
             account.beyond_debt = max(owed.beyond_debt, beyond)
 
@@ -229,11 +229,11 @@
         a peer whose accounts are younger than ours it takes what that peer
         itself admitted: the rest of its debts may be only assumed.
         """
-        heard = self._heard.setdefault(peer, _Heard())
-        is_younger = now - age_s > self.since + SAME_S
+        heard = self._peers.setdefault(peer, _PeerAccounts())
+        is_younger = now - age_s > self.since + MIN_AGE_LEAD_S
         for workspace, spending in told.items():
             account = self._account(workspace, now)
-            known = heard.known(workspace)
+            known = heard.last_totals(workspace)
             if known is None and is_younger:
                 account.debt += min(spending.used, spending.debt)
                 account.beyond_debt += min(
@@ -248,11 +248,11 @@
                 account.debt += spending.used - known.used
                 account.beyond_debt += spending.beyond - known.beyond
             heard.spendings[workspace] = spending
-        heard.is_whole = heard.is_whole or tells_all
+        heard.is_complete = heard.is_complete or tells_all
 
     def forget(self, peer: str) -> None:
         """Drop a peer that has ended."""
-        self._heard.pop(peer, None)
+        self._peers.pop(peer, None)
 
     def _account(self, workspace: str, now: float) -> _Account:
         account = self._accounts.get(workspace)
@@ -261,45 +261,47 @@
             self._accounts[workspace] = account
         return account
 
-    def _pay_back(
+    def _repay_debt(
         self,
         account: _Account,
         allowance: Allowance,
         now: float,
         share: float,
     ) -> None:
-        passed = max(now - account.at, 0)
-        account.at = max(now, account.at)
-        unheard = 1 - max(share, LEAST_BURST)
+        elapsed_s = max(now - account.updated_at, 0)
+        account.updated_at = max(now, account.updated_at)
+        silent_share = 1 - max(share, MIN_USABLE_BURST)
         account.debt = max(
-            account.debt - passed * allowance.rate_per_s * share,
-            self._assumed(allowance.burst, allowance.rate_per_s, now),
-            allowance.burst * unheard,
+            account.debt - elapsed_s * allowance.rate_per_s * share,
+            self._assumed_debt(allowance.burst, allowance.rate_per_s, now),
+            allowance.burst * silent_share,
         )
-        held = self._held(allowance)
-        held_per_s = held / self.tolerance.window_s
+        idle_allowance = self._idle_allowance(allowance)
+        idle_allowance_per_s = idle_allowance / self.tolerance.window_s
         account.beyond_debt = max(
-            account.beyond_debt - passed * held_per_s,
-            self._assumed(held, held_per_s, now),
+            account.beyond_debt - elapsed_s * idle_allowance_per_s,
+            self._assumed_debt(idle_allowance, idle_allowance_per_s, now),
         )
 
     def _settled_at(self) -> float:
         return self.since + SETTLE_S
 
-    def _assumed(self, units: float, paid_per_s: float, now: float) -> float:
+    def _assumed_debt(
+        self, units: float, repaid_per_s: float, now: float
+    ) -> float:
         """Return what is left of units that were spent before our accounts."""
         if isinf(self.since):
             return 0
-        left = units - paid_per_s * max(now - self._settled_at(), 0)
+        left = units - repaid_per_s * max(now - self._settled_at(), 0)
         return max(left, 0)
 
-    def _held(self, allowance: Allowance) -> float:
+    def _idle_allowance(self, allowance: Allowance) -> float:
         """Return the most that is let in beyond an allotment at once.
 
         As much again is paid back within a window.
         """
         units = self.tolerance.units(allowance.rate_per_s, allowance.burst)
-        return units * IDLE_SHARE / 2
+        return units * IDLE_TOLERANCE_SHARE / 2
 
 
 def make_allotment_book(
--- a/bramleybend/decisions/cache_view.py
+++ b/bramleybend/decisions/cache_view.py
@@ -16,11 +16,13 @@
 
 from bramleybend.decisions.prefixes import prefix_tokens
 
-KEPT_PREFIXES = 512
+MAX_CACHED_PREFIXES = 512
 STORED = 'stored'
 EVICTED = 'evicted'
 EVENT_LAG_S = 5.0
-MISSED = 0.5  # of the tokens expected cached; below it the view was wrong
+MIN_HIT_RATIO = (
+    0.5  # of the tokens expected cached; below it the view was wrong
+)
 
 
 class CacheView:
@@ -28,49 +30,54 @@
 
     def __init__(self) -> None:
         """Start cold."""
-        self._sent: OrderedDict[str, float] = OrderedDict()
+        self._sent_at: OrderedDict[str, float] = OrderedDict()
 
-    def sent(self, prefixes: Sequence[str], now: float) -> None:
+    def record_sent(self, prefixes: Sequence[str], now: float) -> None:
         """Note prefixes that a run computes there."""
         for prefix in prefixes:
-            self._sent[prefix] = now
-            self._sent.move_to_end(prefix)
+            self._sent_at[prefix] = now
+            self._sent_at.move_to_end(prefix)
         self._trim()
 
     def cached_tokens(self, prefixes: Sequence[str], tokens: int) -> int:
         """Estimate the prompt tokens that need no prefill."""
-        held = 0
+        cached_prefixes = 0
         for prefix in prefixes:
-            if prefix not in self._sent:
+            if prefix not in self._sent_at:
                 break
-            held += 1
-        return min(prefix_tokens(held - 1), tokens) if held else 0
+            cached_prefixes += 1
+        return (
+            min(prefix_tokens(cached_prefixes - 1), tokens)
+            if cached_prefixes
+            else 0
+        )
 
-    def found(
+    def reconcile(
         self,
         prefixes: Sequence[str],
         expected: int,
         cached: int,
     ) -> None:
         """Compare with what a run really found cached."""
-        if cached < expected * MISSED:
+        if cached < expected * MIN_HIT_RATIO:
             for prefix in prefixes[1:]:
-                self._sent.pop(prefix, None)
+                self._sent_at.pop(prefix, None)
 
-    def event(self, kind: str, prefix: str, now: float) -> None:
+    def handle_event(self, kind: str, prefix: str, now: float) -> None:
         """Take in an event, unless it may be older than what was sent."""
         if kind == STORED:
-            self._sent.setdefault(prefix, now)
+            self._sent_at.setdefault(prefix, now)
         elif (
-            kind == EVICTED and self._sent.get(prefix, now) <= now - EVENT_LAG_S
+            kind == EVICTED
+            and self._sent_at.get(prefix, now) <= now - EVENT_LAG_S
         ):
-            self._sent.pop(prefix)
+            self._sent_at.pop(prefix)
         self._trim()
 
     def clear(self) -> None:
         """Forget everything; the runner lost its memory."""
-        self._sent.clear()
+        self._sent_at.clear()
 
     def _trim(self) -> None:
-        while len(self._sent) > KEPT_PREFIXES:
-            self._sent.popitem(last=False)
+        while len(self._sent_at) > MAX_CACHED_PREFIXES:
+            self._sent_at.popitem(last=False)
--- a/bramleybend/decisions/dispatch.py
+++ b/bramleybend/decisions/dispatch.py
@@ -22,205 +22,225 @@
 from bramleybend.decisions.actions import Action, Grant
 from bramleybend.decisions.places import (
     UNLIMITED,
-    Place,
-    best_of,
-    places_of,
+    RunnerSnapshot,
+    find_placement,
+    snapshot_runners,
     time_left,
 )
 from bramleybend.decisions.runs import Runner
 from bramleybend.decisions.shard import Shard
-from bramleybend.decisions.spreading import draw
-from bramleybend.decisions.tier_queue import WINDOW, Waiting
+from bramleybend.decisions.spreading import draw_runner
+from bramleybend.decisions.tier_queue import WINDOW_ENTRIES, WaitingEntry
 from bramleybend.models import Tier
 
-PLACE_S = 0.05
-HOLD_S = 0.25
+POSITION_PENALTY_S = 0.05
+MIN_HOLD_GAIN_S = 0.25
 # Seconds that a run may take longer where it spares a new connection, which
 # costs both sides; paces are not known more exactly than this.
-CONNECTED_S = 0.03
-MOST_WEIGHED = 6 * WINDOW  # entries, in as many windows as that takes
+CONNECTION_COST_S = 0.03
+MAX_EVALUATED = 6 * WINDOW_ENTRIES  # entries, in as many windows as that takes
 
 
 @dataclass(frozen=True)
-class Choice:
+class Candidate:
     """An entry that may start, and where."""
 
-    entry: Waiting
+    entry: WaitingEntry
     runner: Runner
     regret: float  # seconds, beside the best it could wait for
-    saves_work: bool  # waiting for that one would fill fewer tokens
+    saves_prefill: bool  # waiting for that one would fill fewer tokens
     cost: float = field(default=0, compare=False)  # seconds, there
 
 
-def start_waiting(
-    shard: Shard, now: float, added: str | None = None
+def dispatch_waiting(
+    shard: Shard, now: float, new_request_id: str | None = None
 ) -> list[Action]:
     """Fill the free slots.
 
     `added` names the only request that came since nothing else could start.
     """
-    actions = _start_suspect(shard, now)
+    actions = _dispatch_suspect(shard, now)
     while True:
-        choice = choose(shard, now, added)
-        if choice is None:
+        candidate = choose_next(shard, now, new_request_id)
+        if candidate is None:
             return actions
         # What starts changes for how long others would wait.
-        added = None
-        ask = choice.entry.ask
-        runner = _connected_runner(shard, choice, now) or choice.runner
+        new_request_id = None
+        ask = candidate.entry.ask
+        runner = _connected_runner(shard, candidate, now) or candidate.runner
         shard.start(ask, runner, now)
         actions.append(Grant(ask.request_id, runner.name))
 
 
-def choose(shard: Shard, now: float, added: str | None = None) -> Choice | None:
+def choose_next(
+    shard: Shard, now: float, new_request_id: str | None = None
+) -> Candidate | None:
     """Return what starts next, if anything may.
 
     With `added`, only the window that this request came to is weighed.
     """
     if not shard.queue or not shard.pool.has_room(now):
         return None
-    places = places_of(shard, now)
-    longest = max(place.most_prefill() for place in places)
-    weighed = 0
-    for window in shard.queue.windows(shard.lowest_tier(now), now):
-        able = [
+    snapshots = snapshot_runners(shard, now)
+    max_prefill = max(snapshot.max_prefill_tokens() for snapshot in snapshots)
+    evaluated = 0
+    for window in shard.queue.windows(shard.lowest_startable_tier(now), now):
+        eligible = [
             (position, entry)
             for position, entry in enumerate(window)
-            if entry.least_prefill <= longest
+            if entry.min_prefill_tokens <= max_prefill
         ]
-        if added is None or _holds(window, added):
-            choices = _choices(shard, able, len(window), places, now)
-            if choices:
-                return min(choices, key=_by_regret)
-        weighed += len(able)
-        if weighed >= MOST_WEIGHED:
+        if new_request_id is None or _contains_request(window, new_request_id):
+            candidates = _candidates(
+                shard, eligible, len(window), snapshots, now
+            )
+            if candidates:
+                return min(candidates, key=_by_regret)
+        evaluated += len(eligible)
+        if evaluated >= MAX_EVALUATED:
             return None
     return None
 
 
 def _connected_runner(
-    shard: Shard, choice: Choice, now: float
+    shard: Shard, candidate: Candidate, now: float
 ) -> Runner | None:
     """Return a runner that costs about as much and spares a connection."""
-    ask = choice.entry.ask
+    ask = candidate.entry.ask
     names = ask.connected - ask.excluded
     if not names or shard.switches.spreading:
         return None
-    places = places_of(shard, now, names)
-    best = best_of(places, ask, time_left(ask, now))
-    return best.runner if best.cost <= choice.cost + CONNECTED_S else None
+    snapshots = snapshot_runners(shard, now, names)
+    placement = find_placement(snapshots, ask, time_left(ask, now))
+    return (
+        placement.runner
+        if placement.cost <= candidate.cost + CONNECTION_COST_S
+        else None
+    )
 
 
-def _holds(window: list[Waiting], request_id: str) -> bool:
+def _contains_request(window: list[WaitingEntry], request_id: str) -> bool:
     return any(entry.ask.request_id == request_id for entry in window)
 
 
-def _choices(
+def _candidates(
     shard: Shard,
-    able: list[tuple[int, Waiting]],
-    length: int,
-    places: list[Place],
+    eligible: list[tuple[int, WaitingEntry]],
+    window_length: int,
+    snapshots: list[RunnerSnapshot],
     now: float,
-) -> list[Choice]:
-    is_free_for_all = len(shard.queue) <= sum(one.free for one in places)
-    weighed = (
-        _weigh(
+) -> list[Candidate]:
+    has_slot_for_each = len(shard.queue) <= sum(
+        one.is_free for one in snapshots
+    )
+    evaluated = (
+        _evaluate(
             shard,
             entry,
             position,
-            places,
+            snapshots,
             now,
             shard.switches.expiry
-            and not (is_free_for_all and entry.urgent_from <= now),
+            and not (has_slot_for_each and entry.urgent_at <= now),
         )
-        for position, entry in able
+        for position, entry in eligible
     )
-    found = [choice for choice in weighed if choice is not None]
+    found = [candidate for candidate in evaluated if candidate is not None]
     # Enough entries for all runners will use them all; none is held.
-    few = length < min(len(places), WINDOW)
-    if not (few and shard.switches.holding):
+    are_few_candidates = window_length < min(len(snapshots), WINDOW_ENTRIES)
+    if not (are_few_candidates and shard.switches.holding):
         return found
-    are_few_waiting = len(shard.queue) < len(places)
+    are_few_waiting = len(shard.queue) < len(snapshots)
     return [
-        choice for choice in found if not _is_held(choice, now, are_few_waiting)
+        candidate
+        for candidate in found
+        if not _is_held(candidate, now, are_few_waiting)
     ]
 
 
-def _is_held(choice: Choice, now: float, are_few_waiting: bool) -> bool:
-    if choice.regret < HOLD_S:
+def _is_held(candidate: Candidate, now: float, are_few_waiting: bool) -> bool:
+    if candidate.regret < MIN_HOLD_GAIN_S:
         return False
     # A long queue uses the faster runners anyway: held for their pace alone,
     # it would leave the others idle.
-    if not (are_few_waiting or choice.saves_work):
+    if not (are_few_waiting or candidate.saves_prefill):
         return False
-    entry = choice.entry
-    return now < min(entry.urgent_from, entry.on_time_until - HOLD_S)
+    entry = candidate.entry
+    return now < min(entry.urgent_at, entry.on_time_until - MIN_HOLD_GAIN_S)
 
 
-def _weigh(
+def _evaluate(
     shard: Shard,
-    entry: Waiting,
+    entry: WaitingEntry,
     position: int,
-    places: list[Place],
+    snapshots: list[RunnerSnapshot],
     now: float,
-    in_time: bool,
-) -> Choice | None:
+    must_end_in_time: bool,
+) -> Candidate | None:
     """Weigh the free runners against waiting for a busy one."""
     ask = entry.ask
-    able = places
+    eligible = snapshots
     if ask.excluded:
-        able = [one for one in places if one.runner.name not in ask.excluded]
-    left = time_left(ask, now) if in_time else UNLIMITED
+        eligible = [
+            one for one in snapshots if one.runner.name not in ask.excluded
+        ]
+    left = time_left(ask, now) if must_end_in_time else UNLIMITED
     if shard.switches.spreading:
-        runner = draw(able, ask, left, shard.rng)
+        runner = draw_runner(eligible, ask, left, shard.rng)
         if runner is None:
             return None
-        return Choice(entry, runner, position * PLACE_S, saves_work=False)
-    standing = best_of(able, ask, left)
-    if standing.runner is None:
+        return Candidate(
+            entry, runner, position * POSITION_PENALTY_S, saves_prefill=False
+        )
+    placement = find_placement(eligible, ask, left)
+    if placement.runner is None:
         return None
-    regret = standing.cost - standing.least + position * PLACE_S
-    saves_work = standing.least_prefill < standing.prefill
-    return Choice(entry, standing.runner, regret, saves_work, standing.cost)
+    regret = placement.cost - placement.min_cost + position * POSITION_PENALTY_S
+    saves_prefill = placement.min_cost_prefill < placement.prefill
+    return Candidate(
+        entry, placement.runner, regret, saves_prefill, placement.cost
+    )
 
 
-def _by_regret(choice: Choice) -> float:
-    return choice.regret
+def _by_regret(candidate: Candidate) -> float:
+    return candidate.regret
 
 
-def _start_suspect(shard: Shard, now: float) -> list[Action]:
-    window = next(shard.suspects.windows(shard.lowest_tier(now)), None)
+def _dispatch_suspect(shard: Shard, now: float) -> list[Action]:
+    window = next(
+        shard.suspects.windows(shard.lowest_startable_tier(now)), None
+    )
     if not window or any(run.ask.suspect for run in shard.runs.values()):
         return []
     ask = window[0].ask
-    runner = _emptiest(shard, ask.excluded)
+    runner = _least_loaded(shard, ask.excluded)
     for other in shard.pool:
-        other.alone = None
+        other.reserved_for = None
     if runner is None:
         return []
     # Held empty for the suspect, or it would never find a runner to itself.
-    runner.alone = ask.request_id
+    runner.reserved_for = ask.request_id
     if runner.in_flight:
         return []
     shard.start(ask, runner, now)
     return [Grant(ask.request_id, runner.name)]
 
 
-def _emptiest(shard: Shard, excluded: frozenset[str]) -> Runner | None:
-    able = [
+def _least_loaded(shard: Shard, excluded: frozenset[str]) -> Runner | None:
+    eligible = [
         runner
         for runner in shard.pool
         if not runner.leaving and runner.name not in excluded
     ]
-    return min(able, key=_emptiness, default=None)
+    return min(eligible, key=_load_key, default=None)
 
 
-def _emptiness(runner: Runner) -> tuple[int, bool]:
+def _load_key(runner: Runner) -> tuple[int, bool]:
     # Of equals, the one that is already held for the suspect.
-    return (len(runner.in_flight), runner.alone is None)
+    return (len(runner.in_flight), runner.reserved_for is None)
 
 
-def next_start(shard: Shard, now: float) -> float:
+def next_start_at(shard: Shard, now: float) -> float:
     """Return when something may start without any event.
 
     Ramps and floors end, what is held for a better runner gets urgent, and
@@ -228,15 +248,19 @@
     """
     if not shard.queue and not shard.suspects:
         return inf
-    times = list(shard.floors.values())
+    times = list(shard.floor_ends.values())
     times.extend(shard.queue.next_urgent(tier, now) for tier in Tier)
     times.extend(
-        shard.queue.next_late(tier, now + HOLD_S) - HOLD_S for tier in Tier
+        shard.queue.next_late(tier, now + MIN_HOLD_GAIN_S) - MIN_HOLD_GAIN_S
+        for tier in Tier
     )
     times.extend(
-        runner.ramp.next_step(runner.limit.value, now) for runner in shard.pool
+        runner.ramp.next_step_at(runner.limit.value, now)
+        for runner in shard.pool
     )
     times.extend(
-        now + runner.rate.wait_s(now) for runner in shard.pool if runner.rate
+        now + runner.start_rate.wait_s(now)
+        for runner in shard.pool
+        if runner.start_rate
     )
     return min((time for time in times if time > now), default=inf)
--- a/bramleybend/decisions/expiry.py
+++ b/bramleybend/decisions/expiry.py
@@ -17,15 +17,15 @@
 from bramleybend.decisions.floor import HOLD_S
 from bramleybend.decisions.queueing import WaitingQueue
 from bramleybend.decisions.shard import Shard
-from bramleybend.decisions.tier_queue import Waiting
+from bramleybend.decisions.tier_queue import WaitingEntry
 from bramleybend.decisions.turnaway import retry_after
 from bramleybend.models import Ask, Tier
 
 
 def expire(shard: Shard, now: float) -> list[Action]:
     """Refuse what can no longer end in time, or only at others' expense."""
-    late = _late(shard.queue, now) + _late(shard.suspects, now)
-    actions = _refuse_all(shard, late, 'deadline_unmet', now)
+    expired = _expired(shard.queue, now) + _expired(shard.suspects, now)
+    actions = _refuse_all(shard, expired, 'deadline_unmet', now)
     overdue = shard.queue.overdue(now)
     actions.extend(_refuse_all(shard, overdue, 'queue_standing', now))
     return actions
@@ -36,22 +36,24 @@
 ) -> Refuse:
     """Turn a request away, with the time to come back."""
     if shed and shard.switches.floor_at_refusal:
-        shard.hold_floor(ask.tier, now + HOLD_S)
-    ahead = shard.queue.cost_ahead(ask)
-    wait = retry_after(ahead, shard.drained_per_second(now), shard.rng)
-    return Refuse(ask.request_id, reason, wait, shed)
+        shard.raise_floor(ask.tier, now + HOLD_S)
+    cost_ahead = shard.queue.cost_ahead(ask)
+    retry_after_time = retry_after(
+        cost_ahead, shard.drain_per_s(now), shard.rng
+    )
+    return Refuse(ask.request_id, reason, retry_after_time, shed)
 
 
 def _refuse_all(
-    shard: Shard, entries: Sequence[Waiting], reason: str, now: float
+    shard: Shard, entries: Sequence[WaitingEntry], reason: str, now: float
 ) -> list[Action]:
     for entry in entries:
-        shard.leave_queue(entry.ask.request_id)
+        shard.dequeue(entry.ask.request_id)
     return [refuse(shard, left.ask, reason, now, shed=True) for left in entries]
 
 
-def _late(line: WaitingQueue, now: float) -> list[Waiting]:
-    late: list[Waiting] = []
+def _expired(queue: WaitingQueue, now: float) -> list[WaitingEntry]:
+    expired: list[WaitingEntry] = []
     for tier in Tier:
-        late.extend(line.due(now, tier))
-    return late
+        expired.extend(queue.expired(now, tier))
+    return expired
--- a/bramleybend/decisions/fading.py
+++ b/bramleybend/decisions/fading.py
@@ -1,21 +1,21 @@
 """Sums in which what is older counts less."""
 
 
-class FadingSum:
+class DecayingSum:
     """A sum that halves in a fixed time."""
 
     def __init__(self, half_life_s: float) -> None:
         """Start at nothing."""
         self._half_life_s = half_life_s
         self._sum = float(0)
-        self._at = float(0)
+        self._updated_at = float(0)
 
     def add(self, amount: float, now: float) -> None:
         """Count an amount at a time."""
         self._sum = self.value(now) + amount
-        self._at = max(now, self._at)
+        self._updated_at = max(now, self._updated_at)
 
     def value(self, now: float) -> float:
         """Return what is left of the sum."""
-        passed = max(now - self._at, 0)
-        return float(self._sum * 0.5 ** (passed / self._half_life_s))
+        elapsed_s = max(now - self._updated_at, 0)
+        return float(self._sum * 0.5 ** (elapsed_s / self._half_life_s))
--- a/bramleybend/decisions/failing.py
+++ b/bramleybend/decisions/failing.py
@@ -14,7 +14,7 @@
 
 SMOOTHING = 0.25
 HALF_LIFE_S = 4.0
-FAILED_S = 4.0
+FAILURE_COST_S = 4.0
 
 
 class FailureShare:
@@ -23,15 +23,15 @@
     def __init__(self) -> None:
         """Start without a failure."""
         self._share = float(0)
-        self._at = float(0)
+        self._updated_at = float(0)
 
-    def note(self, now: float, *, failed: bool) -> None:
+    def record(self, now: float, *, failed: bool) -> None:
         """Learn from the end of a run."""
         share = self.value(now)
         self._share = share + (int(failed) - share) * SMOOTHING
-        self._at = now
+        self._updated_at = now
 
     def value(self, now: float) -> float:
         """Return the share, which fades without news."""
-        passed = max(now - self._at, 0)
-        return float(self._share * 0.5 ** (passed / HALF_LIFE_S))
+        elapsed_s = max(now - self._updated_at, 0)
+        return float(self._share * 0.5 ** (elapsed_s / HALF_LIFE_S))
--- a/bramleybend/decisions/floor.py
+++ b/bramleybend/decisions/floor.py
@@ -59,8 +59,8 @@
     taken_over_at: float | None = None
     watches_load: bool = False
     times: FloorTimes = DEFAULT_TIMES
-    _accounted: bool = False
-    _lost_until: float | None = None
+    _has_no_unknown_runs: bool = False
+    _unsettled_until: float | None = None
 
     def note_load(self, surplus: int, taken_at: float) -> None:
         """Note how many runs the shard's runners report that are unknown.
@@ -71,9 +71,12 @@
         shard's reports gives `taken_at`. Take the surplus over the runs known
         then, not now: a run started since would hide an unknown one.
         """
-        fence = self.times.fresh_s + self.times.margin_s
-        if self.taken_over_at is None or taken_at >= self.taken_over_at + fence:
-            self._accounted = surplus <= 0
+        fence_s = self.times.fresh_s + self.times.margin_s
+        if (
+            self.taken_over_at is None
+            or taken_at >= self.taken_over_at + fence_s
+        ):
+            self._has_no_unknown_runs = surplus <= 0
 
     def lose_run(self, now: float) -> None:
         """Note that a run's stream closed without its end being told.
@@ -82,16 +85,16 @@
         while another gateway still asks this one and would hear that nothing
         runs. After the grace no round that asks this owner is open.
         """
-        self._lost_until = now + self.times.grace_s
+        self._unsettled_until = now + self.times.grace_s
 
     def settled(self, now: float) -> bool:
         """Whether this owner knows all that runs on the shard."""
-        if self._lost_until is not None and now < self._lost_until:
+        if self._unsettled_until is not None and now < self._unsettled_until:
             return False
         if self.taken_over_at is None:
             return True
         if self.watches_load:
-            return self._accounted
+            return self._has_no_unknown_runs
         return now >= self.taken_over_at + self.times.grace_s
 
 
@@ -128,8 +131,8 @@
         """Start without a permit."""
         self._times = times
         self._number = 0
-        self._waiting: dict[Round, set[int]] = {}
-        self._permits: dict[tuple[str, Tier], float] = {}
+        self._pending_shards: dict[Round, set[int]] = {}
+        self._permit_ends: dict[tuple[str, Tier], float] = {}
 
     def begin(
         self,
@@ -147,14 +150,14 @@
         owner that has been replaced, so it is over as it begins.
         """
         self._number += 1
-        ends = now
+        permit_ends_at = now
         if view_age < self._times.fresh_s:
-            ends = now + self._times.hold_s - self._times.margin_s
-        opened = Round(self._number, service, tier, shards, ends)
-        for over in tuple(self._waiting):
-            if now >= over.ends:
-                self.abandon(over)
-        self._waiting[opened] = set(shards)
+            permit_ends_at = now + self._times.hold_s - self._times.margin_s
+        opened = Round(self._number, service, tier, shards, permit_ends_at)
+        for pending in tuple(self._pending_shards):
+            if now >= pending.ends:
+                self.abandon(pending)
+        self._pending_shards[opened] = set(shards)
         return opened
 
     def reply(
@@ -167,7 +170,7 @@
         lower_running: int,
     ) -> None:
         """Take one owner's reply; one that can't agree ends the round."""
-        waiting = self._waiting.get(opened)
+        waiting = self._pending_shards.get(opened)
         if waiting is None:
             return
         if not settled or lower_running or now >= opened.ends:
@@ -176,11 +179,11 @@
         waiting.discard(shard)
         if not waiting:
             self.abandon(opened)
-            self._permits[opened.service, opened.tier] = opened.ends
+            self._permit_ends[opened.service, opened.tier] = opened.ends
 
     def abandon(self, opened: Round) -> None:
         """Close a round without a permit, as when an owner doesn't answer."""
-        self._waiting.pop(opened, None)
+        self._pending_shards.pop(opened, None)
 
     def permit(self, service: str, tier: Tier, now: float) -> bool:
         """Whether a request may be shed now; ask right before shedding.
@@ -189,7 +192,7 @@
         are is lower than it, too.
         """
         return any(
-            now < self._permits.get((service, held), now)
+            now < self._permit_ends.get((service, held), now)
             for held in Tier
             if held <= tier
         )
--- a/bramleybend/decisions/hedging.py
+++ b/bramleybend/decisions/hedging.py
@@ -18,16 +18,18 @@
 from typing import Final
 
 QUANTILE: Final = 0.95
-WINDOW: Final = 100
-FEWEST: Final = 20
-SHARE: Final = 0.05
-BURST: Final = 5.0
+WINDOW_CALLS: Final = 100
+MIN_CALLS: Final = 20
+BUDGET_PER_CALL: Final = 0.05
+MAX_BUDGET: Final = 5.0
 
 
 @dataclass
-class _Calls:
-    seconds: deque[float] = field(default_factory=lambda: deque(maxlen=WINDOW))
-    budget: float = BURST
+class _CallStats:
+    seconds: deque[float] = field(
+        default_factory=lambda: deque(maxlen=WINDOW_CALLS)
+    )
+    budget: float = MAX_BUDGET
 
 
 class Hedging:
@@ -35,32 +37,32 @@
 
     def __init__(self) -> None:
         """Know no calls yet."""
-        self._calls: dict[tuple[str, str], _Calls] = {}
+        self._calls: dict[tuple[str, str], _CallStats] = {}
 
     def begun(self, service: str, profile: str) -> None:
         """Earn a part of a second run."""
-        calls = self._of(service, profile)
-        calls.budget = min(calls.budget + SHARE, BURST)
+        calls = self._stats_of(service, profile)
+        calls.budget = min(calls.budget + BUDGET_PER_CALL, MAX_BUDGET)
 
     def finished(self, service: str, profile: str, seconds: float) -> None:
         """Learn how long a call took; impossible figures teach nothing."""
         if seconds > 0:
-            self._of(service, profile).seconds.append(seconds)
+            self._stats_of(service, profile).seconds.append(seconds)
 
     def delay_s(self, service: str, profile: str) -> float | None:
         """Return after how long a second run is worth it, if it is known."""
-        seconds = sorted(self._of(service, profile).seconds)
-        if len(seconds) < FEWEST:
+        seconds = sorted(self._stats_of(service, profile).seconds)
+        if len(seconds) < MIN_CALLS:
             return None
         return seconds[int(len(seconds) * QUANTILE)]
 
     def allow(self, service: str, profile: str) -> bool:
         """Spend a second run, if the budget has one."""
-        calls = self._of(service, profile)
+        calls = self._stats_of(service, profile)
         if calls.budget < 1:
             return False
         calls.budget -= 1
         return True
 
-    def _of(self, service: str, profile: str) -> _Calls:
-        return self._calls.setdefault((service, profile), _Calls())
+    def _stats_of(self, service: str, profile: str) -> _CallStats:
+        return self._calls.setdefault((service, profile), _CallStats())
--- a/bramleybend/decisions/learning.py
+++ b/bramleybend/decisions/learning.py
@@ -3,35 +3,35 @@
 from math import isfinite
 
 from bramleybend.decisions.actions import RunReport
-from bramleybend.decisions.runs import Run, Runner, work_of
+from bramleybend.decisions.runs import Run, Runner, run_work
 from bramleybend.decisions.shard import Shard
 
 SMOOTHING = 0.15
 DONE = 'done'
 FAILED = 'failed'
-ENDS_OF_RUNS = frozenset((DONE, FAILED))
+RUN_OUTCOMES = frozenset((DONE, FAILED))
 
 
-def learn(shard: Shard, run: Run, report: RunReport, now: float) -> None:
+def apply_report(shard: Shard, run: Run, report: RunReport, now: float) -> None:
     """Take in a report; figures that can't be true teach nothing."""
     if report.outcome == DONE:
-        _learn_work(shard, run, report, now)
+        _record_work(shard, run, report, now)
     runner = shard.pool.get(run.runner)
     if runner is None:
         return
     if report.outcome == DONE and report.prompt_tokens > 0:
         expected = run.ask.prompt_tokens - run.prefill_tokens
-        runner.cache.found(run.ask.prefixes, expected, report.cached_tokens)
-    if report.outcome in ENDS_OF_RUNS:
-        runner.failing.note(now, failed=report.outcome == FAILED)
+        runner.cache.reconcile(run.ask.prefixes, expected, report.cached_tokens)
+    if report.outcome in RUN_OUTCOMES:
+        runner.failures.record(now, failed=report.outcome == FAILED)
     if report.refused:
-        runner.limit.refused()
+        runner.limit.record_refusal()
     if report.crashed:
-        runner.ramp.crashed(run.started, now)
+        runner.ramp.record_crash(run.started_at, now)
         runner.cache.clear()
 
 
-def learn_first_token(
+def apply_first_token(
     shard: Shard,
     run: Run,
     prefill_tokens: int,
@@ -45,45 +45,51 @@
     runner = shard.pool.get(run.runner)
     if runner is not None:
         # The prompts filled at once share the runner, so it is as much faster.
-        filling = len(runner.in_flight) - len(runner.streams)
-        shared = (run.filling + max(filling, 1)) / 2
-        shard.prefill_over(run)
-        runner.streams.add(run.ask.request_id)
-        runner.speed.prefilled(prefill_tokens * shared, now - run.started)
-        runner.limit.streaming(len(runner.streams), len(runner.in_flight))
+        prefills_now = len(runner.in_flight) - len(runner.streaming)
+        concurrent_prefills = (run.prefills_at_start + max(prefills_now, 1)) / 2
+        shard.end_prefill(run)
+        runner.streaming.add(run.ask.request_id)
+        runner.speed.record_prefill(
+            prefill_tokens * concurrent_prefills, now - run.started_at
+        )
+        runner.limit.record_streams(
+            len(runner.streaming), len(runner.in_flight)
+        )
 
 
-def _learn_work(shard: Shard, run: Run, report: RunReport, now: float) -> None:
-    work = work_of(
+def _record_work(shard: Shard, run: Run, report: RunReport, now: float) -> None:
+    work = run_work(
         report.prompt_tokens,
         report.cached_tokens,
         report.completion_tokens,
     )
     served = max(work, 1) - run.ask.cost
     shard.queue.charge(run.ask, served)
-    shard.drain.finished(run.ask.cost, now - run.started, now)
+    shard.drain_rate.record_run(run.ask.cost, now - run.started_at, now)
     runner = shard.pool.get(run.runner)
     # A report from the future would make the runner look slow for long.
-    if runner is not None and _plausible(report.seconds, now - run.started):
-        _learn_pace(runner, run, report, work)
-        runner.limit.completed(len(runner.in_flight))
-        passed = report.seconds - runner.mean_seconds
-        runner.mean_seconds += passed * SMOOTHING
+    if runner is not None and _is_plausible(
+        report.seconds, now - run.started_at
+    ):
+        _record_pace(runner, run, report, work)
+        runner.limit.record_completion(len(runner.in_flight))
+        error_s = report.seconds - runner.mean_run_s
+        runner.mean_run_s += error_s * SMOOTHING
 
 
-def _learn_pace(
+def _record_pace(
     runner: Runner,
     run: Run,
     report: RunReport,
     work: float,
 ) -> None:
     if run.first_token_at is None:
-        runner.speed.ended(work, report.seconds)
+        runner.speed.record_run(work, report.seconds)
         return
-    filling = run.first_token_at - run.started
-    decode = work_of(0, 0, report.completion_tokens)
-    runner.speed.decoded(decode, report.seconds - filling)
+    prefill_s = run.first_token_at - run.started_at
+    decode_work = run_work(0, 0, report.completion_tokens)
+    runner.speed.record_decode(decode_work, report.seconds - prefill_s)
 
 
-def _plausible(seconds: float, passed: float) -> bool:
-    return isfinite(seconds) and 0 < seconds <= passed + 1
+def _is_plausible(seconds: float, elapsed_s: float) -> bool:
+    return isfinite(seconds) and 0 < seconds <= elapsed_s + 1
--- a/bramleybend/decisions/limits.py
+++ b/bramleybend/decisions/limits.py
@@ -15,11 +15,11 @@
 
 from math import ceil
 
-ROUND = 6  # completions between two changes
-SPARE = 1  # runs beyond the peak of streams: the prompt being filled
-STEP_DOWN = 0.8  # of the limit, at most, in one round
-BACK_OFF = 0.85
-LARGEST_GROWTH = 8
+ROUND_RUNS = 6  # completions between two changes
+SPARE_RUNS = 1  # runs beyond the peak of streams: the prompt being filled
+MAX_STEP_DOWN = 0.8  # of the limit, at most, in one round
+REFUSAL_BACKOFF = 0.85
+MAX_GROWTH = 8
 
 
 class ConcurrencyLimit:
@@ -39,24 +39,24 @@
         """The limit, at least one."""
         return self._limit
 
-    def streaming(self, streams: int, in_flight: int) -> None:
+    def record_streams(self, streams: int, in_flight: int) -> None:
         """Note how many runs are past their first token."""
         self._peak = max(self._peak, streams)
-        self._note_full(in_flight)
+        self._update_was_full(in_flight)
 
-    def completed(self, in_flight: int) -> None:
+    def record_completion(self, in_flight: int) -> None:
         """Learn from a run that ended well."""
-        self._note_full(in_flight)
+        self._update_was_full(in_flight)
         self._completions += 1
-        if self._completions >= ROUND:
+        if self._completions >= ROUND_RUNS:
             self._close_round()
 
-    def refused(self) -> None:
+    def record_refusal(self) -> None:
         """Learn from a request that the runner did not admit."""
         if self._learn:
-            self._limit = max(int(self._limit * BACK_OFF), 1)
+            self._limit = max(int(self._limit * REFUSAL_BACKOFF), 1)
 
-    def _note_full(self, in_flight: int) -> None:
+    def _update_was_full(self, in_flight: int) -> None:
         # A limit that was not reached says nothing about the runner.
         self._was_full = self._was_full or in_flight >= self._limit
 
@@ -71,6 +71,6 @@
         if not self._peak:
             return min(self._limit + 1, max(self._limit, self._start))
         if self._peak >= self._limit:
-            return min(self._limit + 1, self._start * LARGEST_GROWTH)
-        lowest = ceil(self._limit * STEP_DOWN)
-        return max(min(self._peak + SPARE, self._limit), lowest)
+            return min(self._limit + 1, self._start * MAX_GROWTH)
+        min_limit = ceil(self._limit * MAX_STEP_DOWN)
+        return max(min(self._peak + SPARE_RUNS, self._limit), min_limit)
--- a/bramleybend/decisions/orders.py
+++ b/bramleybend/decisions/orders.py
@@ -95,14 +95,14 @@
     serves on with what it has until half of the shard is right. An engine
     that has never answered is left in: work goes on if only its report fails.
     """
-    right = sum(is_right(view.state, target) for view in views)
-    enough = 2 * right >= len(views)
+    right_count = sum(is_right(view.state, target) for view in views)
+    is_half_right = 2 * right_count >= len(views)
     return frozenset(
         view.name
         for view in views
         if view.changing
         or _is_empty(view.state)
-        or (enough and _is_wrong(view.state, target))
+        or (is_half_right and _is_wrong(view.state, target))
     )
 
 
@@ -117,8 +117,8 @@
     or does not answer counts as out: a version that can't be loaded then
     stops its own rollout, and what is left serves on.
     """
-    out = sum(_is_out(view) for view in views)
-    most = min(max(len(views) // 2, 1), loads_at_once)
+    out_count = sum(_is_out(view) for view in views)
+    max_out = min(max(len(views) // 2, 1), loads_at_once)
     wrong = [
         view
         for view in views
@@ -126,7 +126,7 @@
     ]
     # One that holds nothing serves nobody, so nothing is lost by its load.
     wrong.sort(key=lambda view: (not _is_empty(view.state), view.name))
-    return tuple(view.name for view in wrong[: max(most - out, 0)])
+    return tuple(view.name for view in wrong[: max(max_out - out_count, 0)])
 
 
 def _is_out(view: EngineView) -> bool:
--- a/bramleybend/decisions/overload.py
+++ b/bramleybend/decisions/overload.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass
 from math import inf
 
-MOST_SAVED = 2.0  # starts that a tier may claim in a row
+MAX_OWED_STARTS = 2.0  # starts that a tier may claim in a row
 
 
 @dataclass(frozen=True)
@@ -39,47 +39,53 @@
     def __init__(self, min_share: float) -> None:
         """Owe nothing."""
         self._min_share = min_share
-        self._owed: dict[int, float] = {}  # starts, by tier
+        self._owed_starts: dict[int, float] = {}  # starts, by tier
 
-    def started(self, tier: int, waiting: Collection[int]) -> None:
+    def record_start(self, tier: int, waiting: Collection[int]) -> None:
         """Count a start of a tier, while entries of these tiers wait."""
         highest = min(waiting, default=tier)
         for lower in waiting:
             if lower > highest:
-                owed = self._owed.get(lower, 0) + self._min_share
-                self._owed[lower] = min(owed, MOST_SAVED)
-        self._owed[tier] = max(self._owed.get(tier, 0) - 1, 0)
+                owed = self._owed_starts.get(lower, 0) + self._min_share
+                self._owed_starts[lower] = min(owed, MAX_OWED_STARTS)
+        self._owed_starts[tier] = max(self._owed_starts.get(tier, 0) - 1, 0)
 
-    def order(self, tiers: Iterable[int]) -> list[int]:
+    def sort_tiers(self, tiers: Iterable[int]) -> list[int]:
         """Return the tiers by turn: those that are owed a start first."""
-        return sorted(tiers, key=self._turn)
+        return sorted(tiers, key=self._sort_key)
 
-    def _turn(self, tier: int) -> tuple[bool, int]:
-        return (self._owed.get(tier, 0) < 1, tier)
+    def _sort_key(self, tier: int) -> tuple[bool, int]:
+        return (self._owed_starts.get(tier, 0) < 1, tier)
 
 
-class Standing:
+class LatenessTracker:
     """For how long the entries of a queue have kept getting late."""
 
     def __init__(self, standing_s: float) -> None:
         """Start in time."""
         self._standing_s = standing_s
-        self._from = inf
-        self._at = -inf
+        self._late_since = inf
+        self._last_late_at = -inf
 
-    def note_late(self, now: float) -> None:
+    def record_late(self, now: float) -> None:
         """Hear that an entry can't be on time any more."""
-        if self._is_over(now):
-            self._from = now
-        self._at = now
+        if self._has_lapsed(now):
+            self._late_since = now
+        self._last_late_at = now
 
-    def note_empty(self) -> None:
+    def record_empty(self) -> None:
         """Hear that the queue ran empty: what was late has been worked off."""
-        self._from = inf
+        self._late_since = inf
 
-    def holds(self, now: float) -> bool:
+    def is_standing(self, now: float) -> bool:
         """Tell whether the queue stands."""
-        return not self._is_over(now) and now - self._from >= self._standing_s
-
-    def _is_over(self, now: float) -> bool:
-        return self._from == inf or now - self._at > self._standing_s
+        return (
+            not self._has_lapsed(now)
+            and now - self._late_since >= self._standing_s
+        )
+
+    def _has_lapsed(self, now: float) -> bool:
+        return (
+            self._late_since == inf
+            or now - self._last_late_at > self._standing_s
+        )
--- a/bramleybend/decisions/owner.py
+++ b/bramleybend/decisions/owner.py
@@ -18,10 +18,10 @@
     RunReport,
     ShardLoad,
 )
-from bramleybend.decisions.admission import cleaned, refusal
-from bramleybend.decisions.dispatch import next_start, start_waiting
+from bramleybend.decisions.admission import sanitize_ask, refusal_reason
+from bramleybend.decisions.dispatch import next_start_at, dispatch_waiting
 from bramleybend.decisions.expiry import expire, refuse
-from bramleybend.decisions.learning import learn, learn_first_token
+from bramleybend.decisions.learning import apply_report, apply_first_token
 from bramleybend.decisions.overload import UNBOUNDED, Overload
 from bramleybend.decisions.pool import RunnerPool
 from bramleybend.decisions.preemption import preempt
@@ -43,50 +43,52 @@
         """Take over an empty shard."""
         self._shard = shard
         self._batched = batched
-        self._added: str | None = None
+        self._new_request_id: str | None = None
         self._now = -inf
-        self._listed = False
+        self._has_runner_list = False
         self.is_undecided = False  # something happened since the last `tick`
         # Until then what waits can't start, unless something happens.
-        self._settled_until = -inf
+        self._idle_until = -inf
 
     def ask(self, ask: Ask, now: float) -> list[Action]:
         """Take in a request for a slot; a repeated one changes nothing."""
-        moment = self._advance(now)
+        moment = self._advance_clock(now)
         run = self._shard.runs.get(ask.request_id)
         if run is not None:
             return [Grant(ask.request_id, run.runner)]
-        if ask.request_id in self._shard.line(ask):
+        if ask.request_id in self._shard.queue_for(ask):
             return []
-        ask = cleaned(ask)
+        ask = sanitize_ask(ask)
         if min(ask.begin_by, ask.deadline) <= moment:
             return [self._refuse(ask, 'deadline_past', shed=False)]
-        reason = self._refusal(ask, moment) if self._listed else None
+        reason = (
+            self._refusal_reason(ask, moment) if self._has_runner_list else None
+        )
         if reason is not None:
             return [self._refuse(ask, reason, shed=True)]
-        least = self._shard.pool.least_time(ask)
-        self._shard.line(ask).add(ask, moment, least)
-        return self._act(moment, added=ask.request_id)
+        min_time = self._shard.pool.min_run_time(ask)
+        self._shard.queue_for(ask).add(ask, moment, min_time)
+        return self._act(moment, new_request_id=ask.request_id)
 
     def adopt(self, ask: Ask, runner: str, now: float) -> list[Action]:
         """Take over a run whose previous owner was lost."""
-        moment = self._advance(now)
+        moment = self._advance_clock(now)
         if ask.request_id not in self._shard.runs:
-            self._shard.adopt(cleaned(ask), runner, moment)
+            self._shard.adopt(sanitize_ask(ask), runner, moment)
         return self._act(moment)
 
     def witness(self, ask: Ask, name: str, now: float) -> list[Action]:
         """Note a run that begins now by another owner's grant."""
-        moment = self._advance(now)
+        moment = self._advance_clock(now)
         runner = self._shard.pool.get(name)
         if runner is not None and ask.request_id not in self._shard.runs:
-            self._shard.start(cleaned(ask), runner, moment)
+            self._shard.start(sanitize_ask(ask), runner, moment)
         return self._act(moment)
 
     def withdraw(self, request_id: str, now: float) -> list[Action]:
         """Forget a request whose caller or gateway is gone."""
-        moment = self._advance(now)
-        self._shard.leave_queue(request_id)
+        moment = self._advance_clock(now)
+        self._shard.dequeue(request_id)
         self._shard.finish(request_id)
         return self._act(moment)
 
@@ -102,7 +104,7 @@
         Many engines tell what was cached only with the last event, so
         `cached_tokens` is negative where it is not known yet.
         """
-        moment = self._advance(now)
+        moment = self._advance_clock(now)
         run = self._shard.runs.get(request_id)
         runner = self._shard.pool.get(run.runner) if run else None
         if run and runner:
@@ -110,9 +112,11 @@
             if cached_tokens < 0:
                 cached_tokens = expected
             else:
-                runner.cache.found(run.ask.prefixes, expected, cached_tokens)
+                runner.cache.reconcile(
+                    run.ask.prefixes, expected, cached_tokens
+                )
             prefill = max(prompt_tokens - cached_tokens, 0)
-            learn_first_token(self._shard, run, prefill, moment)
+            apply_first_token(self._shard, run, prefill, moment)
         return self._act(moment)
 
     def ended(
@@ -122,10 +126,10 @@
         now: float,
     ) -> list[Action]:
         """Free the run's slot and learn from its end."""
-        moment = self._advance(now)
+        moment = self._advance_clock(now)
         run = self._shard.runs.get(request_id)
         if run is not None:
-            learn(self._shard, run, report, moment)
+            apply_report(self._shard, run, report, moment)
             self._shard.finish(request_id)
         return self._act(moment)
 
@@ -135,8 +139,8 @@
         now: float,
     ) -> list[Action]:
         """Take in the list of the shard's runners."""
-        moment = self._advance(now)
-        self._listed = True
+        moment = self._advance_clock(now)
+        self._has_runner_list = True
         self._shard.pool.update(names, self._shard.runs.values(), moment)
         return self._act(moment)
 
@@ -147,9 +151,9 @@
 
         Runners that are not named may be at any time.
         """
-        moment = self._advance(now)
+        moment = self._advance_clock(now)
         changed = [
-            runner.limit_starts(per_s.get(runner.name), moment)
+            runner.update_start_rate(per_s.get(runner.name), moment)
             for runner in self._shard.pool
         ]
         return self._act(moment) if any(changed) else []
@@ -162,29 +166,29 @@
         now: float,
     ) -> list[Action]:
         """Take in a runner's cache event; they come late and with gaps."""
-        moment = self._advance(now)
+        moment = self._advance_clock(now)
         runner = self._shard.pool.get(runner_name)
         if runner is not None:
-            runner.cache.event(kind, prefix, moment)
+            runner.cache.handle_event(kind, prefix, moment)
         return self._act(moment)
 
     def tick(self, now: float) -> list[Action]:
         """Do what has become due."""
-        added = self._added
-        self._added = None
+        new_request_id = self._new_request_id
+        self._new_request_id = None
         self.is_undecided = False
-        return self._decide(self._advance(now), added)
+        return self._decide(self._advance_clock(now), new_request_id)
 
     def next_wake(self, now: float) -> float | None:
         """Return when `tick` has something to do, if nothing else happens."""
-        moment = self._advance(now)
+        moment = self._advance_clock(now)
         shard = self._shard
-        start = self._settled_until  # worked out when something last happened
+        start = self._idle_until  # worked out when something last happened
         if start <= moment:
-            start = next_start(shard, moment)
+            start = next_start_at(shard, moment)
         times = [start]
-        for line in (shard.queue, shard.suspects):
-            times.extend(line.next_due(tier) for tier in Tier)
+        for queue in (shard.queue, shard.suspects):
+            times.extend(queue.next_expiry(tier) for tier in Tier)
         earliest = min(times)
         return None if earliest == inf else max(earliest, moment)
 
@@ -193,65 +197,71 @@
 
         The next `tick` preempts for whatever waits in the tiers above.
         """
-        moment = self._advance(now)
-        self._shard.hold_floor(tier, moment + max(hold_s, 0))
-        self._settled_until = -inf
-        return len(self._shard.lower_runs(tier))
+        moment = self._advance_clock(now)
+        self._shard.raise_floor(tier, moment + max(hold_s, 0))
+        self._idle_until = -inf
+        return len(self._shard.runs_below(tier))
 
     def load(self) -> ShardLoad:
         """Return what gateways are told about this shard."""
         return ShardLoad(
             len(self._shard.runs),
             len(self._shard.queue) + len(self._shard.suspects),
-            self._shard.pool.limit(),
+            self._shard.pool.total_capacity(),
         )
 
     def backlog(self, now: float) -> Backlog | None:
         """Return what waits, unless nothing does."""
-        moment = self._advance(now)
+        moment = self._advance_clock(now)
         shard = self._shard
         if not shard.queue:
             return None
         return Backlog(
-            shard.queue.counts(),
-            moment - shard.queue.oldest(),
+            shard.queue.count_by_tier(),
+            moment - shard.queue.oldest_arrival(),
             len(shard.runs),
-            shard.pool.limit(),
-            len(shard.pool.free(moment)),
+            shard.pool.total_capacity(),
+            len(shard.pool.free_runners(moment)),
         )
 
-    def _refusal(self, ask: Ask, now: float) -> str | None:
+    def _refusal_reason(self, ask: Ask, now: float) -> str | None:
         # What came just now isn't a queue yet while there is a free slot.
-        is_open = self.is_undecided and self._shard.pool.has_room(now)
-        return refusal(self._shard, ask, now, is_open=is_open)
+        has_unassigned_slots = self.is_undecided and self._shard.pool.has_room(
+            now
+        )
+        return refusal_reason(
+            self._shard, ask, now, has_unassigned_slots=has_unassigned_slots
+        )
 
     def _refuse(self, ask: Ask, reason: str, *, shed: bool) -> Action:
         return refuse(self._shard, ask, reason, self._now, shed=shed)
 
-    def _advance(self, now: float) -> float:
+    def _advance_clock(self, now: float) -> float:
         self._now = max(self._now, now)
         return self._now
 
-    def _act(self, now: float, added: str | None = None) -> list[Action]:
+    def _act(
+        self, now: float, new_request_id: str | None = None
+    ) -> list[Action]:
         if not self._batched:
-            return self._decide(now, added)
-        self._added = None if self.is_undecided else added
+            return self._decide(now, new_request_id)
+        self._new_request_id = None if self.is_undecided else new_request_id
         self.is_undecided = True
         return []
 
-    def _decide(self, now: float, added: str | None) -> list[Action]:
+    def _decide(self, now: float, new_request_id: str | None) -> list[Action]:
         shard = self._shard
         actions = expire(shard, now)
-        has_moved = shard.switches.on_time_first and (
-            shard.queue.pass_over_late(now)
+        has_demoted = shard.switches.on_time_first and (
+            shard.queue.demote_late(now)
         )
         # With as many entries as runners, what was held is held no longer.
-        ends_holding = len(shard.queue) == len(shard.pool)
-        if actions or has_moved or ends_holding or now >= self._settled_until:
-            added = None
-        actions.extend(start_waiting(shard, now, added))
+        is_hold_over = len(shard.queue) == len(shard.pool)
+        if actions or has_demoted or is_hold_over or now >= self._idle_until:
+            new_request_id = None
+        actions.extend(dispatch_waiting(shard, now, new_request_id))
         actions.extend(preempt(shard, now))
-        self._settled_until = next_start(shard, now)
+        self._idle_until = next_start_at(shard, now)
         return actions
 
 
@@ -269,18 +279,18 @@
     if service.kind is ServiceKind.PLAIN:
         # Without first tokens nothing tells when a prompt is filled.
         switches = replace(switches, filling=False)
-    shares: Mapping[str, float] = {} if weights is None else weights
+    workspace_weights: Mapping[str, float] = {} if weights is None else weights
     shard = Shard(
         pool=RunnerPool(service.slots, switches),
         queue=WaitingQueue(
-            shares,
+            workspace_weights,
             tiers=switches.tiers,
             fair=switches.fair,
             short_first=switches.short_first,
             overload=overload,
         ),
-        suspects=WaitingQueue(shares),
-        drain=DrainRate(),
+        suspects=WaitingQueue(workspace_weights),
+        drain_rate=DrainRate(),
         rng=rng,
         switches=switches,
         overload=overload,
--- a/bramleybend/decisions/ownership.py
+++ b/bramleybend/decisions/ownership.py
@@ -43,9 +43,9 @@
         key=lambda member: (_score(service, shard, member), member.heartbeat),
         reverse=True,
     )
-    for place, member in enumerate(ranked):
+    for index, member in enumerate(ranked):
         if member.domain != ranked[0].domain:
-            ranked.insert(1, ranked.pop(place))
+            ranked.insert(1, ranked.pop(index))
             break
     return ranked
 
--- a/bramleybend/decisions/pacing.py
+++ b/bramleybend/decisions/pacing.py
@@ -12,32 +12,32 @@
 
 from math import inf
 
-FIRST_SHARE = 0.25
+INITIAL_SHARE = 0.25
 RAMP_S = 5.0
-FIRST_HOLD_S = 1.0  # after a crash nothing is sent; the VM list lags
-LONGEST_HOLD_S = 30.0
+MIN_CRASH_HOLD_S = 1.0  # after a crash nothing is sent; the VM list lags
+MAX_CRASH_HOLD_S = 30.0
 
 
 class Ramp:
     """Slow start of one runner."""
 
-    def __init__(self, now: float, *, switched_on: bool = True) -> None:
+    def __init__(self, now: float, *, is_enabled: bool = True) -> None:
         """Begin at the first share."""
-        self._begun = now
+        self._ramp_start = now
         self._last_crash = -inf
-        self._hold = FIRST_HOLD_S
-        self._on = switched_on
+        self._next_hold_s = MIN_CRASH_HOLD_S
+        self._is_enabled = is_enabled
 
     def share(self, now: float) -> float:
         """Return the part of the limit that may be used."""
-        if not self._on or now >= self._begun + RAMP_S:
+        if not self._is_enabled or now >= self._ramp_start + RAMP_S:
             return 1
-        if now < self._begun:
+        if now < self._ramp_start:
             return 0
-        passed = (now - self._begun) / RAMP_S
-        return FIRST_SHARE + (1 - FIRST_SHARE) * passed
+        elapsed_s = (now - self._ramp_start) / RAMP_S
+        return INITIAL_SHARE + (1 - INITIAL_SHARE) * elapsed_s
 
-    def crashed(self, started: float, now: float) -> None:
+    def record_crash(self, started: float, now: float) -> None:
         """Hold back, then begin again; longer at each crash in a row.
 
         All runs of one crash report it; those that started before the last
@@ -46,17 +46,17 @@
         if started < self._last_crash:
             return
         self._last_crash = now
-        if now > self._begun + LONGEST_HOLD_S:
-            self._hold = FIRST_HOLD_S
-        self._begun = now + self._hold
-        self._hold = min(self._hold * 2, LONGEST_HOLD_S)
+        if now > self._ramp_start + MAX_CRASH_HOLD_S:
+            self._next_hold_s = MIN_CRASH_HOLD_S
+        self._ramp_start = now + self._next_hold_s
+        self._next_hold_s = min(self._next_hold_s * 2, MAX_CRASH_HOLD_S)
 
-    def next_step(self, limit: int, now: float) -> float:
+    def next_step_at(self, limit: int, now: float) -> float:
         """Return when a limit lets one more request in than now."""
         if self.share(now) >= 1:
             return inf
-        if now < self._begun:
-            return self._begun
+        if now < self._ramp_start:
+            return self._ramp_start
         step = (int(limit * self.share(now)) + 1) / limit
-        passed = (step - FIRST_SHARE) / (1 - FIRST_SHARE)
-        return self._begun + min(max(passed, 0), 1) * RAMP_S
+        progress = (step - INITIAL_SHARE) / (1 - INITIAL_SHARE)
+        return self._ramp_start + min(max(progress, 0), 1) * RAMP_S
--- a/bramleybend/decisions/places.py
+++ b/bramleybend/decisions/places.py
@@ -15,28 +15,30 @@
 from math import inf
 from typing import Final
 
-from bramleybend.decisions.failing import FAILED_S
+from bramleybend.decisions.failing import FAILURE_COST_S
 from bramleybend.decisions.runs import Runner
 from bramleybend.decisions.shard import Shard
 from bramleybend.decisions.speeds import Pace
 from bramleybend.models import Ask
 
-FILL_S = 0.5
-SHORT_TOKENS = 512
+MAX_BACKLOG_S = 0.5
+SHORT_PREFILL_TOKENS = 512
 
-OTHERS = 4.0  # seconds the others lose by a second of prefill at mean pace
+PREFILL_IMPACT = (
+    4.0  # seconds the others lose by a second of prefill at mean pace
+)
 
 
 @dataclass(frozen=True, slots=True)
 class TimeLeft:
     """Seconds that remain for a request's answer."""
 
-    begin: float  # until its first token
-    end: float  # until its last
+    first_token_s: float  # until its first token
+    total_s: float  # until its last
 
-    def covers(self, filled: float, ended: float) -> bool:
+    def covers(self, prefill_s: float, run_s: float) -> bool:
         """Tell whether a run that takes so long stays within it."""
-        return filled < self.begin and ended < self.end
+        return prefill_s < self.first_token_s and run_s < self.total_s
 
 
 UNLIMITED: Final = TimeLeft(inf, inf)
@@ -45,17 +47,17 @@
 # Not frozen, with slots: one is made for each runner and start, and a frozen
 # one takes longer to make.
 @dataclass(slots=True)
-class Place:
+class RunnerSnapshot:
     """A runner as it stands now."""
 
     runner: Runner
     pace: Pace
-    mean: Pace  # over the shard's runners
-    free: bool
-    wait: float  # for a slot, seconds
-    fill: float  # seconds until its prompts are filled
-    gate: float  # the most of these with which it takes a long prompt
-    failing: float  # share of its runs that failed lately
+    mean_pace: Pace  # over the shard's runners
+    is_free: bool
+    wait_s: float  # for a slot, seconds
+    backlog_s: float  # seconds until its prompts are filled
+    max_backlog_s: float  # the most of these with which it takes a long prompt
+    failure_share: float  # share of its runs that failed lately
     cached_tokens: Callable[[Sequence[str], int], int]  # its cache's estimate
 
     def prefill_tokens(self, ask: Ask) -> int:
@@ -66,53 +68,59 @@
         cached = self.cached_tokens(ask.prefixes, prompt)
         return prompt - cached if prompt > cached else 0
 
-    def seconds(self, ask: Ask) -> float:
+    def estimate_run_s(self, ask: Ask) -> float:
         """Estimate how long a request runs here."""
-        return self._seconds(self.prefill_tokens(ask), decode_work(ask))
+        return self._estimate_s(self.prefill_tokens(ask), decode_work(ask))
 
-    def takes(self, ask: Ask) -> bool:
+    def can_start(self, ask: Ask) -> bool:
         """Tell whether a request may be started here."""
-        return self._takes(self.prefill_tokens(ask))
+        return self._accepts_prefill(self.prefill_tokens(ask))
 
-    def may_start(self, prefill: int, seconds: float, left: 'TimeLeft') -> bool:
+    def can_start_in_time(
+        self, prefill: int, seconds: float, left: 'TimeLeft'
+    ) -> bool:
         """Tell whether a run of so many seconds may be started here.
 
         It would have to begin to answer and to end in time. An idle runner
         always gets a try: were it believed too slow for ever, nothing would
         run there that could prove otherwise.
         """
-        if not self.free or not self._takes(prefill):
+        if not self.is_free or not self._accepts_prefill(prefill):
             return False
-        filled = self._seconds(prefill, 0)
-        return left.covers(filled, seconds) or not self.runner.in_flight
+        prefill_s = self._estimate_s(prefill, 0)
+        return left.covers(prefill_s, seconds) or not self.runner.in_flight
 
-    def most_prefill(self) -> float:
+    def max_prefill_tokens(self) -> float:
         """Return the longest prefill that may be started here."""
-        if not self.free:
+        if not self.is_free:
             return -1
-        return inf if self.fill < self.gate else SHORT_TOKENS
+        return (
+            inf if self.backlog_s < self.max_backlog_s else SHORT_PREFILL_TOKENS
+        )
 
-    def _seconds(self, prefill: int, decode: float) -> float:
-        return self.fill + self.pace.seconds(prefill, decode)
+    def _estimate_s(self, prefill: int, decode: float) -> float:
+        return self.backlog_s + self.pace.seconds(prefill, decode)
 
-    def _takes(self, prefill: int) -> bool:
-        if not self.free or self.fill < self.gate:
-            return self.free
-        return prefill <= SHORT_TOKENS
+    def _accepts_prefill(self, prefill: int) -> bool:
+        if not self.is_free or self.backlog_s < self.max_backlog_s:
+            return self.is_free
+        return prefill <= SHORT_PREFILL_TOKENS
 
 
 @dataclass(slots=True)
-class Standing:
+class Placement:
     """Where a request would run best now, beside waiting for another place."""
 
     runner: Runner | None  # none may take it
     cost: float  # there, seconds
-    least: float  # of all places, the wait for each included
+    min_cost: float  # of all places, the wait for each included
     prefill: int = 0  # tokens to fill there
-    least_prefill: int = 0  # tokens to fill where it costs least
+    min_cost_prefill: int = 0  # tokens to fill where it costs least
 
 
-def best_of(places: Sequence[Place], ask: Ask, left: TimeLeft) -> Standing:
+def find_placement(
+    snapshots: Sequence[RunnerSnapshot], ask: Ask, left: TimeLeft
+) -> Placement:
     """Weigh the places for one request with so much time left.
 
     A place that would lose with the whole prompt cached is not looked into.
@@ -121,55 +129,71 @@
     decisions cost.
     """
     decode = decode_work(ask)
-    standing = Standing(None, inf, inf)
-    free = [place for place in places if place.free]
-    _weigh_free(free, ask, decode, left, standing)
-    if len(free) < len(places):
-        _weigh_busy(places, ask, decode, standing)
-    return standing
+    placement = Placement(None, inf, inf)
+    free = [snapshot for snapshot in snapshots if snapshot.is_free]
+    _evaluate_free(free, ask, decode, left, placement)
+    if len(free) < len(snapshots):
+        _evaluate_busy(snapshots, ask, decode, placement)
+    return placement
 
 
-def _weigh_free(
-    places: Sequence[Place],
+def _evaluate_free(
+    snapshots: Sequence[RunnerSnapshot],
     ask: Ask,
     decode: float,
     left: TimeLeft,
-    standing: Standing,
+    placement: Placement,
 ) -> None:
-    for place in places:
-        decoding = decode / place.pace.decode
-        lost = place.failing * FAILED_S
-        if place.fill + decoding + lost >= standing.cost:
+    for snapshot in snapshots:
+        decode_s = decode / snapshot.pace.decode_per_s
+        failure_s = snapshot.failure_share * FAILURE_COST_S
+        if snapshot.backlog_s + decode_s + failure_s >= placement.cost:
             continue
-        prefill = place.prefill_tokens(ask)
-        seconds = place.fill + (prefill / place.pace.prefill + decoding)
-        cost = seconds + prefill / place.mean.prefill * OTHERS + lost
-        if cost < standing.least:
-            standing.least = cost
-            standing.least_prefill = prefill
-        if cost < standing.cost and place.may_start(prefill, seconds, left):
-            standing.runner = place.runner
-            standing.cost = cost
-            standing.prefill = prefill
-
-
-def _weigh_busy(
-    places: Sequence[Place], ask: Ask, decode: float, standing: Standing
+        prefill = snapshot.prefill_tokens(ask)
+        seconds = snapshot.backlog_s + (
+            prefill / snapshot.pace.prefill_per_s + decode_s
+        )
+        cost = (
+            seconds
+            + prefill / snapshot.mean_pace.prefill_per_s * PREFILL_IMPACT
+            + failure_s
+        )
+        if cost < placement.min_cost:
+            placement.min_cost = cost
+            placement.min_cost_prefill = prefill
+        if cost < placement.cost and snapshot.can_start_in_time(
+            prefill, seconds, left
+        ):
+            placement.runner = snapshot.runner
+            placement.cost = cost
+            placement.prefill = prefill
+
+
+def _evaluate_busy(
+    snapshots: Sequence[RunnerSnapshot],
+    ask: Ask,
+    decode: float,
+    placement: Placement,
 ) -> None:
-    for place in places:
-        if place.free:
+    for snapshot in snapshots:
+        if snapshot.is_free:
             continue
-        decoding = decode / place.pace.decode
-        lost = place.failing * FAILED_S
-        if place.fill + decoding + lost + place.wait >= standing.least:
+        decode_s = decode / snapshot.pace.decode_per_s
+        failure_s = snapshot.failure_share * FAILURE_COST_S
+        if (
+            snapshot.backlog_s + decode_s + failure_s + snapshot.wait_s
+            >= placement.min_cost
+        ):
             continue
-        prefill = place.prefill_tokens(ask)
-        seconds = place.fill + (prefill / place.pace.prefill + decoding)
-        others = prefill / place.mean.prefill * OTHERS
-        cost = seconds + others + lost + place.wait
-        if cost < standing.least:
-            standing.least = cost
-            standing.least_prefill = prefill
+        prefill = snapshot.prefill_tokens(ask)
+        seconds = snapshot.backlog_s + (
+            prefill / snapshot.pace.prefill_per_s + decode_s
+        )
+        impact_s = prefill / snapshot.mean_pace.prefill_per_s * PREFILL_IMPACT
+        cost = seconds + impact_s + failure_s + snapshot.wait_s
+        if cost < placement.min_cost:
+            placement.min_cost = cost
+            placement.min_cost_prefill = prefill
 
 
 def time_left(ask: Ask, now: float) -> TimeLeft:
@@ -182,32 +206,42 @@
     return max(ask.cost - ask.prompt_tokens, 1)
 
 
-def places_of(
+def snapshot_runners(
     shard: Shard, now: float, names: Container[str] | None = None
-) -> list[Place]:
+) -> list[RunnerSnapshot]:
     """Look at the runners, or at those with these names, that get new work."""
-    mean = shard.pool.mean_pace()
-    gate = FILL_S if shard.switches.filling else inf
+    mean_pace = shard.pool.mean_pace()
+    max_backlog_s = MAX_BACKLOG_S if shard.switches.filling else inf
     return [
-        _place(runner, shard.pool.pace_of(runner, mean), mean, gate, now)
+        _snapshot_runner(
+            runner,
+            shard.pool.pace_of(runner, mean_pace),
+            mean_pace,
+            max_backlog_s,
+            now,
+        )
         for runner in shard.pool
         if not runner.leaving and (names is None or runner.name in names)
     ]
 
 
-def _place(
-    runner: Runner, pace: Pace, mean: Pace, gate: float, now: float
-) -> Place:
-    free = runner.room(now) > 0
-    wait = 0 if free else runner.wait_s(now)
-    return Place(
+def _snapshot_runner(
+    runner: Runner,
+    pace: Pace,
+    mean_pace: Pace,
+    max_backlog_s: float,
+    now: float,
+) -> RunnerSnapshot:
+    is_free = runner.free_slots(now) > 0
+    wait_s = 0 if is_free else runner.estimate_wait_s(now)
+    return RunnerSnapshot(
         runner,
         pace,
-        mean,
-        free,
-        wait,
-        runner.backlog / pace.prefill,
-        gate,
-        runner.failing.value(now),
+        mean_pace,
+        is_free,
+        wait_s,
+        runner.backlog_tokens / pace.prefill_per_s,
+        max_backlog_s,
+        runner.failures.value(now),
         runner.cache.cached_tokens,
     )
--- a/bramleybend/decisions/pool.py
+++ b/bramleybend/decisions/pool.py
@@ -12,9 +12,9 @@
 from bramleybend.decisions.cache_view import CacheView
 from bramleybend.decisions.limits import ConcurrencyLimit
 from bramleybend.decisions.pacing import RAMP_S, Ramp
-from bramleybend.decisions.queueing import LeastTime
+from bramleybend.decisions.queueing import MinRunTime
 from bramleybend.decisions.runs import Run, Runner
-from bramleybend.decisions.speeds import FIRST_PACE, Pace, Speed
+from bramleybend.decisions.speeds import DEFAULT_PACE, Pace, PaceEstimator
 from bramleybend.decisions.switches import Switches
 from bramleybend.models import Ask
 
@@ -47,29 +47,33 @@
         now: float,
     ) -> None:
         """Take in the list: drop what is gone, add what is new."""
-        known = {info.name: info for info in infos}
-        for gone in self._runners.keys() - known.keys():
+        infos_by_name = {info.name: info for info in infos}
+        for gone in self._runners.keys() - infos_by_name.keys():
             self._runners.pop(gone)
-        for name, info in known.items():
-            runner = self._runners.get(name) or self._add(info, now)
+        for name, info in infos_by_name.items():
+            runner = self._runners.get(name) or self._add_runner(info, now)
             runner.leaving = info.leaving
         for run in runs:
-            self._count(run)
+            self._register_run(run)
 
-    def free(self, now: float) -> list[Runner]:
+    def free_runners(self, now: float) -> list[Runner]:
         """Return the runners that may start something now."""
         return [
-            runner for runner in self._runners.values() if runner.room(now) > 0
+            runner
+            for runner in self._runners.values()
+            if runner.free_slots(now) > 0
         ]
 
     def has_room(self, now: float) -> bool:
         """Tell whether anything may start now."""
-        return any(runner.room(now) > 0 for runner in self._runners.values())
+        return any(
+            runner.free_slots(now) > 0 for runner in self._runners.values()
+        )
 
-    def limit(self) -> int:
+    def total_capacity(self) -> int:
         """Sum the limits of runners that get new work."""
         return sum(
-            runner.capacity()
+            runner.max_concurrency()
             for runner in self._runners.values()
             if not runner.leaving
         )
@@ -79,20 +83,24 @@
         pace = runner.speed.pace if self._switches.speeds else None
         return pace or mean
 
-    def least_time(self, ask: Ask) -> LeastTime:
+    def min_run_time(self, ask: Ask) -> MinRunTime:
         """Estimate how long a request takes on the best idle runner."""
         if not self._switches.expiry:
-            return LeastTime(0, 0)
+            return MinRunTime(0, 0)
         decode = max(ask.cost - ask.prompt_tokens, 1)
         mean = self.mean_pace()
-        begin = inf
-        end = inf
+        first_token_s = inf
+        total_s = inf
         for runner in self._runners.values():
             pace = self.pace_of(runner, mean)
-            filled = _prefill(ask, runner) / pace.prefill
-            begin = min(begin, filled)
-            end = min(end, filled + decode / pace.decode)
-        return LeastTime(begin, end) if self._runners else LeastTime(0, 0)
+            prefill_s = _prefill_tokens(ask, runner) / pace.prefill_per_s
+            first_token_s = min(first_token_s, prefill_s)
+            total_s = min(total_s, prefill_s + decode / pace.decode_per_s)
+        return (
+            MinRunTime(first_token_s, total_s)
+            if self._runners
+            else MinRunTime(0, 0)
+        )
 
     def mean_pace(self) -> Pace:
         """Return the peers' mean, or a guess before any run has ended."""
@@ -102,36 +110,36 @@
             if runner.speed.pace is not None
         ]
         if not paces:
-            return FIRST_PACE
+            return DEFAULT_PACE
         return Pace(
-            sum(pace.prefill for pace in paces) / len(paces),
-            sum(pace.decode for pace in paces) / len(paces),
+            sum(pace.prefill_per_s for pace in paces) / len(paces),
+            sum(pace.decode_per_s for pace in paces) / len(paces),
         )
 
-    def _count(self, run: Run) -> None:
+    def _register_run(self, run: Run) -> None:
         runner = self._runners.get(run.runner)
         if runner is not None:
             runner.in_flight.add(run.ask.request_id)
             if run.first_token_at is not None:
-                runner.streams.add(run.ask.request_id)
+                runner.streaming.add(run.ask.request_id)
             if run.ask.suspect:
-                runner.alone = run.ask.request_id
+                runner.reserved_for = run.ask.request_id
 
-    def _add(self, info: RunnerInfo, now: float) -> Runner:
+    def _add_runner(self, info: RunnerInfo, now: float) -> Runner:
         slots = info.slots or self._slots
-        begun = now - RAMP_S if info.warm else now
+        ramp_start = now - RAMP_S if info.warm else now
         runner = Runner(
             info.name,
             ConcurrencyLimit(slots, learn=self._switches.limits),
-            Ramp(begun, switched_on=self._switches.pacing),
-            Speed(),
+            Ramp(ramp_start, is_enabled=self._switches.pacing),
+            PaceEstimator(),
             CacheView(),
         )
         self._runners[info.name] = runner
         return runner
 
 
-def _prefill(ask: Ask, runner: Runner) -> int:
+def _prefill_tokens(ask: Ask, runner: Runner) -> int:
     if not ask.prefixes:
         return max(ask.prompt_tokens, 0)
     cached = runner.cache.cached_tokens(ask.prefixes, ask.prompt_tokens)
--- a/bramleybend/decisions/preemption.py
+++ b/bramleybend/decisions/preemption.py
@@ -14,27 +14,34 @@
 from collections.abc import Iterable, Iterator
 
 from bramleybend.decisions.actions import Action, Preempt
-from bramleybend.decisions.places import Place, places_of
+from bramleybend.decisions.places import RunnerSnapshot, snapshot_runners
 from bramleybend.decisions.runs import Run
 from bramleybend.decisions.shard import Shard
-from bramleybend.decisions.tier_queue import Waiting
+from bramleybend.decisions.tier_queue import WaitingEntry
 from bramleybend.models import Ask, Tier
 
-MOST_AT_ONCE = 8  # victims ordered in one step; bounds its time
+MAX_VICTIMS_PER_STEP = 8  # victims ordered in one step; bounds its time
 
 
-def yielding(runs: Iterable[Run], tier: int) -> list[Run]:
+def preemptible_runs(runs: Iterable[Run], tier: int) -> list[Run]:
     """Return the runs that may yield to a tier, the least loss first."""
-    return sorted((run for run in runs if _may_yield(run, tier)), key=_loss)
+    return sorted(
+        (run for run in runs if _is_preemptible(run, tier)),
+        key=_preemption_cost,
+    )
 
 
-def _may_yield(run: Run, tier: int) -> bool:
-    return run.ask.cancellable and run.yields_to is None and run.ask.tier > tier
+def _is_preemptible(run: Run, tier: int) -> bool:
+    return (
+        run.ask.cancellable
+        and run.preempted_for is None
+        and run.ask.tier > tier
+    )
 
 
-def _loss(run: Run) -> tuple[int, int, float]:
+def _preemption_cost(run: Run) -> tuple[int, int, float]:
     # The latest started has decoded least; it breaks ties.
-    return (-run.ask.tier, run.prefill_tokens, -run.started)
+    return (-run.ask.tier, run.prefill_tokens, -run.started_at)
 
 
 def preempt(shard: Shard, now: float) -> list[Action]:
@@ -48,14 +55,15 @@
 
 
 def _preempt_for(shard: Shard, tier: Tier, now: float) -> list[Action]:
-    urgent = _urgent(shard, tier, now)
-    found = places_of(shard, now) if urgent else []
-    places = {place.runner.name: place for place in found}
+    urgent = _urgent_entries(shard, tier, now)
+    runners = snapshot_runners(shard, now) if urgent else []
+    snapshots = {snapshot.runner.name: snapshot for snapshot in runners}
     # Sorted once for all entries: for each of them anew, it took a third of
     # the time that an owner spends under saturation.
-    able = yielding(shard.runs.values(), tier) if urgent else []
+    candidates = preemptible_runs(shard.runs.values(), tier) if urgent else []
     victims = [
-        _order_victim(shard, entry, able, places, now) for entry in urgent
+        _order_victim(shard, entry, candidates, snapshots, now)
+        for entry in urgent
     ]
     return [
         Preempt(victim.ask.request_id, tier)
@@ -66,77 +74,82 @@
 
 def _order_victim(
     shard: Shard,
-    entry: Waiting,
-    able: list[Run],
-    places: dict[str, Place],
+    entry: WaitingEntry,
+    candidates: list[Run],
+    snapshots: dict[str, RunnerSnapshot],
     now: float,
 ) -> Run | None:
     ask = entry.ask
-    if ask.request_id in shard.victims or _can_start(ask, places):
+    if ask.request_id in shard.victims or _can_start(ask, snapshots):
         return None
-    if not _is_floored(shard, ask.tier) and _has_slot(ask, places):
+    if not _has_floor(shard, ask.tier) and _has_slot(ask, snapshots):
         return None
-    victim = next(_in_the_way(ask, able, places, now), None)
+    victim = next(_possible_victims(ask, candidates, snapshots, now), None)
     if victim is not None:
-        able.remove(victim)
-        victim.yields_to = ask.tier
+        candidates.remove(victim)
+        victim.preempted_for = ask.tier
         shard.victims[ask.request_id] = victim.ask.request_id
     return victim
 
 
-def _in_the_way(
+def _possible_victims(
     ask: Ask,
-    able: list[Run],
-    places: dict[str, Place],
+    candidates: list[Run],
+    snapshots: dict[str, RunnerSnapshot],
     now: float,
 ) -> Iterator[Run]:
     """Go over the runs in whose stead the request could end in time."""
-    left = ask.deadline - now
+    time_left_s = ask.deadline - now
     # No run's prompt is longer than all that its runner has to fill, so most
     # runners are ruled out without a look at their runs.
-    fast = {
+    fast_runners = {
         name
-        for name, place in places.items()
-        if name not in ask.excluded and place.seconds(ask) - place.fill < left
+        for name, snapshot in snapshots.items()
+        if name not in ask.excluded
+        and snapshot.estimate_run_s(ask) - snapshot.backlog_s < time_left_s
     }
     return (
         run
-        for run in able
+        for run in candidates
         if run.ask.tier > ask.tier
-        and run.runner in fast
-        and _makes_way(run, ask, places[run.runner], left)
+        and run.runner in fast_runners
+        and _frees_enough(run, ask, snapshots[run.runner], time_left_s)
     )
 
 
-def _has_slot(ask: Ask, places: dict[str, Place]) -> bool:
+def _has_slot(ask: Ask, snapshots: dict[str, RunnerSnapshot]) -> bool:
     return any(
-        place.free for name, place in places.items() if name not in ask.excluded
+        snapshot.is_free
+        for name, snapshot in snapshots.items()
+        if name not in ask.excluded
     )
 
 
-def _can_start(ask: Ask, places: dict[str, Place]) -> bool:
+def _can_start(ask: Ask, snapshots: dict[str, RunnerSnapshot]) -> bool:
     return any(
-        place.takes(ask)
-        for name, place in places.items()
+        snapshot.can_start(ask)
+        for name, snapshot in snapshots.items()
         if name not in ask.excluded
     )
 
 
-def _makes_way(run: Run, ask: Ask, place: Place, left: float) -> bool:
+def _frees_enough(
+    run: Run, ask: Ask, snapshot: RunnerSnapshot, time_left_s: float
+) -> bool:
     # With slots to spare it is the prompts being filled that are in the way.
-    if place.free and not run.in_backlog:
+    if snapshot.is_free and not run.backlog_tokens:
         return False
-    filled = run.in_backlog / place.pace.prefill
-    return place.seconds(ask) - filled < left
+    freed_s = run.backlog_tokens / snapshot.pace.prefill_per_s
+    return snapshot.estimate_run_s(ask) - freed_s < time_left_s
 
 
-def _is_floored(shard: Shard, tier: Tier) -> bool:
-    return any(tier <= floor for floor in shard.floors)
+def _has_floor(shard: Shard, tier: Tier) -> bool:
+    return any(tier <= floor for floor in shard.floor_ends)
 
 
-def _urgent(shard: Shard, tier: Tier, now: float) -> list[Waiting]:
-    if not shard.lower_runs(tier):
+def _urgent_entries(shard: Shard, tier: Tier, now: float) -> list[WaitingEntry]:
+    if not shard.runs_below(tier):
         return []
     # Those that already have a victim stand first; a few more may get one.
-    most = len(shard.victims) + MOST_AT_ONCE
-    return shard.queue.urgent(now, tier, most)
+    max_count = len(shard.victims) + MAX_VICTIMS_PER_STEP
+    return shard.queue.urgent_entries(now, tier, max_count)
--- a/bramleybend/decisions/prefixes.py
+++ b/bramleybend/decisions/prefixes.py
@@ -7,17 +7,19 @@
 
 from xxhash import xxh64_hexdigest
 
-FIRST_TOKENS = 256
-CHARS = 4
-MOST_PREFIXES = 10
-ROUTING_PREFIX = 2  # 1,024 tokens: past the system prompt, into the document
+MIN_PREFIX_TOKENS = 256
+CHARS_PER_TOKEN = 4
+MAX_PREFIXES = 10
+ROUTING_PREFIX_INDEX = (
+    2  # 1,024 tokens: past the system prompt, into the document
+)
 
 
 def prefix_hashes(prompt: str) -> tuple[str, ...]:
     """Return the hashes of the growing prefixes of a prompt."""
     hashes = []
-    for index in range(MOST_PREFIXES):
-        end = prefix_tokens(index) * CHARS
+    for index in range(MAX_PREFIXES):
+        end = prefix_tokens(index) * CHARS_PER_TOKEN
         if end > len(prompt):
             break
         hashes.append(xxh64_hexdigest(prompt[:end].encode()))
@@ -26,11 +28,11 @@
 
 def prefix_tokens(index: int) -> int:
     """Return how many tokens the prefix at an index has."""
-    return FIRST_TOKENS << index
+    return MIN_PREFIX_TOKENS << index
 
 
 def routing_key(prefixes: tuple[str, ...], request_id: str) -> str:
     """Return what decides on the shard: a prefix, if there is one."""
     if not prefixes:
         return request_id
-    return prefixes[min(ROUTING_PREFIX, len(prefixes) - 1)]
+    return prefixes[min(ROUTING_PREFIX_INDEX, len(prefixes) - 1)]
--- a/bramleybend/decisions/quarantine.py
+++ b/bramleybend/decisions/quarantine.py
@@ -24,8 +24,8 @@
 from enum import StrEnum
 
 CONDEMNED = 3
-KEPT_RECORDS = 10_000
-SUSPECT_S = 3600.0  # without a crash or a finish in between
+MAX_RECORDS = 10_000
+SUSPECT_TTL_S = 3600.0  # without a crash or a finish in between
 
 
 class Verdict(StrEnum):
@@ -52,7 +52,7 @@
     def __init__(self) -> None:
         """Start with nothing suspect."""
         self._records: OrderedDict[str, CrashRecord] = OrderedDict()
-        self._changed: dict[str, float] = {}
+        self._changed_at: dict[str, float] = {}
 
     def crashed(
         self,
@@ -64,14 +64,14 @@
         for fingerprint in set(fingerprints):
             record = self._record(fingerprint)
             runners = record.runners | {runner}
-            self._keep(replace(record, runners=runners), now)
+            self._store(replace(record, runners=runners), now)
 
     def finished(self, fingerprint: str, now: float) -> None:
         """Clear content that ran to its end."""
         record = self._record(fingerprint)
         if record.runners and not record.refused:
             cleared = CrashRecord(fingerprint, record.generation + 1)
-            self._keep(cleared, now)
+            self._store(cleared, now)
 
     def runners(self, fingerprint: str) -> frozenset[str]:
         """Return the runners that crashed with this content in flight."""
@@ -82,8 +82,8 @@
         record = self._record(fingerprint)
         if record.refused:
             return Verdict.REFUSED
-        age = now - self._changed.get(fingerprint, now)
-        if record.runners and age < SUSPECT_S:
+        age = now - self._changed_at.get(fingerprint, now)
+        if record.runners and age < SUSPECT_TTL_S:
             return Verdict.SUSPECT
         return Verdict.CLEAR
 
@@ -96,27 +96,27 @@
         return [
             record
             for fingerprint, record in self._records.items()
-            if record.refused or self._changed[fingerprint] >= since
+            if record.refused or self._changed_at[fingerprint] >= since
         ]
 
     def merge(self, records: Iterable[CrashRecord], now: float) -> None:
         """Take in the records of another process."""
         for record in records:
             own = self._record(record.fingerprint)
-            merged = _merged(own, record)
+            merged = _merge(own, record)
             if merged != own:
-                self._keep(merged, now)
+                self._store(merged, now)
 
     def _record(self, fingerprint: str) -> CrashRecord:
         return self._records.get(fingerprint, CrashRecord(fingerprint))
 
-    def _keep(self, record: CrashRecord, now: float) -> None:
+    def _store(self, record: CrashRecord, now: float) -> None:
         refused = record.refused or len(record.runners) >= CONDEMNED
         fingerprint = record.fingerprint
         self._records[fingerprint] = replace(record, refused=refused)
         self._records.move_to_end(fingerprint)
-        self._changed[fingerprint] = now
-        if len(self._records) > KEPT_RECORDS:
+        self._changed_at[fingerprint] = now
+        if len(self._records) > MAX_RECORDS:
             self._drop_oldest()
 
     def _drop_oldest(self) -> None:
@@ -126,11 +126,11 @@
             next(iter(self._records)),
         )
         self._records.pop(oldest)
-        self._changed.pop(oldest)
+        self._changed_at.pop(oldest)
 
 
-def _merged(one: CrashRecord, other: CrashRecord) -> CrashRecord:
-    newest = max(one, other, key=_generation)
+def _merge(one: CrashRecord, other: CrashRecord) -> CrashRecord:
+    newest = max(one, other, key=_generation_of)
     runners = newest.runners
     if one.generation == other.generation:
         runners = one.runners | other.runners
@@ -138,5 +138,5 @@
     return replace(newest, runners=runners, refused=refused)
 
 
-def _generation(record: CrashRecord) -> int:
+def _generation_of(record: CrashRecord) -> int:
     return record.generation
--- a/bramleybend/decisions/rates.py
+++ b/bramleybend/decisions/rates.py
@@ -21,18 +21,18 @@
         """Begin without a token."""
         self.per_s = per_s  # 0: none may start
         self._tokens = float(0)
-        self._at = now
+        self._refilled_at = now
 
-    def change(self, per_s: float, now: float) -> None:
+    def set_rate(self, per_s: float, now: float) -> None:
         """Go on at another rate; what was taken stays taken."""
         self._refill(now)
         self.per_s = per_s
-        self._tokens = min(self._tokens, self._most())
+        self._tokens = min(self._tokens, self._max_tokens())
 
-    def started(self, now: float) -> None:
+    def record_start(self, now: float) -> None:
         """Count a start, also one that another owner granted."""
         self._refill(now)
-        self._tokens = max(self._tokens - 1, -self._most())
+        self._tokens = max(self._tokens - 1, -self._max_tokens())
 
     def wait_s(self, now: float) -> float:
         """Return the seconds until the next start."""
@@ -43,9 +43,11 @@
         return missing / self.per_s if self.per_s else inf
 
     def _refill(self, now: float) -> None:
-        passed = max(now - self._at, 0)
-        self._at = max(now, self._at)
-        self._tokens = min(self._tokens + passed * self.per_s, self._most())
+        elapsed_s = max(now - self._refilled_at, 0)
+        self._refilled_at = max(now, self._refilled_at)
+        self._tokens = min(
+            self._tokens + elapsed_s * self.per_s, self._max_tokens()
+        )
 
-    def _most(self) -> float:
+    def _max_tokens(self) -> float:
         return max(self.per_s * BURST_S, 1)
--- a/bramleybend/decisions/resends.py
+++ b/bramleybend/decisions/resends.py
@@ -25,7 +25,7 @@
 @dataclass
 class _Bucket:
     tokens: float
-    at: float
+    refilled_at: float
 
 
 @dataclass
@@ -38,8 +38,8 @@
     def requested(self, service: str, vms: int, now: float) -> None:
         """Count a request, which earns a part of a resend."""
         bucket = self._bucket(service, vms, now)
-        held = self._held(vms)
-        bucket.tokens = min(bucket.tokens + self.terms.ratio, held + 1)
+        capacity = self._capacity(vms)
+        bucket.tokens = min(bucket.tokens + self.terms.ratio, capacity + 1)
 
     def spend(self, service: str, vms: int, now: float) -> bool:
         """Take one resend, if there is one."""
@@ -49,15 +49,15 @@
         bucket.tokens -= 1
         return True
 
-    def _held(self, vms: int) -> float:
+    def _capacity(self, vms: int) -> float:
         return self.terms.extra / max(vms, 1) / 2
 
     def _bucket(self, service: str, vms: int, now: float) -> _Bucket:
-        held = self._held(vms)
-        bucket = self._buckets.setdefault(service, _Bucket(held, now))
-        passed = max(now - bucket.at, 0)
-        bucket.at = max(now, bucket.at)
-        if bucket.tokens < held:
-            earned = passed * held / self.terms.window_s
-            bucket.tokens = min(bucket.tokens + earned, held)
+        capacity = self._capacity(vms)
+        bucket = self._buckets.setdefault(service, _Bucket(capacity, now))
+        elapsed_s = max(now - bucket.refilled_at, 0)
+        bucket.refilled_at = max(now, bucket.refilled_at)
+        if bucket.tokens < capacity:
+            earned = elapsed_s * capacity / self.terms.window_s
+            bucket.tokens = min(bucket.tokens + earned, capacity)
         return bucket
--- a/bramleybend/decisions/retries.py
+++ b/bramleybend/decisions/retries.py
@@ -16,23 +16,23 @@
 
 from bramleybend.models import Repeat
 
-SHARE = 0.1  # of the successes
-BURST = 10  # retries without a success before
-TRICKLE = 0.2  # tokens a second, so that a quiet caller may retry too
-FIRST_BACKOFF_S = 0.1
-LONGEST_BACKOFF_S = 5.0
-MOST_DOUBLINGS = 10
+TOKENS_PER_SUCCESS = 0.1  # of the successes
+MAX_TOKENS = 10  # retries without a success before
+REFILL_PER_S = 0.2  # tokens a second, so that a quiet caller may retry too
+BASE_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 5.0
+MAX_DOUBLINGS = 10
 
 
 @dataclass
 class _Bucket:
-    tokens: float = BURST
-    at: float = 0
+    tokens: float = MAX_TOKENS
+    refilled_at: float = 0
 
     def refill(self, now: float) -> None:
-        passed = max(now - self.at, 0)
-        self.tokens = min(self.tokens + passed * TRICKLE, BURST)
-        self.at = max(now, self.at)
+        elapsed_s = max(now - self.refilled_at, 0)
+        self.tokens = min(self.tokens + elapsed_s * REFILL_PER_S, MAX_TOKENS)
+        self.refilled_at = max(now, self.refilled_at)
 
 
 class RetryBudgets:
@@ -44,8 +44,8 @@
 
     def succeeded(self, workspace: str, service: str, now: float) -> None:
         """Earn a part of a retry."""
-        for bucket in self._both(workspace, service, now):
-            bucket.tokens = min(bucket.tokens + SHARE, BURST)
+        for bucket in self._workspace_and_service(workspace, service, now):
+            bucket.tokens = min(bucket.tokens + TOKENS_PER_SUCCESS, MAX_TOKENS)
 
     def allow(
         self,
@@ -57,14 +57,14 @@
         """Spend a retry, if the request may run again and both have one."""
         if repeat is not Repeat.IDEMPOTENT:
             return False
-        buckets = self._both(workspace, service, now)
+        buckets = self._workspace_and_service(workspace, service, now)
         if any(bucket.tokens < 1 for bucket in buckets):
             return False
         for bucket in buckets:
             bucket.tokens -= 1
         return True
 
-    def _both(
+    def _workspace_and_service(
         self,
         workspace: str,
         service: str,
@@ -74,13 +74,13 @@
         return own, self._bucket(('service', service), now)
 
     def _bucket(self, key: tuple[str, str], now: float) -> _Bucket:
-        bucket = self._buckets.setdefault(key, _Bucket(at=now))
+        bucket = self._buckets.setdefault(key, _Bucket(refilled_at=now))
         bucket.refill(now)
         return bucket
 
 
 def backoff(attempt: int, rng: Random) -> timedelta:
     """Return how long to wait before the attempt; 1 is the first retry."""
-    doublings = min(max(attempt - 1, 0), MOST_DOUBLINGS)
-    longest = min(FIRST_BACKOFF_S * 2**doublings, LONGEST_BACKOFF_S)
-    return timedelta(seconds=rng.uniform(0, longest))
+    doublings = min(max(attempt - 1, 0), MAX_DOUBLINGS)
+    max_s = min(BASE_BACKOFF_S * 2**doublings, MAX_BACKOFF_S)
+    return timedelta(seconds=rng.uniform(0, max_s))
--- a/bramleybend/decisions/routing.py
+++ b/bramleybend/decisions/routing.py
@@ -21,8 +21,8 @@
 from bramleybend.decisions.prefixes import routing_key
 from bramleybend.models import Ask
 
-MOST_LOAD = 1.25  # of the mean; the bound of bounded-load hashing
-STALE_S = 5.0  # older loads count as unknown
+MAX_LOAD_RATIO = 1.25  # of the mean; the bound of bounded-load hashing
+MAX_VIEW_AGE_S = 5.0  # older loads count as unknown
 
 
 def rank_shards(
@@ -35,10 +35,10 @@
     if not views:
         return []
     mean = sum(_load(view) for view in views) / len(views)
-    ranked = sorted(views, key=lambda view: _weight(ask, view), reverse=True)
+    ranked = sorted(views, key=lambda view: _score(ask, view), reverse=True)
     first = ranked[0]
-    most = max(mean, 1) * MOST_LOAD
-    if len(ranked) > 1 and _load(first) > most:
+    max_load = max(mean, 1) * MAX_LOAD_RATIO
+    if len(ranked) > 1 and _load(first) > max_load:
         ranked = _less_loaded_first(ranked[1:], rng) + [first]
     return [view.shard for view in ranked]
 
@@ -50,11 +50,11 @@
 
 
 def _load(view: ShardView) -> float:
-    if not 0 <= view.age_s <= STALE_S:
+    if not 0 <= view.age_s <= MAX_VIEW_AGE_S:
         return 1
     return (view.running + view.waiting) / max(view.limit, 1)
 
 
-def _weight(ask: Ask, view: ShardView) -> int:
+def _score(ask: Ask, view: ShardView) -> int:
     key = routing_key(ask.prefixes, ask.request_id)
     return xxh64_intdigest(f'{key}/{view.service}/{view.shard}'.encode())
--- a/bramleybend/decisions/runs.py
+++ b/bramleybend/decisions/runs.py
@@ -8,7 +8,7 @@
 from bramleybend.decisions.limits import ConcurrencyLimit
 from bramleybend.decisions.pacing import Ramp
 from bramleybend.decisions.rates import StartRate
-from bramleybend.decisions.speeds import Speed
+from bramleybend.decisions.speeds import PaceEstimator
 from bramleybend.models import Ask, Tier
 
 COMPLETION_COST = 8  # work of a decoded token, in prompt tokens
@@ -20,12 +20,12 @@
 
     ask: Ask
     runner: str
-    started: float
+    started_at: float
     prefill_tokens: int  # computed or being computed for this run alone
-    filling: int = 1  # runs being prefilled there when it started
-    in_backlog: int = 0  # tokens counted in its runner's backlog
+    prefills_at_start: int = 1  # runs being prefilled there when it started
+    backlog_tokens: int = 0  # tokens counted in its runner's backlog
     first_token_at: float | None = None
-    yields_to: Tier | None = None  # a preemption was ordered
+    preempted_for: Tier | None = None  # a preemption was ordered
 
 
 @dataclass
@@ -35,63 +35,67 @@
     name: str
     limit: ConcurrencyLimit
     ramp: Ramp
-    speed: Speed
+    speed: PaceEstimator
     cache: CacheView
     leaving: bool = False
     in_flight: set[str] = field(default_factory=set)
-    streams: set[str] = field(default_factory=set)  # past the first token
-    mean_seconds: float = 1  # of a run
-    backlog: int = 0  # prompt tokens sent there and not known as filled
-    alone: str | None = None  # the suspect that runs here by itself
-    failing: FailureShare = field(default_factory=FailureShare)
-    rate: StartRate | None = None  # while the runner names a limit
-
-    def limit_starts(self, per_s: float | None, now: float) -> bool:
+    streaming: set[str] = field(default_factory=set)  # past the first token
+    mean_run_s: float = 1  # of a run
+    backlog_tokens: int = 0  # prompt tokens sent there and not known as filled
+    reserved_for: str | None = None  # the suspect that runs here by itself
+    failures: FailureShare = field(default_factory=FailureShare)
+    start_rate: StartRate | None = None  # while the runner names a limit
+
+    def update_start_rate(self, per_s: float | None, now: float) -> bool:
         """Start so many a second from now on; tells whether that is new."""
-        before = self.rate.per_s if self.rate else None
+        before = self.start_rate.per_s if self.start_rate else None
         if per_s is None:
-            self.rate = None
-        elif self.rate is None:
-            self.rate = StartRate(per_s, now)
+            self.start_rate = None
+        elif self.start_rate is None:
+            self.start_rate = StartRate(per_s, now)
         else:
-            self.rate.change(per_s, now)
+            self.start_rate.set_rate(per_s, now)
         return before != per_s
 
-    def started(self, now: float) -> None:
+    def record_start(self, now: float) -> None:
         """Count a start, also one that another owner granted."""
-        if self.rate is not None:
-            self.rate.started(now)
+        if self.start_rate is not None:
+            self.start_rate.record_start(now)
 
-    def capacity(self) -> int:
+    def max_concurrency(self) -> int:
         """Return how many requests it runs at once, by all its limits."""
-        if self.rate is None:
+        if self.start_rate is None:
             return self.limit.value
-        at_once = ceil(self.rate.per_s * self.mean_seconds)
+        at_once = ceil(self.start_rate.per_s * self.mean_run_s)
         return min(self.limit.value, at_once)
 
-    def wait_s(self, now: float) -> float:
+    def estimate_wait_s(self, now: float) -> float:
         """Estimate the wait for a slot when none is free."""
-        wait = self.mean_seconds / max(len(self.in_flight), 1)
-        return wait if self.rate is None else max(wait, self.rate.wait_s(now))
-
-    def forget(self, request_id: str) -> None:
+        wait = self.mean_run_s / max(len(self.in_flight), 1)
+        return (
+            wait
+            if self.start_rate is None
+            else max(wait, self.start_rate.wait_s(now))
+        )
+
+    def release_slot(self, request_id: str) -> None:
         """Free a slot; unknown ids change nothing."""
         self.in_flight.discard(request_id)
-        self.streams.discard(request_id)
-        if self.alone == request_id:
-            self.alone = None
+        self.streaming.discard(request_id)
+        if self.reserved_for == request_id:
+            self.reserved_for = None
 
-    def room(self, now: float) -> int:
+    def free_slots(self, now: float) -> int:
         """Return how many more requests may start here now."""
         share = self.ramp.share(now)
-        if self.leaving or self.alone is not None or not share:
+        if self.leaving or self.reserved_for is not None or not share:
             return 0
-        if self.rate is not None and self.rate.wait_s(now):
+        if self.start_rate is not None and self.start_rate.wait_s(now):
             return 0
         allowed = int(self.limit.value * share)
         return max(allowed, 1) - len(self.in_flight)
 
 
-def work_of(prompt: int, cached: int, completion: int) -> float:
+def run_work(prompt: int, cached: int, completion: int) -> float:
     """Return the work a run took, in prompt-token equivalents."""
     return max(prompt - cached, 0) + max(completion, 0) * COMPLETION_COST
--- a/bramleybend/decisions/shard.py
+++ b/bramleybend/decisions/shard.py
@@ -4,21 +4,21 @@
 from math import log
 from random import Random
 
-from bramleybend.decisions.fading import FadingSum
+from bramleybend.decisions.fading import DecayingSum
 from bramleybend.decisions.overload import UNBOUNDED, Overload
 from bramleybend.decisions.pool import RunnerPool
 from bramleybend.decisions.queueing import WaitingQueue
 from bramleybend.decisions.runs import Run, Runner
 from bramleybend.decisions.switches import Switches
-from bramleybend.decisions.tier_queue import Waiting
+from bramleybend.decisions.tier_queue import WaitingEntry
 from bramleybend.decisions.turnaway import DrainRate
 from bramleybend.models import Ask, Tier
 
 STARTS_HALF_LIFE_S = 2.0
 
 
-def _no_starts() -> FadingSum:
-    return FadingSum(STARTS_HALF_LIFE_S)
+def _make_start_counter() -> DecayingSum:
+    return DecayingSum(STARTS_HALF_LIFE_S)
 
 
 @dataclass
@@ -28,40 +28,44 @@
     pool: RunnerPool
     queue: WaitingQueue
     suspects: WaitingQueue
-    drain: DrainRate
+    drain_rate: DrainRate
     rng: Random
     switches: Switches
     overload: Overload = UNBOUNDED
     runs: dict[str, Run] = field(default_factory=dict)
     victims: dict[str, str] = field(default_factory=dict)  # by who waits
-    floors: dict[int, float] = field(default_factory=dict)  # tier to end
-    starts: FadingSum = field(default_factory=_no_starts)  # of entries
+    floor_ends: dict[int, float] = field(default_factory=dict)  # tier to end
+    recent_starts: DecayingSum = field(
+        default_factory=_make_start_counter
+    )  # of entries
 
-    def lowest_tier(self, now: float) -> int:
+    def lowest_startable_tier(self, now: float) -> int:
         """Return the lowest tier that may be started now."""
-        self.floors = {
-            tier: until for tier, until in self.floors.items() if until > now
+        self.floor_ends = {
+            tier: until
+            for tier, until in self.floor_ends.items()
+            if until > now
         }
-        return min(self.floors, default=Tier.BULK.value)
+        return min(self.floor_ends, default=Tier.BULK.value)
 
-    def hold_floor(self, tier: int, until: float) -> None:
+    def raise_floor(self, tier: int, until: float) -> None:
         """Start nothing below a tier for a while."""
-        self.floors[tier] = max(self.floors.get(tier, until), until)
+        self.floor_ends[tier] = max(self.floor_ends.get(tier, until), until)
 
-    def drained_per_second(self, now: float) -> float | None:
+    def drain_per_s(self, now: float) -> float | None:
         """Return the cost that the slots can finish, once that is known."""
-        return self.drain.per_second(self.pool.limit(), now)
+        return self.drain_rate.cost_per_s(self.pool.total_capacity(), now)
 
-    def least_starts_per_s(self, now: float) -> float:
+    def min_starts_per_s(self, now: float) -> float:
         """Return how often a lower tier that waits surely gets a start."""
-        per_s = self.starts.value(now) * log(2) / STARTS_HALF_LIFE_S
+        per_s = self.recent_starts.value(now) * log(2) / STARTS_HALF_LIFE_S
         return per_s * self.overload.min_share
 
-    def line(self, ask: Ask) -> WaitingQueue:
+    def queue_for(self, ask: Ask) -> WaitingQueue:
         """Return the queue that a request belongs in."""
         return self.suspects if ask.suspect else self.queue
 
-    def leave_queue(self, request_id: str) -> Waiting | None:
+    def dequeue(self, request_id: str) -> WaitingEntry | None:
         """Take a request out of whichever queue holds it."""
         entry = self.queue.remove(request_id) or self.suspects.remove(
             request_id,
@@ -71,22 +75,22 @@
 
     def start(self, ask: Ask, runner: Runner, now: float) -> None:
         """Note a request as running on a runner."""
-        entry = self.leave_queue(ask.request_id)
+        entry = self.dequeue(ask.request_id)
         if entry is not None:
-            self.queue.count_start(entry)
-            self.starts.add(1, now)
+            self.queue.record_start(entry)
+            self.recent_starts.add(1, now)
         cached = runner.cache.cached_tokens(ask.prefixes, ask.prompt_tokens)
         prefill = max(ask.prompt_tokens - cached, 0)
-        filling = len(runner.in_flight) - len(runner.streams) + 1
-        run = Run(ask, runner.name, now, prefill, filling)
-        run.in_backlog = prefill
-        runner.backlog += prefill
+        prefills = len(runner.in_flight) - len(runner.streaming) + 1
+        run = Run(ask, runner.name, now, prefill, prefills)
+        run.backlog_tokens = prefill
+        runner.backlog_tokens += prefill
         self.runs[ask.request_id] = run
         runner.in_flight.add(ask.request_id)
-        runner.started(now)
-        runner.cache.sent(ask.prefixes, now)
+        runner.record_start(now)
+        runner.cache.record_sent(ask.prefixes, now)
         if ask.suspect:
-            runner.alone = ask.request_id
+            runner.reserved_for = ask.request_id
         self.queue.charge(ask, ask.cost)
 
     def adopt(self, ask: Ask, runner_name: str, now: float) -> None:
@@ -97,7 +101,7 @@
         long prompts, until it ends.
         """
         runner = self.pool.get(runner_name)
-        self.leave_queue(ask.request_id)
+        self.dequeue(ask.request_id)
         self.queue.charge(ask, ask.cost)
         self.runs[ask.request_id] = Run(
             ask,
@@ -108,44 +112,46 @@
         )
         if runner is not None:
             runner.in_flight.add(ask.request_id)
-            runner.started(now)
-            runner.streams.add(ask.request_id)
-            runner.cache.sent(ask.prefixes, now)
+            runner.record_start(now)
+            runner.streaming.add(ask.request_id)
+            runner.cache.record_sent(ask.prefixes, now)
             if ask.suspect:
-                runner.alone = ask.request_id
+                runner.reserved_for = ask.request_id
 
-    def prefill_over(self, run: Run) -> None:
+    def end_prefill(self, run: Run) -> None:
         """Take a run's prompt out of its runner's backlog, once."""
         runner = self.pool.get(run.runner)
-        if runner is not None and run.in_backlog:
-            runner.backlog = max(runner.backlog - run.in_backlog, 0)
-        run.in_backlog = 0
+        if runner is not None and run.backlog_tokens:
+            runner.backlog_tokens = max(
+                runner.backlog_tokens - run.backlog_tokens, 0
+            )
+        run.backlog_tokens = 0
 
     def finish(self, request_id: str) -> Run | None:
         """Forget a run; its slot is free."""
         run = self.runs.pop(request_id, None)
         if run is not None:
-            self.prefill_over(run)
-        for waiting, victim in tuple(self.victims.items()):
+            self.end_prefill(run)
+        for waiting_id, victim in tuple(self.victims.items()):
             if victim == request_id:
-                self.victims.pop(waiting)
-        self._free(request_id, run)
+                self.victims.pop(waiting_id)
+        self._release_slot(request_id, run)
         return run
 
-    def lower_runs(self, tier: int) -> list[Run]:
+    def runs_below(self, tier: int) -> list[Run]:
         """Return the runs of a lower tier."""
         return [run for run in self.runs.values() if run.ask.tier > tier]
 
-    def has_lower_run(self, tier: int) -> bool:
+    def has_run_below(self, tier: int) -> bool:
         """Tell whether a run of a lower tier is under way."""
         return any(run.ask.tier > tier for run in self.runs.values())
 
-    def _free(self, request_id: str, run: Run | None) -> None:
+    def _release_slot(self, request_id: str, run: Run | None) -> None:
         if run is None or run.ask.suspect:
             # A suspect may hold a runner other than the one that it ran on.
             for runner in self.pool:
-                runner.forget(request_id)
+                runner.release_slot(request_id)
             return
         ran_on = self.pool.get(run.runner)
         if ran_on is not None:
-            ran_on.forget(request_id)
+            ran_on.release_slot(request_id)
--- a/bramleybend/decisions/speeds.py
+++ b/bramleybend/decisions/speeds.py
@@ -12,63 +12,63 @@
 from dataclasses import dataclass
 
 SMOOTHING = 0.15
-FIRST_PREFILL = 2000.0
-FIRST_DECODE = 400.0
-FEWEST_TOKENS = 64  # a shorter prefill measures the waiting, not the speed
+DEFAULT_PREFILL = 2000.0
+DEFAULT_DECODE = 400.0
+MIN_PREFILL_TOKENS = 64  # a shorter prefill measures the waiting, not the speed
 
 
 @dataclass(frozen=True)
 class Pace:
     """Work units a second of one run, in its two phases."""
 
-    prefill: float
-    decode: float
+    prefill_per_s: float
+    decode_per_s: float
 
     def seconds(self, prefill: float, decode: float) -> float:
         """Estimate how long a run takes."""
-        return prefill / self.prefill + decode / self.decode
+        return prefill / self.prefill_per_s + decode / self.decode_per_s
 
 
-FIRST_PACE = Pace(
-    FIRST_PREFILL, FIRST_DECODE
+DEFAULT_PACE = Pace(
+    DEFAULT_PREFILL, DEFAULT_DECODE
 )  # before any run has ended anywhere
 
 
-class Speed:
+class PaceEstimator:
     """One runner's pace, as measured."""
 
     def __init__(self) -> None:
         """Start without a measure."""
-        self._prefill: float | None = None
-        self._decode: float | None = None
+        self._prefill_per_s: float | None = None
+        self._decode_per_s: float | None = None
         self.pace: Pace | None = None  # once both phases were seen
 
-    def prefilled(self, tokens: float, seconds: float) -> None:
+    def record_prefill(self, tokens: float, seconds: float) -> None:
         """Learn from a prompt that was filled."""
-        if tokens >= FEWEST_TOKENS and seconds > 0:
-            self._prefill = _smoothed(self._prefill, tokens / seconds)
+        if tokens >= MIN_PREFILL_TOKENS and seconds > 0:
+            self._prefill_per_s = _smooth(self._prefill_per_s, tokens / seconds)
             self._update()
 
-    def decoded(self, work: float, seconds: float) -> None:
+    def record_decode(self, work: float, seconds: float) -> None:
         """Learn from an answer that ended whole."""
         if work > 0 and seconds > 0:
-            self._decode = _smoothed(self._decode, work / seconds)
+            self._decode_per_s = _smooth(self._decode_per_s, work / seconds)
             self._update()
 
-    def ended(self, work: float, seconds: float) -> None:
+    def record_run(self, work: float, seconds: float) -> None:
         """Learn from a run without a first token, as of one phase."""
-        if self._prefill is None and work > 0 and seconds > 0:
+        if self._prefill_per_s is None and work > 0 and seconds > 0:
             # Plain services have no prompts, and no pace without this phase.
-            self._prefill = work / seconds
-        self.prefilled(work, seconds)
-        self.decoded(work, seconds)
+            self._prefill_per_s = work / seconds
+        self.record_prefill(work, seconds)
+        self.record_decode(work, seconds)
 
     def _update(self) -> None:
-        if self._prefill is not None and self._decode is not None:
-            self.pace = Pace(self._prefill, self._decode)
+        if self._prefill_per_s is not None and self._decode_per_s is not None:
+            self.pace = Pace(self._prefill_per_s, self._decode_per_s)
 
 
-def _smoothed(before: float | None, measured: float) -> float:
-    if before is None:
+def _smooth(previous: float | None, measured: float) -> float:
+    if previous is None:
         return measured
-    return before + (measured - before) * SMOOTHING
+    return previous + (measured - previous) * SMOOTHING
--- a/bramleybend/decisions/spreading.py
+++ b/bramleybend/decisions/spreading.py
@@ -16,39 +16,49 @@
 from collections.abc import Sequence
 from random import Random
 
-from bramleybend.decisions.places import Place, TimeLeft, decode_work
+from bramleybend.decisions.places import RunnerSnapshot, TimeLeft, decode_work
 from bramleybend.decisions.runs import Runner
 from bramleybend.models import Ask
 
-LEAST_S = 0.001  # a run is not measured more exactly
-FAILED_TIMES = 20.0  # as dear as this is a runner that fails all its runs
-CONNECTED_TIMES = 3.0  # as likely is one to which a connection is open
+MIN_RUN_S = 0.001  # a run is not measured more exactly
+FAILURE_COST_FACTOR = (
+    20.0  # as dear as this is a runner that fails all its runs
+)
+CONNECTED_WEIGHT_FACTOR = 3.0  # as likely is one to which a connection is open
 
 
-def draw(
-    places: Sequence[Place], ask: Ask, left: TimeLeft, rng: Random
+def draw_runner(
+    snapshots: Sequence[RunnerSnapshot], ask: Ask, left: TimeLeft, rng: Random
 ) -> Runner | None:
     """Draw a runner that may take a request now, if there is one."""
-    able = [place for place in places if _may_start(place, ask, left)]
-    if not able:
+    eligible = [
+        snapshot for snapshot in snapshots if _can_start(snapshot, ask, left)
+    ]
+    if not eligible:
         return None
-    weights = [_weight(place, ask) for place in able]
-    return rng.choices(able, weights)[0].runner
+    weights = [_weight(snapshot, ask) for snapshot in eligible]
+    return rng.choices(eligible, weights)[0].runner
 
 
-def _may_start(place: Place, ask: Ask, left: TimeLeft) -> bool:
-    seconds = place.seconds(ask)
-    return place.may_start(place.prefill_tokens(ask), seconds, left)
+def _can_start(snapshot: RunnerSnapshot, ask: Ask, left: TimeLeft) -> bool:
+    seconds = snapshot.estimate_run_s(ask)
+    return snapshot.can_start_in_time(
+        snapshot.prefill_tokens(ask), seconds, left
+    )
 
 
-def _weight(place: Place, ask: Ask) -> float:
+def _weight(snapshot: RunnerSnapshot, ask: Ask) -> float:
     # Not the slots that a named rate fills: the rate has let this start.
-    slots = place.runner.limit.value
-    taken = len(place.runner.in_flight) / slots
-    prefill = place.prefill_tokens(ask)
-    seconds = place.pace.seconds(prefill, decode_work(ask)) * (1 + taken)
-    cost = max(seconds, LEAST_S) * (1 + place.failing * FAILED_TIMES)
+    slots = snapshot.runner.limit.value
+    used_share = len(snapshot.runner.in_flight) / slots
+    prefill = snapshot.prefill_tokens(ask)
+    seconds = snapshot.pace.seconds(prefill, decode_work(ask)) * (
+        1 + used_share
+    )
+    cost = max(seconds, MIN_RUN_S) * (
+        1 + snapshot.failure_share * FAILURE_COST_FACTOR
+    )
     weight = slots / cost**2
-    if place.runner.name in ask.connected:
-        weight *= CONNECTED_TIMES
+    if snapshot.runner.name in ask.connected:
+        weight *= CONNECTED_WEIGHT_FACTOR
     return float(weight)
--- a/bramleybend/decisions/tier_queue.py
+++ b/bramleybend/decisions/tier_queue.py
@@ -18,51 +18,53 @@
 
 from sortedcontainers import SortedKeyList, SortedList
 
-from bramleybend.decisions.overload import Standing
+from bramleybend.decisions.overload import LatenessTracker
 from bramleybend.decisions.prefixes import prefix_tokens
 from bramleybend.models import Ask
 
-LATE_EVERY = 6  # starts, of which one is left to late entries
-FIRST_LATE = (True, -inf, '')  # sorts before every late entry
-WINDOW = 12  # entries a free runner may choose its best prefix match from
+LATE_START_INTERVAL = 6  # starts, of which one is left to late entries
+LATE_KEY_MIN = (True, -inf, '')  # sorts before every late entry
+WINDOW_ENTRIES = (
+    12  # entries a free runner may choose its best prefix match from
+)
 
 
 @dataclass(frozen=True)
-class Waiting:
+class WaitingEntry:
     """One queued request."""
 
     ask: Ask
-    arrived: float
+    arrived_at: float
     latest_start: float  # later it is surely too late
-    urgent_from: float  # later it is at risk
+    urgent_at: float  # later it is at risk
     rank: float
     on_time_until: float = inf
     is_late: bool = False
 
     @property
-    def least_prefill(self) -> int:
+    def min_prefill_tokens(self) -> int:
         """Return the prompt tokens that no prefix covers."""
         count = len(self.ask.prefixes)
         covered = prefix_tokens(count - 1) if count else 0
         return max(self.ask.prompt_tokens - covered, 0)
 
     @property
-    def order(self) -> tuple[bool, float, str]:
+    def sort_key(self) -> tuple[bool, float, str]:
         """Sort late ones last, then by rank; the id makes it total."""
         return (self.is_late, self.rank, self.ask.request_id)
 
     @property
-    def due(self) -> tuple[float, str]:
+    def expiry_key(self) -> tuple[float, str]:
         """Sort by latest start."""
         return (self.latest_start, self.ask.request_id)
 
     @property
-    def urgency(self) -> tuple[float, str]:
+    def urgency_key(self) -> tuple[float, str]:
         """Sort by the time from which it is at risk."""
-        return (self.urgent_from, self.ask.request_id)
+        return (self.urgent_at, self.ask.request_id)
 
     @property
-    def objective(self) -> tuple[float, str]:
+    def objective_key(self) -> tuple[float, str]:
         """Sort by the time until which it can be on time."""
         return (self.on_time_until, self.ask.request_id)
 
@@ -71,98 +73,108 @@
     """The entries of one tier, fair between workspaces."""
 
     def __init__(
-        self, weights: Mapping[str, float], fair: bool, standing: Standing
+        self,
+        weights: Mapping[str, float],
+        fair: bool,
+        lateness: LatenessTracker,
     ) -> None:
         """Start empty."""
-        self.standing = standing
+        self.standing = lateness
         self._weights = weights
         self._fair = fair
         self._lanes: dict[str, SortedKeyList] = {}
-        self._served: dict[str, float] = {}
-        self._order = SortedList()
-        self._floor = float(0)
+        self._virtual_times: dict[str, float] = {}
+        self._lane_order = SortedList()
+        self._min_virtual_time = float(0)
         self._costs: defaultdict[str, float] = defaultdict(float)
-        self._since_late = 0  # starts since one of a late entry
+        self._starts_since_late = 0  # starts since one of a late entry
         self.cost = float(0)
-        self.expiry = SortedList()
-        self.urgent = SortedList()
-        self.objectives = SortedList()
+        self.by_expiry = SortedList()
+        self.by_urgency = SortedList()
+        self.by_objective = SortedList()
 
     def __len__(self) -> int:
         """Count the entries."""
         return sum(len(lane) for lane in self._lanes.values())
 
-    def add(self, entry: Waiting) -> None:
+    def add(self, entry: WaitingEntry) -> None:
         """Queue an entry in its workspace's lane."""
-        name = self._lane_name(entry.ask)
+        name = self._lane_of(entry.ask)
         if name not in self._lanes:
-            self._lanes[name] = SortedKeyList(key=_order_of)
+            self._lanes[name] = SortedKeyList(key=_sort_key_of)
             # An idle workspace saves up no claim: it rejoins at the floor.
-            served = max(self._served.get(name, self._floor), self._floor)
-            self._served[name] = served
-            self._order.add((served, name))
+            served = max(
+                self._virtual_times.get(name, self._min_virtual_time),
+                self._min_virtual_time,
+            )
+            self._virtual_times[name] = served
+            self._lane_order.add((served, name))
         self._lanes[name].add(entry)
-        self.expiry.add(entry.due)
-        self.urgent.add(entry.urgency)
-        self.objectives.add(entry.objective)
+        self.by_expiry.add(entry.expiry_key)
+        self.by_urgency.add(entry.urgency_key)
+        self.by_objective.add(entry.objective_key)
         self._costs[name] += entry.ask.cost
         self.cost += entry.ask.cost
 
-    def remove(self, entry: Waiting) -> None:
+    def remove(self, entry: WaitingEntry) -> None:
         """Take an entry out; its lane goes with the last one."""
-        name = self._lane_name(entry.ask)
+        name = self._lane_of(entry.ask)
         lane = self._lanes[name]
         lane.remove(entry)
-        self.expiry.remove(entry.due)
-        self.urgent.remove(entry.urgency)
-        self.objectives.remove(entry.objective)
+        self.by_expiry.remove(entry.expiry_key)
+        self.by_urgency.remove(entry.urgency_key)
+        self.by_objective.remove(entry.objective_key)
         self._costs[name] -= entry.ask.cost
         self.cost -= entry.ask.cost
         if not lane:
             self._costs.pop(name)
             self._lanes.pop(name)
-            self._order.remove((self._served[name], name))
+            self._lane_order.remove((self._virtual_times[name], name))
 
     def charge(self, ask: Ask, cost: float) -> None:
         """Count cost as served to the request's workspace."""
-        name = self._lane_name(ask)
-        before = self._served.get(name, self._floor)
+        name = self._lane_of(ask)
+        before = self._virtual_times.get(name, self._min_virtual_time)
         after = max(before + cost / self._weight(name), 0)
         if name in self._lanes:
-            self._order.remove((before, name))
-            self._order.add((after, name))
-            self._served[name] = after
-        elif after > self._floor:
-            self._served[name] = after
+            self._lane_order.remove((before, name))
+            self._lane_order.add((after, name))
+            self._virtual_times[name] = after
+        elif after > self._min_virtual_time:
+            self._virtual_times[name] = after
         else:
-            self._served.pop(name, None)
-        if self._order:
-            self._floor = max(self._floor, self._order[0][0])
+            self._virtual_times.pop(name, None)
+        if self._lane_order:
+            self._min_virtual_time = max(
+                self._min_virtual_time, self._lane_order[0][0]
+            )
 
-    def count_start(self, entry: Waiting) -> None:
+    def record_start(self, entry: WaitingEntry) -> None:
         """Count a start towards the next turn of late entries."""
-        self._since_late = 0 if entry.is_late else self._since_late + 1
+        self._starts_since_late = (
+            0 if entry.is_late else self._starts_since_late + 1
+        )
 
-    def windows(self, now: float) -> Iterator[list[Waiting]]:
+    def windows(self, now: float) -> Iterator[list[WaitingEntry]]:
         """Go over the next entries of each workspace, in turn.
 
         Late ones come last, unless some are at risk and it is their turn.
         """
-        if self._since_late < LATE_EVERY - 1:
+        if self._starts_since_late < LATE_START_INTERVAL - 1:
             yield from self._on_time_windows()
             yield from self._late_windows()
             return
         late = list(self._late_windows())
-        yield from (window for window in late if window[0].urgent_from <= now)
+        yield from (window for window in late if window[0].urgent_at <= now)
         yield from self._on_time_windows()
-        yield from (window for window in late if window[0].urgent_from > now)
+        yield from (window for window in late if window[0].urgent_at > now)
 
-    def late(self) -> list[Waiting]:
+    def late_entries(self) -> list[WaitingEntry]:
         """Return the entries that can't be on time any more."""
         return [
             entry
             for lane in self._lanes.values()
-            for entry in lane[lane.bisect_key_left(FIRST_LATE) :]
+            for entry in lane[lane.bisect_key_left(LATE_KEY_MIN) :]
         ]
 
     def has_on_time(self) -> bool:
@@ -171,30 +183,30 @@
 
     def count_ahead(self, ask: Ask) -> int:
         """Return the workspace's own entries times those it takes turns with."""
-        own = len(self._lanes.get(self._lane_name(ask), ()))
+        own = len(self._lanes.get(self._lane_of(ask), ()))
         return min(own * max(len(self._lanes), 1), len(self))
 
     def cost_ahead(self, ask: Ask) -> float:
         """Return the workspace's own cost times those it takes turns with."""
-        name = self._lane_name(ask)
+        name = self._lane_of(ask)
         turns = max(len(self._lanes), 1)
         return min(self._costs.get(name, 0) * turns, self.cost)
 
-    def _on_time_windows(self) -> Iterator[list[Waiting]]:
-        for _, name in self._order:
-            window = self._lanes[name].islice(0, WINDOW)
+    def _on_time_windows(self) -> Iterator[list[WaitingEntry]]:
+        for _, name in self._lane_order:
+            window = self._lanes[name].islice(0, WINDOW_ENTRIES)
             on_time = [entry for entry in window if not entry.is_late]
             if on_time:
                 yield on_time
 
-    def _late_windows(self) -> Iterator[list[Waiting]]:
-        for _, name in self._order:
+    def _late_windows(self) -> Iterator[list[WaitingEntry]]:
+        for _, name in self._lane_order:
             lane = self._lanes[name]
-            first = lane.bisect_key_left(FIRST_LATE)
+            first = lane.bisect_key_left(LATE_KEY_MIN)
             if first < len(lane):
-                yield list(lane.islice(first, first + WINDOW))
+                yield list(lane.islice(first, first + WINDOW_ENTRIES))
 
-    def _lane_name(self, ask: Ask) -> str:
+    def _lane_of(self, ask: Ask) -> str:
         return ask.workspace if self._fair else ''
 
     def _weight(self, name: str) -> float:
@@ -202,5 +214,5 @@
         return weight if weight > 0 else 1
 
 
-def _order_of(entry: Waiting) -> tuple[bool, float, str]:
-    return entry.order
+def _sort_key_of(entry: WaitingEntry) -> tuple[bool, float, str]:
+    return entry.sort_key
--- a/bramleybend/decisions/turnaway.py
+++ b/bramleybend/decisions/turnaway.py
@@ -17,11 +17,11 @@
 from datetime import timedelta
 from random import Random
 
-from bramleybend.decisions.fading import FadingSum
+from bramleybend.decisions.fading import DecayingSum
 
-SHORTEST_S = 0.5
-LONGEST_S = 60.0
-SPREAD = (0.75, 1.75)
+MIN_RETRY_AFTER_S = 0.5
+MAX_RETRY_AFTER_S = 60.0
+RETRY_AFTER_SPREAD = (0.75, 1.75)
 # Runs of some seconds: a runner that slows down shows within a few of them.
 HALF_LIFE_S = 5.0
 
@@ -31,18 +31,18 @@
 
     def __init__(self) -> None:
         """Start without a measure."""
-        self._cost = FadingSum(HALF_LIFE_S)
-        self._seconds = FadingSum(HALF_LIFE_S)
+        self._cost = DecayingSum(HALF_LIFE_S)
+        self._slot_seconds = DecayingSum(HALF_LIFE_S)
 
-    def finished(self, cost: float, seconds: float, now: float) -> None:
+    def record_run(self, cost: float, seconds: float, now: float) -> None:
         """Learn from a run that held a slot for so long."""
         if seconds > 0:
             self._cost.add(cost, now)
-            self._seconds.add(seconds, now)
+            self._slot_seconds.add(seconds, now)
 
-    def per_second(self, slots: int, now: float) -> float | None:
+    def cost_per_s(self, slots: int, now: float) -> float | None:
         """Return the rate of so many slots, unless no run has ended yet."""
-        seconds = self._seconds.value(now)
+        seconds = self._slot_seconds.value(now)
         if not seconds:
             return None
         return max(slots * self._cost.value(now) / seconds, 1)
@@ -52,8 +52,8 @@
     cost_ahead: float, rate: float | None, rng: Random
 ) -> timedelta:
     """Say when the queue will have drained, spread over the callers."""
-    drained = SHORTEST_S
+    drain_s = MIN_RETRY_AFTER_S
     if rate is not None:
-        drained = max(cost_ahead / max(rate, 1), SHORTEST_S)
-    spread = rng.uniform(*SPREAD)
-    return timedelta(seconds=min(drained * spread, LONGEST_S))
+        drain_s = max(cost_ahead / max(rate, 1), MIN_RETRY_AFTER_S)
+    factor = rng.uniform(*RETRY_AFTER_SPREAD)
+    return timedelta(seconds=min(drain_s * factor, MAX_RETRY_AFTER_S))
--- a/tests/decisions/test_choice.py
+++ b/tests/decisions/test_choice.py
@@ -12,66 +12,72 @@
 from bramleybend.decisions.actions import RunnerInfo
 from bramleybend.decisions.cache_view import CacheView
 from bramleybend.decisions.dispatch import (
-    HOLD_S,
-    MOST_WEIGHED,
-    PLACE_S,
-    Choice,
-    choose,
+    MIN_HOLD_GAIN_S,
+    MAX_EVALUATED,
+    POSITION_PENALTY_S,
+    Candidate,
+    choose_next,
 )
-from bramleybend.decisions.failing import FAILED_S
+from bramleybend.decisions.failing import FAILURE_COST_S
 from bramleybend.decisions.places import (
-    OTHERS,
-    SHORT_TOKENS,
-    Place,
+    PREFILL_IMPACT,
+    SHORT_PREFILL_TOKENS,
+    RunnerSnapshot,
     TimeLeft,
-    places_of,
+    snapshot_runners,
 )
 from bramleybend.decisions.pool import RunnerPool
-from bramleybend.decisions.queueing import LeastTime, WaitingQueue
+from bramleybend.decisions.queueing import MinRunTime, WaitingQueue
 from bramleybend.decisions.runs import Runner
 from bramleybend.decisions.shard import Shard
 from bramleybend.decisions.switches import Switches
-from bramleybend.decisions.tier_queue import WINDOW, Waiting
+from bramleybend.decisions.tier_queue import WINDOW_ENTRIES, WaitingEntry
 from bramleybend.decisions.turnaway import DrainRate
 from bramleybend.models import Ask, Tier
 
 NOW = 1000.0
 STATES = 400
-LEAST = LeastTime(0.1, 0.3)
+LEAST = MinRunTime(0.1, 0.3)
 PREFIXES = [f'prefix-{number}' for number in range(12)]
 
 
-def plain_cost(place: Place, ask: Ask) -> float:
+def plain_cost(place: RunnerSnapshot, ask: Ask) -> float:
     """Add up what a run costs at a place, the caches looked into."""
     prefill = place.prefill_tokens(ask)
     decode = max(ask.cost - ask.prompt_tokens, 1)
-    seconds = place.fill + place.pace.seconds(prefill, decode)
-    work = prefill / place.mean.prefill
-    return seconds + work * OTHERS + place.failing * FAILED_S
+    seconds = place.backlog_s + place.pace.seconds(prefill, decode)
+    work = prefill / place.mean_pace.prefill_per_s
+    return (
+        seconds + work * PREFILL_IMPACT + place.failure_share * FAILURE_COST_S
+    )
 
 
-def plainly_takes(place: Place, ask: Ask, left: TimeLeft) -> bool:
+def plainly_takes(place: RunnerSnapshot, ask: Ask, left: TimeLeft) -> bool:
     """Tell whether a request may start at a place and is in time there."""
-    if not place.free:
+    if not place.is_free:
         return False
-    short = place.prefill_tokens(ask) <= SHORT_TOKENS
-    if place.fill >= place.gate and not short:
+    short = place.prefill_tokens(ask) <= SHORT_PREFILL_TOKENS
+    if place.backlog_s >= place.max_backlog_s and not short:
         return False
-    begins = place.fill + place.pace.seconds(place.prefill_tokens(ask), 0)
-    in_time = begins < left.begin and place.seconds(ask) < left.end
+    begins = place.backlog_s + place.pace.seconds(place.prefill_tokens(ask), 0)
+    in_time = (
+        begins < left.first_token_s and place.estimate_run_s(ask) < left.total_s
+    )
     return in_time or not place.runner.in_flight
 
 
 def plain_choices(
-    shard: Shard, window: list[Waiting], places: list[Place]
-) -> Iterator[Choice]:
+    shard: Shard, window: list[WaitingEntry], places: list[RunnerSnapshot]
+) -> Iterator[Candidate]:
     """Weigh each entry of a window against every runner."""
-    hold = shard.switches.holding and len(window) < min(len(places), WINDOW)
-    is_free_for_all = len(shard.queue) <= sum(one.free for one in places)
+    hold = shard.switches.holding and len(window) < min(
+        len(places), WINDOW_ENTRIES
+    )
+    is_free_for_all = len(shard.queue) <= sum(one.is_free for one in places)
     for position, entry in enumerate(window):
         ask = entry.ask
         left = TimeLeft(inf, inf)
-        is_tried = is_free_for_all and entry.urgent_from <= NOW
+        is_tried = is_free_for_all and entry.urgent_at <= NOW
         if shard.switches.expiry and not is_tried:
             left = TimeLeft(ask.begin_by - NOW, ask.deadline - NOW)
         able = [one for one in places if one.runner.name not in ask.excluded]
@@ -79,29 +85,31 @@
         if not taken:
             continue
         best = min(taken, key=lambda one: plain_cost(one, ask))
-        least_at = min(able, key=lambda one: plain_cost(one, ask) + one.wait)
-        least = plain_cost(least_at, ask) + least_at.wait
-        regret = plain_cost(best, ask) - least + position * PLACE_S
+        least_at = min(able, key=lambda one: plain_cost(one, ask) + one.wait_s)
+        least = plain_cost(least_at, ask) + least_at.wait_s
+        regret = plain_cost(best, ask) - least + position * POSITION_PENALTY_S
         saves = least_at.prefill_tokens(ask) < best.prefill_tokens(ask)
         worth_it = saves or len(shard.queue) < len(places)
-        held_until = min(entry.urgent_from, entry.on_time_until - HOLD_S)
-        held = hold and worth_it and regret >= HOLD_S and held_until > NOW
+        held_until = min(entry.urgent_at, entry.on_time_until - MIN_HOLD_GAIN_S)
+        held = (
+            hold and worth_it and regret >= MIN_HOLD_GAIN_S and held_until > NOW
+        )
         if not held:
-            yield Choice(entry, best.runner, regret, saves)
+            yield Candidate(entry, best.runner, regret, saves)
 
 
-def plain_choice(shard: Shard) -> Choice | None:
+def plain_choice(shard: Shard) -> Candidate | None:
     """Return what a weighing of everything against everything would start."""
-    places = places_of(shard, NOW)
-    windows = shard.queue.windows(shard.lowest_tier(NOW))
-    longest = max((one.most_prefill() for one in places), default=-1)
+    places = snapshot_runners(shard, NOW)
+    windows = shard.queue.windows(shard.lowest_startable_tier(NOW))
+    longest = max((one.max_prefill_tokens() for one in places), default=-1)
     weighed = 0
     for window in windows:
         choices = list(plain_choices(shard, window, places))
         if choices:
             return min(choices, key=lambda one: one.regret)
-        weighed += sum(entry.least_prefill <= longest for entry in window)
-        if weighed >= MOST_WEIGHED:
+        weighed += sum(entry.min_prefill_tokens <= longest for entry in window)
+        if weighed >= MAX_EVALUATED:
             return None
     return None
 
@@ -128,16 +136,16 @@
 def stir(rng: Random, runner: Runner) -> None:
     """Put a runner in a random state."""
     runner.leaving = rng.random() < 0.1
-    runner.backlog = rng.choice([0, 0, 400, 3000, 20_000])
-    runner.mean_seconds = rng.choice([0.01, 0.2, 1, 4])
+    runner.backlog_tokens = rng.choice([0, 0, 400, 3000, 20_000])
+    runner.mean_run_s = rng.choice([0.01, 0.2, 1, 4])
     busy = rng.randint(0, 4)
     runner.in_flight = {f'run-{number}' for number in range(busy)}
     if rng.random() < 0.7:
-        runner.speed.prefilled(3000, rng.choice([0.06, 0.2, 1.5]))
-        runner.speed.decoded(200, rng.choice([0.1, 0.4, 2]))
+        runner.speed.record_prefill(3000, rng.choice([0.06, 0.2, 1.5]))
+        runner.speed.record_decode(200, rng.choice([0.1, 0.4, 2]))
     if rng.random() < 0.3:
-        runner.failing.note(NOW - rng.random(), failed=True)
-    runner.cache.sent(rng.sample(PREFIXES, rng.randint(0, 8)), NOW - 1)
+        runner.failures.record(NOW - rng.random(), failed=True)
+    runner.cache.record_sent(rng.sample(PREFIXES, rng.randint(0, 8)), NOW - 1)
 
 
 def random_shard(rng: Random, switches: Switches) -> Shard:
@@ -168,7 +176,7 @@
     for _ in range(STATES):
         shard = random_shard(rng, switches)
         expected = plain_choice(shard)
-        assert choose(shard, NOW) == expected
+        assert choose_next(shard, NOW) == expected
         started += expected is not None
     assert STATES / 4 < started < STATES, 'both outcomes are played'
 
@@ -193,7 +201,7 @@
     for _ in range(STATES):
         shard = random_shard(rng, Switches())
         looks.clear()
-        choose(shard, NOW)
+        choose_next(shard, NOW)
         assert max(looks.values(), default=0) <= len(shard.queue)
 
 
@@ -214,5 +222,5 @@
         return 0
 
     monkeypatch.setattr(CacheView, 'cached_tokens', counted)
-    assert choose(shard, NOW) is not None
+    assert choose_next(shard, NOW) is not None
     assert not looks
--- a/tests/decisions/test_failing.py
+++ b/tests/decisions/test_failing.py
@@ -88,9 +88,9 @@
     """The share fades, as only runs can show that it is well."""
     share = FailureShare()
     for _ in range(10):
-        share.note(0, failed=True)
+        share.record(0, failed=True)
     assert share.value(0) > 0.9
     assert share.value(12) < 0.15
     for _ in range(10):
-        share.note(12, failed=False)
+        share.record(12, failed=False)
     assert share.value(12) < 0.02
--- a/tests/decisions/test_hedging.py
+++ b/tests/decisions/test_hedging.py
@@ -1,13 +1,18 @@
 """When a second run is started beside a slow first one."""
 
-from bramleybend.decisions.hedging import BURST, FEWEST, WINDOW, Hedging
+from bramleybend.decisions.hedging import (
+    MAX_BUDGET,
+    MIN_CALLS,
+    WINDOW_CALLS,
+    Hedging,
+)
 
 CALL = ('booking-app', 'availability')
 
 
 def _learned(seconds: float) -> Hedging:
     hedging = Hedging()
-    for _ in range(WINDOW):
+    for _ in range(WINDOW_CALLS):
         hedging.finished(*CALL, seconds)
     return hedging
 
@@ -15,7 +20,7 @@
 def test_nothing_is_hedged_before_enough_calls_are_known() -> None:
     """A quantile of a few calls means nothing."""
     hedging = Hedging()
-    for _ in range(FEWEST - 1):
+    for _ in range(MIN_CALLS - 1):
         hedging.finished(*CALL, 1)
     assert hedging.delay_s(*CALL) is None
     hedging.finished(*CALL, 1)
@@ -34,7 +39,7 @@
     for _ in range(1000):
         hedging.begun(*CALL)
         allowed += hedging.allow(*CALL)
-    assert allowed <= BURST + 50
+    assert allowed <= MAX_BUDGET + 50
 
 
 def test_one_slow_profile_spends_its_own_budget_only() -> None:
--- a/tests/decisions/test_overload.py
+++ b/tests/decisions/test_overload.py
@@ -14,9 +14,9 @@
     RunnerInfo,
     RunReport,
 )
-from bramleybend.decisions.overload import MOST_SAVED, Overload
+from bramleybend.decisions.overload import MAX_OWED_STARTS, Overload
 from bramleybend.decisions.owner import make_shard_policy
-from bramleybend.decisions.turnaway import SHORTEST_S, SPREAD
+from bramleybend.decisions.turnaway import MIN_RETRY_AFTER_S, RETRY_AFTER_SPREAD
 from bramleybend.direct.owner import SWITCHES
 from bramleybend.entry_settings import MIN_TIER_SHARE, STANDING_QUEUE_S
 from bramleybend.models import Ask, Service, ServiceKind, Tier
@@ -32,7 +32,7 @@
 # Of a runner that does ten a second: the higher tier alone asks for all of it.
 PER_S: Final = {Tier.HIGH: 11.0, Tier.NORMAL: 8.0}
 # Later, a caller would have left before the shortest time to come back.
-EARLY: Final = PATIENCE_S - SHORTEST_S * SPREAD[1]
+EARLY: Final = PATIENCE_S - MIN_RETRY_AFTER_S * RETRY_AFTER_SPREAD[1]
 
 # Work for 1.3 s of every 1.8 s, that comes at two moments.
 BURST_STEPS: Final = 180
@@ -115,7 +115,7 @@
     played = play(seed)
     starts = sum(map(len, played.waits.values()))
     lower = len(played.waits[Tier.NORMAL])
-    assert abs(lower - MIN_TIER_SHARE * starts) <= MOST_SAVED
+    assert abs(lower - MIN_TIER_SHARE * starts) <= MAX_OWED_STARTS
 
 
 @pytest.mark.parametrize('seed', SEEDS)
--- a/tests/decisions/test_parts.py
+++ b/tests/decisions/test_parts.py
@@ -7,20 +7,20 @@
 import pytest
 
 from bramleybend.decisions.cache_view import EVENT_LAG_S, CacheView
-from bramleybend.decisions.limits import ROUND, ConcurrencyLimit
+from bramleybend.decisions.limits import ROUND_RUNS, ConcurrencyLimit
 from bramleybend.decisions.pacing import RAMP_S, Ramp
-from bramleybend.decisions.preemption import yielding
+from bramleybend.decisions.preemption import preemptible_runs
 from bramleybend.decisions.runs import Run
-from bramleybend.decisions.speeds import Speed
+from bramleybend.decisions.speeds import PaceEstimator
 from bramleybend.decisions.turnaway import DrainRate, retry_after
 from bramleybend.models import Tier
 from tests.decisions.test_owner import make_ask
 
 
 def play_round(limit: ConcurrencyLimit, streams: int) -> None:
-    for _ in range(ROUND):
-        limit.streaming(streams, limit.value)
-        limit.completed(limit.value)
+    for _ in range(ROUND_RUNS):
+        limit.record_streams(streams, limit.value)
+        limit.record_completion(limit.value)
 
 
 def test_limit_falls_to_what_the_runner_really_batches() -> None:
@@ -39,16 +39,16 @@
 
 def test_limit_that_was_not_reached_stays() -> None:
     limit = ConcurrencyLimit(8)
-    for _ in range(ROUND * 3):
-        limit.streaming(1, 1)
-        limit.completed(1)
+    for _ in range(ROUND_RUNS * 3):
+        limit.record_streams(1, 1)
+        limit.record_completion(1)
     assert limit.value == 8
 
 
 def test_refusals_lower_a_limit_to_one_at_least() -> None:
     limit = ConcurrencyLimit(4)
     for _ in range(50):
-        limit.refused()
+        limit.record_refusal()
     assert limit.value == 1
 
 
@@ -59,33 +59,33 @@
     again.
     """
     view = CacheView()
-    view.sent(['p'], 100)
-    view.event('evicted', 'p', 101)
+    view.record_sent(['p'], 100)
+    view.handle_event('evicted', 'p', 101)
     assert view.cached_tokens(['p'], 1000) == 256
-    view.event('evicted', 'p', 100 + EVENT_LAG_S)
+    view.handle_event('evicted', 'p', 100 + EVENT_LAG_S)
     assert view.cached_tokens(['p'], 1000) == 0
 
 
 def test_missed_events_are_made_up_for_by_what_a_run_found() -> None:
     view = CacheView()
-    view.sent(['p', 'q', 'r'], 0)
-    view.found(['p', 'q', 'r'], expected=1024, cached=0)
+    view.record_sent(['p', 'q', 'r'], 0)
+    view.reconcile(['p', 'q', 'r'], expected=1024, cached=0)
     assert view.cached_tokens(['p', 'q', 'r'], 2000) == 256
 
 
 def test_unknown_event_kind_changes_nothing() -> None:
     view = CacheView()
-    view.event('moved', 'p', 0)
+    view.handle_event('moved', 'p', 0)
     assert not view.cached_tokens(['p'], 1000)
 
 
 def test_ramp_opens_slowly_and_longer_after_each_crash() -> None:
     ramp = Ramp(0)
     assert ramp.share(0) < ramp.share(RAMP_S / 2) < ramp.share(RAMP_S) == 1
-    ramp.crashed(started=5, now=10)
+    ramp.record_crash(started=5, now=10)
     assert ramp.share(10.5) == 0
     assert ramp.share(11.1) > 0
-    ramp.crashed(started=11.2, now=11.5)
+    ramp.record_crash(started=11.2, now=11.5)
     assert ramp.share(13) == 0
 
 
@@ -96,8 +96,8 @@
         Run(make_ask('c', tier=Tier.BULK), 'e', 0, 100),
         Run(make_ask('d', tier=Tier.BULK, cancellable=False), 'e', 0, 1),
     ]
-    assert yielding(runs, Tier.CRITICAL) == [runs[2], runs[1], runs[0]]
-    assert not yielding(runs, Tier.BULK)
+    assert preemptible_runs(runs, Tier.CRITICAL) == [runs[2], runs[1], runs[0]]
+    assert not preemptible_runs(runs, Tier.BULK)
 
 
 def test_callers_turned_away_together_return_apart() -> None:
@@ -110,15 +110,15 @@
 def test_drain_rate_follows_what_is_finished() -> None:
     drain = DrainRate()
     for second in range(60):
-        drain.finished(500, 1, second)
-    rate = drain.per_second(1, 60)
+        drain.record_run(500, 1, second)
+    rate = drain.cost_per_s(1, 60)
     assert rate is not None
     assert 400 < rate < 600
 
 
 @pytest.mark.parametrize('seconds', [0, -1, -inf])
 def test_speed_learns_nothing_from_nonsense(seconds: float) -> None:
-    speed = Speed()
-    speed.ended(100, seconds)
-    speed.decoded(-5, 1)
+    speed = PaceEstimator()
+    speed.record_run(100, seconds)
+    speed.record_decode(-5, 1)
     assert speed.pace is None
--- a/tests/decisions/test_quarantine.py
+++ b/tests/decisions/test_quarantine.py
@@ -2,7 +2,7 @@
 
 from bramleybend.decisions.quarantine import (
     CONDEMNED,
-    KEPT_RECORDS,
+    MAX_RECORDS,
     CrashBook,
     Verdict,
 )
@@ -72,6 +72,6 @@
 
 def test_memory_is_bounded_and_keeps_what_is_refused() -> None:
     book = condemned_book()
-    book.crashed('engine-9', [f'f{n}' for n in range(KEPT_RECORDS + 50)], 5)
-    assert len(book.export()) == KEPT_RECORDS
+    book.crashed('engine-9', [f'f{n}' for n in range(MAX_RECORDS + 50)], 5)
+    assert len(book.export()) == MAX_RECORDS
     assert book.verdict('poison', 6) is Verdict.REFUSED
--- a/tests/decisions/test_queueing.py
+++ b/tests/decisions/test_queueing.py
@@ -1,10 +1,10 @@
 """Who is next, and who leaves."""
 
-from bramleybend.decisions.queueing import LeastTime, WaitingQueue
+from bramleybend.decisions.queueing import MinRunTime, WaitingQueue
 from bramleybend.models import Tier
 from tests.decisions.test_owner import make_ask
 
-LEAST = LeastTime(0, 1)
+LEAST = MinRunTime(0, 1)
 
 
 def drain(queue: WaitingQueue, count: int) -> list[str]:
@@ -81,13 +81,13 @@
 
 def test_entries_leave_in_order_of_their_latest_start() -> None:
     queue = WaitingQueue({})
-    queue.add(make_ask('a', deadline=10), 0, LeastTime(0, 2))
-    queue.add(make_ask('b', deadline=5), 0, LeastTime(0, 2))
-    assert queue.next_due(Tier.NORMAL) == 4
-    late = queue.due(4.5, Tier.NORMAL)
+    queue.add(make_ask('a', deadline=10), 0, MinRunTime(0, 2))
+    queue.add(make_ask('b', deadline=5), 0, MinRunTime(0, 2))
+    assert queue.next_expiry(Tier.NORMAL) == 4
+    late = queue.expired(4.5, Tier.NORMAL)
     assert [entry.ask.request_id for entry in late] == ['b']
     queue.remove('b')
-    assert queue.next_due(Tier.NORMAL) == 9
+    assert queue.next_expiry(Tier.NORMAL) == 9
 
 
 def test_the_next_at_risk_is_told_beside_one_that_is() -> None:
--- a/tests/decisions/test_rates.py
+++ b/tests/decisions/test_rates.py
@@ -14,7 +14,7 @@
     starts = 0
     for step in range(10_000):
         if not rate.wait_s(step / 1000):
-            rate.started(step / 1000)
+            rate.record_start(step / 1000)
             starts += 1
     assert per_s * 10 - 1 <= starts <= per_s * 10
 
@@ -23,7 +23,7 @@
     """An owner that takes over doesn't begin with a full second."""
     rate = StartRate(2, 0)
     for _ in range(2):
-        rate.started(1)
+        rate.record_start(1)
     assert rate.wait_s(1) == pytest.approx(0.5)
 
 
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -5,8 +5,8 @@
 import pytest
 
 from bramleybend.decisions.retries import (
-    BURST,
-    LONGEST_BACKOFF_S,
+    MAX_TOKENS,
+    MAX_BACKOFF_S,
     RetryBudgets,
     backoff,
 )
@@ -31,12 +31,12 @@
     allowed = sum(
         budgets.allow(Repeat.IDEMPOTENT, 'north', 'lm', 0) for _ in range(1000)
     )
-    assert allowed == BURST
+    assert allowed == MAX_TOKENS
 
 
 def test_successes_earn_a_tenth_as_many_retries() -> None:
     budgets = RetryBudgets()
-    for _ in range(BURST):
+    for _ in range(MAX_TOKENS):
         assert budgets.allow(Repeat.IDEMPOTENT, 'north', 'lm', 0)
     for _ in range(51):
         budgets.succeeded('north', 'lm', 0)
@@ -48,7 +48,7 @@
 
 def test_service_without_budget_stops_all_workspaces() -> None:
     budgets = RetryBudgets()
-    for number in range(BURST):
+    for number in range(MAX_TOKENS):
         assert budgets.allow(Repeat.IDEMPOTENT, f'w{number}', 'lm', 0)
     assert not budgets.allow(Repeat.IDEMPOTENT, 'other', 'lm', 0)
     assert budgets.allow(Repeat.IDEMPOTENT, 'other', 'booking-app', 0)
@@ -56,7 +56,7 @@
 
 def test_clock_that_jumps_back_earns_nothing() -> None:
     budgets = RetryBudgets()
-    for _ in range(BURST):
+    for _ in range(MAX_TOKENS):
         assert budgets.allow(Repeat.IDEMPOTENT, 'north', 'lm', 100)
     assert not budgets.allow(Repeat.IDEMPOTENT, 'north', 'lm', -5000)
     assert not budgets.allow(Repeat.IDEMPOTENT, 'north', 'lm', 100)
@@ -69,5 +69,5 @@
         for attempt in (1, 4, 1000)
     ]
     assert [max(wait) for wait in waits] == sorted(max(w) for w in waits)
-    assert max(waits[2]) <= LONGEST_BACKOFF_S
+    assert max(waits[2]) <= MAX_BACKOFF_S
     assert len(set(waits[0])) > 190
--- a/tests/decisions/test_settled.py
+++ b/tests/decisions/test_settled.py
@@ -89,7 +89,7 @@
     def _both(self, event: str, *facts: object) -> None:
         now = facts[-1]
         assert isinstance(now, float)
-        self._plain._settled_until = -inf
+        self._plain._idle_until = -inf
         expected = getattr(self._plain, event)(*facts)
         actions: list[Action] = getattr(self._policy, event)(*facts)
         assert _kinds(actions) == _kinds(expected)
--- a/tests/decisions/test_standing_queue.py
+++ b/tests/decisions/test_standing_queue.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from bramleybend.decisions.queueing import LeastTime, WaitingQueue
-from bramleybend.decisions.tier_queue import LATE_EVERY
+from bramleybend.decisions.queueing import MinRunTime, WaitingQueue
+from bramleybend.decisions.tier_queue import LATE_START_INTERVAL
 from bramleybend.direct.owner import SWITCHES
 from bramleybend.models import Ask, Tier
 from tests.decisions.engine_play import PATIENCE_S, Burst, Play, Tally
@@ -19,7 +19,7 @@
 SEEDS: Final = (1, 2, 3, 4)
 MOST: Final = 0.5
 
-LEAST: Final = LeastTime(0, 1)
+LEAST: Final = MinRunTime(0, 1)
 LATE_AT: Final = 2.0
 
 
@@ -40,7 +40,7 @@
     queue.add(objective_ask('late', 'first', LATE_AT), 0, LEAST)
     queue.add(objective_ask('on-time', 'second', LATE_AT + 1), 1, LEAST)
     queue.charge(objective_ask('earlier', 'second', 1), 1000)
-    queue.pass_over_late(LATE_AT)
+    queue.demote_late(LATE_AT)
     return queue
 
 
@@ -81,14 +81,14 @@
     queue = WaitingQueue({})
     late = objective_ask('late', 'first', LATE_AT)
     queue.add(replace(late, deadline=LATE_AT + 2), 0, LEAST)
-    for number in range(LATE_EVERY):
+    for number in range(LATE_START_INTERVAL):
         name = f'on-time-{number}'
         queue.add(objective_ask(name, 'second', LATE_AT + 1), 1, LEAST)
-    queue.pass_over_late(LATE_AT)
+    queue.demote_late(LATE_AT)
     started = []
-    for _ in range(LATE_EVERY):
+    for _ in range(LATE_START_INTERVAL):
         entry = next(queue.windows(Tier.BULK, LATE_AT))[0]
         queue.remove(entry.ask.request_id)
-        queue.count_start(entry)
+        queue.record_start(entry)
         started.append(entry.ask.request_id)
     assert started[-1] == 'late'
