--- a/bramleybend/decisions/dispatch.py
+++ b/bramleybend/decisions/dispatch.py
@@ -20,16 +20,16 @@
 from math import inf
 
 from bramleybend.decisions.actions import Action, Grant
-from bramleybend.decisions.places import (
+from bramleybend.decisions.placement import (
     UNLIMITED,
     RunnerSnapshot,
     find_placement,
     snapshot_runners,
     time_left,
 )
+from bramleybend.decisions.random_placement import draw_runner
 from bramleybend.decisions.runs import Runner
 from bramleybend.decisions.shard import Shard
-from bramleybend.decisions.spreading import draw_runner
 from bramleybend.decisions.tier_queue import WINDOW_ENTRIES, WaitingEntry
 from bramleybend.models import Tier
 
--- a/bramleybend/decisions/turnaway.py
+++ b/bramleybend/decisions/drain_rate.py
@@ -17,7 +17,7 @@
 from datetime import timedelta
 from random import Random
 
-from bramleybend.decisions.fading import DecayingSum
+from bramleybend.decisions.decaying_sum import DecayingSum
 
 MIN_RETRY_AFTER_S = 0.5
 MAX_RETRY_AFTER_S = 60.0
--- a/bramleybend/decisions/expiry.py
+++ b/bramleybend/decisions/expiry.py
@@ -14,11 +14,11 @@
 from collections.abc import Sequence
 
 from bramleybend.decisions.actions import Action, Refuse
+from bramleybend.decisions.drain_rate import retry_after
 from bramleybend.decisions.floor import HOLD_S
-from bramleybend.decisions.queueing import WaitingQueue
 from bramleybend.decisions.shard import Shard
 from bramleybend.decisions.tier_queue import WaitingEntry
-from bramleybend.decisions.turnaway import retry_after
+from bramleybend.decisions.waiting_queue import WaitingQueue
 from bramleybend.models import Ask, Tier
 
 
--- a/bramleybend/decisions/owner.py
+++ b/bramleybend/decisions/owner.py
@@ -18,17 +18,17 @@
     RunReport,
     ShardLoad,
 )
-from bramleybend.decisions.admission import sanitize_ask, refusal_reason
-from bramleybend.decisions.dispatch import next_start_at, dispatch_waiting
+from bramleybend.decisions.admission import refusal_reason, sanitize_ask
+from bramleybend.decisions.dispatch import dispatch_waiting, next_start_at
+from bramleybend.decisions.drain_rate import DrainRate
 from bramleybend.decisions.expiry import expire, refuse
-from bramleybend.decisions.learning import apply_report, apply_first_token
 from bramleybend.decisions.overload import UNBOUNDED, Overload
 from bramleybend.decisions.pool import RunnerPool
 from bramleybend.decisions.preemption import preempt
-from bramleybend.decisions.queueing import WaitingQueue
+from bramleybend.decisions.run_feedback import apply_first_token, apply_report
 from bramleybend.decisions.shard import Shard
 from bramleybend.decisions.switches import Switches
-from bramleybend.decisions.turnaway import DrainRate
+from bramleybend.decisions.waiting_queue import WaitingQueue
 from bramleybend.models import Ask, Service, ServiceKind, Tier
 
 
--- a/bramleybend/decisions/places.py
+++ b/bramleybend/decisions/placement.py
@@ -15,10 +15,10 @@
 from math import inf
 from typing import Final
 
-from bramleybend.decisions.failing import FAILURE_COST_S
+from bramleybend.decisions.failure_share import FAILURE_COST_S
+from bramleybend.decisions.runner_pace import Pace
 from bramleybend.decisions.runs import Runner
 from bramleybend.decisions.shard import Shard
-from bramleybend.decisions.speeds import Pace
 from bramleybend.models import Ask
 
 MAX_BACKLOG_S = 0.5
--- a/bramleybend/decisions/pool.py
+++ b/bramleybend/decisions/pool.py
@@ -10,12 +10,12 @@
 
 from bramleybend.decisions.actions import RunnerInfo
 from bramleybend.decisions.cache_view import CacheView
-from bramleybend.decisions.limits import ConcurrencyLimit
-from bramleybend.decisions.pacing import RAMP_S, Ramp
-from bramleybend.decisions.queueing import MinRunTime
+from bramleybend.decisions.concurrency_limit import ConcurrencyLimit
+from bramleybend.decisions.runner_pace import DEFAULT_PACE, Pace, PaceEstimator
 from bramleybend.decisions.runs import Run, Runner
-from bramleybend.decisions.speeds import DEFAULT_PACE, Pace, PaceEstimator
+from bramleybend.decisions.slow_start import RAMP_S, Ramp
 from bramleybend.decisions.switches import Switches
+from bramleybend.decisions.waiting_queue import MinRunTime
 from bramleybend.models import Ask
 
 
--- a/bramleybend/decisions/preemption.py
+++ b/bramleybend/decisions/preemption.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterable, Iterator
 
 from bramleybend.decisions.actions import Action, Preempt
-from bramleybend.decisions.places import RunnerSnapshot, snapshot_runners
+from bramleybend.decisions.placement import RunnerSnapshot, snapshot_runners
 from bramleybend.decisions.runs import Run
 from bramleybend.decisions.shard import Shard
 from bramleybend.decisions.tier_queue import WaitingEntry
--- a/bramleybend/decisions/spreading.py
+++ b/bramleybend/decisions/random_placement.py
@@ -16,7 +16,11 @@
 from collections.abc import Sequence
 from random import Random
 
-from bramleybend.decisions.places import RunnerSnapshot, TimeLeft, decode_work
+from bramleybend.decisions.placement import (
+    RunnerSnapshot,
+    TimeLeft,
+    decode_work,
+)
 from bramleybend.decisions.runs import Runner
 from bramleybend.models import Ask
 
--- a/bramleybend/decisions/runs.py
+++ b/bramleybend/decisions/runs.py
@@ -4,11 +4,11 @@
 from math import ceil
 
 from bramleybend.decisions.cache_view import CacheView
-from bramleybend.decisions.failing import FailureShare
-from bramleybend.decisions.limits import ConcurrencyLimit
-from bramleybend.decisions.pacing import Ramp
-from bramleybend.decisions.rates import StartRate
-from bramleybend.decisions.speeds import PaceEstimator
+from bramleybend.decisions.concurrency_limit import ConcurrencyLimit
+from bramleybend.decisions.failure_share import FailureShare
+from bramleybend.decisions.runner_pace import PaceEstimator
+from bramleybend.decisions.slow_start import Ramp
+from bramleybend.decisions.start_rate import StartRate
 from bramleybend.models import Ask, Tier
 
 COMPLETION_COST = 8  # work of a decoded token, in prompt tokens
--- a/bramleybend/decisions/shard.py
+++ b/bramleybend/decisions/shard.py
@@ -4,14 +4,14 @@
 from math import log
 from random import Random
 
-from bramleybend.decisions.fading import DecayingSum
+from bramleybend.decisions.decaying_sum import DecayingSum
+from bramleybend.decisions.drain_rate import DrainRate
 from bramleybend.decisions.overload import UNBOUNDED, Overload
 from bramleybend.decisions.pool import RunnerPool
-from bramleybend.decisions.queueing import WaitingQueue
 from bramleybend.decisions.runs import Run, Runner
 from bramleybend.decisions.switches import Switches
 from bramleybend.decisions.tier_queue import WaitingEntry
-from bramleybend.decisions.turnaway import DrainRate
+from bramleybend.decisions.waiting_queue import WaitingQueue
 from bramleybend.models import Ask, Tier
 
 STARTS_HALF_LIFE_S = 2.0
--- a/bramleybend/decisions/queueing.py
+++ b/bramleybend/decisions/waiting_queue.py
@@ -22,8 +22,8 @@
 
 from bramleybend.decisions.overload import (
     UNBOUNDED,
-    Overload,
     LatenessTracker,
+    Overload,
     StartShares,
 )
 from bramleybend.decisions.tier_queue import TierQueue, WaitingEntry
--- a/tests/decisions/test_choice.py
+++ b/tests/decisions/test_choice.py
@@ -12,14 +12,15 @@
 from bramleybend.decisions.actions import RunnerInfo
 from bramleybend.decisions.cache_view import CacheView
 from bramleybend.decisions.dispatch import (
-    MIN_HOLD_GAIN_S,
     MAX_EVALUATED,
+    MIN_HOLD_GAIN_S,
     POSITION_PENALTY_S,
     Candidate,
     choose_next,
 )
-from bramleybend.decisions.failing import FAILURE_COST_S
-from bramleybend.decisions.places import (
+from bramleybend.decisions.drain_rate import DrainRate
+from bramleybend.decisions.failure_share import FAILURE_COST_S
+from bramleybend.decisions.placement import (
     PREFILL_IMPACT,
     SHORT_PREFILL_TOKENS,
     RunnerSnapshot,
@@ -27,12 +28,11 @@
     snapshot_runners,
 )
 from bramleybend.decisions.pool import RunnerPool
-from bramleybend.decisions.queueing import MinRunTime, WaitingQueue
 from bramleybend.decisions.runs import Runner
 from bramleybend.decisions.shard import Shard
 from bramleybend.decisions.switches import Switches
 from bramleybend.decisions.tier_queue import WINDOW_ENTRIES, WaitingEntry
-from bramleybend.decisions.turnaway import DrainRate
+from bramleybend.decisions.waiting_queue import MinRunTime, WaitingQueue
 from bramleybend.models import Ask, Tier
 
 NOW = 1000.0
--- a/tests/decisions/test_failing.py
+++ b/tests/decisions/test_failing.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from bramleybend.decisions.actions import Grant, RunnerInfo, RunReport
-from bramleybend.decisions.failing import FailureShare
+from bramleybend.decisions.failure_share import FailureShare
 from bramleybend.decisions.owner import make_shard_policy
 from bramleybend.decisions.switches import Switches
 from bramleybend.models import Ask, Service, ServiceKind, Tier
--- a/tests/decisions/test_overload.py
+++ b/tests/decisions/test_overload.py
@@ -14,9 +14,12 @@
     RunnerInfo,
     RunReport,
 )
+from bramleybend.decisions.drain_rate import (
+    MIN_RETRY_AFTER_S,
+    RETRY_AFTER_SPREAD,
+)
 from bramleybend.decisions.overload import MAX_OWED_STARTS, Overload
 from bramleybend.decisions.owner import make_shard_policy
-from bramleybend.decisions.turnaway import MIN_RETRY_AFTER_S, RETRY_AFTER_SPREAD
 from bramleybend.direct.owner import SWITCHES
 from bramleybend.entry_settings import MIN_TIER_SHARE, STANDING_QUEUE_S
 from bramleybend.models import Ask, Service, ServiceKind, Tier
--- a/tests/decisions/test_parts.py
+++ b/tests/decisions/test_parts.py
@@ -7,12 +7,12 @@
 import pytest
 
 from bramleybend.decisions.cache_view import EVENT_LAG_S, CacheView
-from bramleybend.decisions.limits import ROUND_RUNS, ConcurrencyLimit
-from bramleybend.decisions.pacing import RAMP_S, Ramp
+from bramleybend.decisions.concurrency_limit import ROUND_RUNS, ConcurrencyLimit
+from bramleybend.decisions.drain_rate import DrainRate, retry_after
 from bramleybend.decisions.preemption import preemptible_runs
+from bramleybend.decisions.runner_pace import PaceEstimator
 from bramleybend.decisions.runs import Run
-from bramleybend.decisions.speeds import PaceEstimator
-from bramleybend.decisions.turnaway import DrainRate, retry_after
+from bramleybend.decisions.slow_start import RAMP_S, Ramp
 from bramleybend.models import Tier
 from tests.decisions.test_owner import make_ask
 
--- a/tests/decisions/test_queueing.py
+++ b/tests/decisions/test_queueing.py
@@ -1,6 +1,6 @@
 """Who is next, and who leaves."""
 
-from bramleybend.decisions.queueing import MinRunTime, WaitingQueue
+from bramleybend.decisions.waiting_queue import MinRunTime, WaitingQueue
 from bramleybend.models import Tier
 from tests.decisions.test_owner import make_ask
 
--- a/tests/decisions/test_rates.py
+++ b/tests/decisions/test_rates.py
@@ -3,7 +3,7 @@
 import pytest
 
 from bramleybend.decisions.actions import RunReport
-from bramleybend.decisions.rates import StartRate
+from bramleybend.decisions.start_rate import StartRate
 from tests.decisions.test_owner import granted, make_ask, make_policy
 
 
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -5,8 +5,8 @@
 import pytest
 
 from bramleybend.decisions.retries import (
-    MAX_TOKENS,
     MAX_BACKOFF_S,
+    MAX_TOKENS,
     RetryBudgets,
     backoff,
 )
--- a/tests/decisions/test_standing_queue.py
+++ b/tests/decisions/test_standing_queue.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from bramleybend.decisions.queueing import MinRunTime, WaitingQueue
 from bramleybend.decisions.tier_queue import LATE_START_INTERVAL
+from bramleybend.decisions.waiting_queue import MinRunTime, WaitingQueue
 from bramleybend.direct.owner import SWITCHES
 from bramleybend.models import Ask, Tier
 from tests.decisions.engine_play import PATIENCE_S, Burst, Play, Tally
--- a/tests/decisions/test_turnaway.py
+++ b/tests/decisions/test_turnaway.py
@@ -10,8 +10,8 @@
     RunnerInfo,
     RunReport,
 )
-from bramleybend.decisions.learning import DONE
 from bramleybend.decisions.owner import ShardPolicy, make_shard_policy
+from bramleybend.decisions.run_feedback import DONE
 from bramleybend.decisions.switches import Switches
 from bramleybend.models import Service, ServiceKind, Tier
 from tests.decisions.test_owner import make_ask
