--- a/bramleybend/decisions/__init__.py
+++ b/bramleybend/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Pure policy under load: no I/O, no asyncio, the clock passed in."""
+"""Policy under load as pure functions of time: no I/O and no asyncio."""
--- a/bramleybend/decisions/actions.py
+++ b/bramleybend/decisions/actions.py
@@ -1,7 +1,7 @@
-"""What the decisions are told and what they order: plain data.
+"""Inputs and outputs of the decisions, as plain data.
 
-A scheduler task feeds these to a `ShardPolicy` and carries out the actions
-that come back; a gateway feeds `ShardView`s to `rank_shards`.
+A scheduler task reports them to a `ShardPolicy` and carries out the actions
+that it returns; a gateway passes `ShardView`s to `rank_shards`.
 """
 
 from collections.abc import Mapping
@@ -21,17 +21,19 @@
 
 @dataclass(frozen=True)
 class Refuse:
-    """The request gets no slot; nothing was sent for it."""
+    """The request gets no slot, and was not sent to a runner."""
 
     request_id: str
     reason: str
     retry_after: timedelta
-    shed: bool  # for want of capacity: the tier-floor round comes first
+    # Refused for lack of capacity: it may be shed only under a permit of the
+    # tier floor.
+    shed: bool
 
 
 @dataclass(frozen=True)
 class Preempt:
-    """Cancel this run; a waiting request of a higher tier needs the slot."""
+    """Cancel this run: a waiting request of a higher tier needs its slot."""
 
     request_id: str
     for_tier: Tier
@@ -42,12 +44,12 @@
 
 @dataclass(frozen=True)
 class RunReport:
-    """How a granted run ended, as seen by the gateway that streamed it."""
+    """How a granted run ended, as reported by the gateway that streamed it."""
 
     outcome: str
-    refused: bool = False  # the runner did not admit it
-    crashed: bool = False  # the runner died under it
-    moved: bool = False  # another process answers at the runner's address
+    refused: bool = False  # the runner rejected the request
+    crashed: bool = False  # the runner crashed during the run
+    moved: bool = False
     prompt_tokens: int = 0
     cached_tokens: int = 0
     completion_tokens: int = 0
@@ -56,17 +58,17 @@
 
 @dataclass(frozen=True)
 class RunnerInfo:
-    """One runner of the shard, as the VM list has it."""
+    """One runner of the shard, as the VM list describes it."""
 
     name: str
     leaving: bool = False
-    slots: int = 0  # that it declares; 0: as its service declares
-    warm: bool = False  # needs no slow start
+    slots: int = 0  # declared by the runner; 0: the service's default
+    warm: bool = False  # skips slow start
 
 
 @dataclass(frozen=True)
 class ShardLoad:
-    """What an owner tells gateways about its shard."""
+    """An owner's load report to gateways about its shard."""
 
     running: int
     waiting: int
@@ -75,18 +77,18 @@
 
 @dataclass(frozen=True)
 class Backlog:
-    """What waits at an owner, beside what its runners have free."""
+    """The waiting requests of an owner and the free capacity of its runners."""
 
-    waiting: Mapping[int, int]  # requests by tier
-    oldest_s: float  # how long the first of them has waited
+    waiting: Mapping[int, int]  # number of requests, by tier
+    oldest_s: float  # wait of the oldest request
     running: int
     slots: int
-    open_runners: int  # that may start something now
+    open_runners: int  # runners that may start a request now
 
 
 @dataclass(frozen=True)
 class ShardView:
-    """What a gateway last heard about a shard, and how long ago."""
+    """A shard's last load report at a gateway, and its age."""
 
     service: str
     shard: int
--- a/bramleybend/decisions/admission.py
+++ b/bramleybend/decisions/admission.py
@@ -1,17 +1,17 @@
-"""What is let into the queue.
+"""Admission of requests to the queue.
 
 Load pattern: a burst of more work than the deadlines leave room for.
 Without it: every request of the burst waits until its deadline and is refused
-then, when its caller has no time left to do anything else; and bad input
-(negative costs, unknown tiers) upsets the order of the queue.
+only then, when its caller has no time left to try elsewhere; and bad input
+(negative costs, unknown tiers) corrupts the order of the queue.
 
-A request is refused at once if the cost ahead of it takes longer than it can
-wait by `SURE_WAIT`: the rate is an estimate, and a wrong refusal costs more
-than a late one. Taken at its word, a burst lost 7 of 696 critical requests.
-While lower work runs here nothing is refused for that reason, as it
-goes first to each slot that comes free. A workspace waits behind its own cost
-times the workspaces it shares the shard with, not behind all that a large one
-has queued.
+A request is refused at once if the estimated wait exceeds `MAX_WAIT_RATIO`
+times the time that it has left. The drain rate is an estimate, and a wrong
+refusal costs more than a late one: with a ratio of 1, a burst lost 7 of 696
+critical requests. While runs of lower tiers are in progress, no request is
+refused for its wait, since it gets each released slot before them. A workspace
+waits for its own queued cost times the number of workspaces that share the
+shard, not for everything that a large workspace has queued.
 """
 
 from dataclasses import replace
@@ -21,12 +21,12 @@
 from bramleybend.decisions.shard import Shard
 from bramleybend.models import Ask, Tier
 
-MAX_WAIT_RATIO = 1.5  # times the time left
+MAX_WAIT_RATIO = 1.5  # maximum estimated wait, in times of the time left
 MAX_QUEUED = 10_000
 
 
 def sanitize_ask(ask: Ask) -> Ask:
-    """Give bad values a defined meaning, the one that harms others least."""
+    """Replace invalid values by the valid ones that harm other requests least."""
     tokens = max(ask.prompt_tokens, 0)
     cost = ask.cost
     if not isfinite(cost) or cost <= 0:
@@ -45,9 +45,10 @@
 def refusal_reason(
     shard: Shard, ask: Ask, now: float, *, has_unassigned_slots: bool = False
 ) -> str | None:
-    """Return why a request can't be queued, `None` if it can.
+    """Return why a request can't be queued, or None if it can.
 
-    `has_unassigned_slots`: what is queued has not been weighed for the free slots yet.
+    `has_unassigned_slots` tells that the queued requests have not been assigned
+    to the free slots yet.
     """
     if all(_is_unavailable(runner, ask) for runner in shard.pool):
         return 'no_live_runner'
--- a/bramleybend/decisions/allotments.py
+++ b/bramleybend/decisions/allotments.py
@@ -1,67 +1,67 @@
-"""Which requests go beyond what their workspace was allotted.
-
-Load pattern: one workspace sends many times its usual, to all VMs at once.
-Without it: its work takes the slots of the others, who sent no more than
-they had been promised.
-
-Every VM keeps account of what each workspace has taken of its burst, by its
-own admissions and by what the others say that they admitted; the rate pays
-it back. News is as old as a heartbeat, so together they go beyond the
-allotment by what arrives in that time, and pay that back too. While some VMs
-are silent, the others use only their own part of the rate: the silent ones
-may still be admitting, and two halves that both used the whole rate would
-admit twice the allotment.
-
-A request is let in while `LEAST_SHARE` of the burst is left, and may take
-more than is left. Asked to hold a whole request, an account that a busy
-workspace keeps near empty lets small ones through and no large one ever.
-The workspace goes beyond its allotment by one request at most, and pays it
-back.
-
-A VM that starts again has lost its accounts, and so may have all others. Until
-a VM with older accounts tells it what is owed, it takes every burst for spent.
-It lets nothing in while VMs that start with it have yet to find each other:
-each would let in what the rate has paid back, as if it were the only one.
-
-The contracts tolerate more than the allotment. What lies beyond it is let in
-while runners stand idle: refused, it would have helped nobody.
+"""Admission of requests within the allotments of their workspaces.
+
+Load pattern: one workspace sends many times its usual load, to all VMs at once.
+Without it: its requests take the slots of other workspaces that stay within
+their allotments.
+
+Every VM keeps an account of the burst that each workspace has used, from its
+own admissions and from those that the other VMs report; the debt is repaid at
+the allotted rate. Reports are as old as a heartbeat, so together the VMs exceed
+an allotment by the arrivals of that time, which is repaid, too. While some VMs
+are silent, the others use only their own share of the rate: the silent VMs may
+still be admitting, and two halves of a partition that both used the whole rate
+would admit twice the allotment.
+
+A request is admitted while `MIN_BURST_SHARE` of the burst is left, and may use
+more than is left. If the whole request had to fit, the account that a busy
+workspace keeps nearly empty would admit small requests but never a large one.
+So a workspace exceeds its allotment by one request at most, and repays it.
+
+A VM that restarts has lost its accounts, and all others may have lost theirs,
+too. Until a VM with older accounts reports the debts, it treats every burst as
+used. It admits nothing while VMs that start at the same time have yet to find
+each other: each would admit what the rate has repaid, as if it were alone.
+
+Contracts tolerate more than the allotment. Requests beyond the allotment are
+admitted while runners are idle, since refusing them would help nobody.
 """
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 from math import inf, isinf
 
-MIN_BURST_SHARE = 0.05  # of the burst; any small part does
-# Of the burst, for VMs that hear few others. Six VMs that hear nobody then
-# let in three bursts at most, which the contracts' tolerance covers.
+MIN_BURST_SHARE = 0.05  # of the burst; any small share works
+# Share of the burst that a VM may use even if it hears few others. Six VMs that
+# hear no other then admit three bursts at most, which the contracts' tolerance
+# covers.
 MIN_USABLE_BURST = 0.5
-# Of what the contracts tolerate, for work on idle runners. The rest covers
-# what VMs admit at once without knowing of each other: the arrivals between
-# two heartbeats (0.2 s), and a cut between VMs that begins just then.
+# Share of the contracts' tolerance that is used for work on idle runners. The
+# rest covers what VMs admit without knowing of each other: the arrivals between
+# two heartbeats (0.2 s), and a partition that begins at that moment.
 IDLE_TOLERANCE_SHARE = 0.5
-# Two heartbeats, in which most VMs that start together hear of each other.
+# Two heartbeats, within which most VMs that start together hear each other.
 SETTLE_S = 0.4
-# Accounts that are complete from about the same time on: the same accounts,
-# told with the delay of the network and of a busy VM.
+# A peer's accounts count as older only beyond this difference: the same
+# accounts arrive with the delay of the network and of a busy VM.
 MIN_AGE_LEAD_S = 0.2
 
 
 @dataclass(frozen=True)
 class Tolerance:
-    """What the contracts let go beyond an allotment, over all VMs."""
+    """The overuse that the contracts tolerate, over all VMs."""
 
-    window_s: float = 1  # any span of this length counts
-    overage: float = 0  # of the allotment in a window
+    window_s: float = 1  # length of any time span that is checked
+    overage: float = 0  # share of the allotment in a window
     slack: float = 0  # units in a window
 
     def units(self, rate_per_s: float, burst: float) -> float:
-        """Return the units that may go beyond an allotment in a window."""
+        """Return the units by which a window may exceed the allotment."""
         return self.overage * (rate_per_s * self.window_s + burst) + self.slack
 
 
 @dataclass(frozen=True)
 class Allowance:
-    """What a workspace may use, as it now stands."""
+    """The current allotment of a workspace, in units."""
 
     rate_per_s: float
     burst: float
@@ -69,22 +69,22 @@
 
 @dataclass(frozen=True)
 class Spending:
-    """What one VM tells of a workspace's account."""
+    """One VM's report on a workspace's account, in units."""
 
-    used: float = 0  # admitted by that VM since its start
-    beyond: float = 0  # of it, what lay beyond the allotment
-    debt: float = 0  # of the burst over all VMs, not paid back yet
-    beyond_debt: float = 0  # of the tolerance, likewise
+    used: float = 0  # admitted by that VM since it started
+    beyond: float = 0  # admitted by that VM beyond the allotment
+    debt: float = 0  # used of the burst over all VMs, not repaid yet
+    beyond_debt: float = 0  # used of the tolerance over all VMs, not repaid yet
 
 
 @dataclass(frozen=True)
 class Verdict:
-    """What becomes of a request."""
+    """The decision on a request."""
 
     is_let_in: bool
-    is_beyond: bool = False  # let in, as the runners are idle
+    is_beyond: bool = False  # admitted beyond the allotment on idle runners
     retry_after_s: float = 0  # until the allotment has room again
-    owed: float = 0  # units of the burst that are taken, if refused
+    owed: float = 0  # units used of the burst, if refused
 
 
 @dataclass
@@ -98,24 +98,24 @@
 
 @dataclass
 class _PeerAccounts:
-    """What one peer told."""
+    """The totals that one peer reported."""
 
     spendings: dict[str, Spending] = field(default_factory=dict)
-    is_complete: bool = False  # what isn't there was not spent
+    is_complete: bool = False  # workspaces that are missing have used nothing
 
     def last_totals(self, workspace: str) -> Spending | None:
-        """Return a workspace's totals, if the peer has told them."""
+        """Return a workspace's last reported totals, if known."""
         unspent = Spending() if self.is_complete else None
         return self.spendings.get(workspace, unspent)
 
 
 @dataclass
 class AllotmentBook:
-    """All accounts of one VM."""
+    """The accounts of all workspaces at one VM."""
 
     tolerance: Tolerance = field(default_factory=Tolerance)
-    # From when on they hold all that was admitted; before, bursts are taken
-    # for spent. Minus infinity: nothing was admitted before.
+    # Time from which the accounts are complete; earlier bursts are assumed to
+    # be used. Minus infinity: nothing was admitted earlier.
     since: float = -inf
     _accounts: dict[str, _Account] = field(default_factory=dict)
     _peers: dict[str, _PeerAccounts] = field(default_factory=dict)
@@ -130,16 +130,18 @@
         *,
         are_runners_idle: bool = False,
     ) -> Verdict:
-        """Let a request in and count it, or tell when to come back.
+        """Admit a request and count it, or return when to retry.
 
-        `share` is the part of all VMs that this one hears.
+        `share` is the share of all VMs that this VM hears, itself included.
         """
         account = self._account(workspace, now)
         self._repay_debt(account, allowance, now, share)
         needed = min(units, allowance.burst * MIN_BURST_SHARE)
         left = allowance.burst - account.debt
         if now < self._settled_at():
-            # The same for all, or they would come back in the same moment.
+            # A constant delay keeps the retries as spread as the requests were.
+            # The time until the end of this phase would make all callers retry
+            # at once.
             return Verdict(
                 is_let_in=False, retry_after_s=SETTLE_S, owed=account.debt
             )
@@ -147,7 +149,8 @@
             account.debt += units
             account.used += units
             return Verdict(is_let_in=True)
-        # While some VMs are silent, the tolerance covers what they admit.
+        # The tolerance also covers what silent VMs admit, so it isn't used
+        # while some VMs are silent.
         if are_runners_idle and share >= 1:
             if account.beyond_debt + units <= self._idle_allowance(allowance):
                 account.beyond_debt += units
@@ -163,7 +166,7 @@
     def give_back(
         self, workspace: str, units: float, *, is_beyond: bool = False
     ) -> None:
-        """Undo an admission of what then didn't run."""
+        """Undo the admission of a request that did not run."""
         account = self._accounts.get(workspace)
         if account is None:
             return
@@ -175,7 +178,7 @@
             account.used -= units
 
     def spendings(self) -> dict[str, Spending]:
-        """Return what to tell the other VMs."""
+        """Return the totals to report to the other VMs, by workspace."""
         return {
             workspace: Spending(
                 account.used,
@@ -187,22 +190,23 @@
         }
 
     def age_s(self, now: float) -> float:
-        """Return for how long the accounts are complete."""
+        """Return for how many seconds the accounts have been complete."""
         return now - self.since
 
     def adopt(
-        self, told: Mapping[str, Spending], now: float, age_s: float
+        self, reported: Mapping[str, Spending], now: float, age_s: float
     ) -> None:
-        """Take over all accounts of a peer, if they go back further.
+        """Replace the accounts by a peer's if those are complete for longer.
 
-        What is only assumed to be owed gives way to what the peer knows.
+        Debts that are only assumed are replaced by the debts that the peer
+        knows.
         """
         since = now - age_s
         if since >= self.since - MIN_AGE_LEAD_S:
             return
         self.since = since
         for workspace, account in self._accounts.items():
-            owed = told.get(workspace, Spending())
+            owed = reported.get(workspace, Spending())
             ours = min(account.used, account.debt)
             beyond = min(account.beyond, account.beyond_debt)
             account.updated_at = max(account.updated_at, now)
@@ -212,46 +216,46 @@
     def heard(
         self,
         peer: str,
-        told: Mapping[str, Spending],
+        reported: Mapping[str, Spending],
         now: float,
         *,
         tells_all: bool = True,
         age_s: float = inf,
     ) -> None:
-        """Take over what a peer has admitted since it last said so.
+        """Add what a peer has admitted since its last report.
 
-        With `tells_all`, workspaces that are not named have spent nothing.
-        `age_s` is for how long the peer's accounts are complete.
+        With `tells_all`, workspaces that are not named have used nothing.
+        `age_s` is for how many seconds the peer's accounts have been complete.
 
-        A VM that has just started knows nothing of what was admitted before;
-        with a full burst from each restart, a rolling restart of six VMs
-        would let in six. So it begins with the debts that its peers know. Of
-        a peer whose accounts are younger than ours it takes what that peer
-        itself admitted: the rest of its debts may be only assumed.
+        A VM that has just started knows nothing of earlier admissions. If it
+        gave each workspace a full burst, a rolling restart of six VMs would
+        admit six bursts. So it starts with the debts that its peers know. From
+        a peer whose accounts are younger than its own, it takes only what that
+        peer itself admitted: the rest of that peer's debts may be only assumed.
         """
-        heard = self._peers.setdefault(peer, _PeerAccounts())
+        accounts = self._peers.setdefault(peer, _PeerAccounts())
         is_younger = now - age_s > self.since + MIN_AGE_LEAD_S
-        for workspace, spending in told.items():
+        for workspace, spending in reported.items():
             account = self._account(workspace, now)
-            known = heard.last_totals(workspace)
-            if known is None and is_younger:
+            last = accounts.last_totals(workspace)
+            if last is None and is_younger:
                 account.debt += min(spending.used, spending.debt)
                 account.beyond_debt += min(
                     spending.beyond, spending.beyond_debt
                 )
-            elif known is None:
+            elif last is None:
                 account.debt = max(account.debt, spending.debt)
                 account.beyond_debt = max(
                     account.beyond_debt, spending.beyond_debt
                 )
             else:
-                account.debt += spending.used - known.used
-                account.beyond_debt += spending.beyond - known.beyond
-            heard.spendings[workspace] = spending
-        heard.is_complete = heard.is_complete or tells_all
+                account.debt += spending.used - last.used
+                account.beyond_debt += spending.beyond - last.beyond
+            accounts.spendings[workspace] = spending
+        accounts.is_complete = accounts.is_complete or tells_all
 
     def forget(self, peer: str) -> None:
-        """Drop a peer that has ended."""
+        """Remove a peer that has ended."""
         self._peers.pop(peer, None)
 
     def _account(self, workspace: str, now: float) -> _Account:
@@ -289,16 +293,16 @@
     def _assumed_debt(
         self, units: float, repaid_per_s: float, now: float
     ) -> float:
-        """Return what is left of units that were spent before our accounts."""
+        """Return the unpaid rest of units assumed used before the accounts."""
         if isinf(self.since):
             return 0
         left = units - repaid_per_s * max(now - self._settled_at(), 0)
         return max(left, 0)
 
     def _idle_allowance(self, allowance: Allowance) -> float:
-        """Return the most that is let in beyond an allotment at once.
+        """Return the most that is admitted beyond an allotment at once.
 
-        As much again is paid back within a window.
+        The same amount is repaid within a window.
         """
         units = self.tolerance.units(allowance.rate_per_s, allowance.burst)
         return units * IDLE_TOLERANCE_SHARE / 2
@@ -307,8 +311,9 @@
 def make_allotment_book(
     tolerance: Tolerance, now: float, *, is_first_start: bool
 ) -> AllotmentBook:
-    """Return the accounts of a VM that starts.
+    """Create the accounts of a VM that starts.
 
-    `is_first_start`: of the whole system, so no workspace owes anything.
+    `is_first_start`: the whole system starts for the first time, so no
+    workspace has a debt.
     """
     return AllotmentBook(tolerance, -inf if is_first_start else now)
--- a/bramleybend/decisions/cache_view.py
+++ b/bramleybend/decisions/cache_view.py
@@ -1,14 +1,14 @@
-"""Which prompt prefixes a runner probably holds.
+"""The prompt prefixes that a runner probably has cached.
 
-Load pattern: many requests that share long prefixes, on engines whose cache
-is small and whose cache events come late and with gaps.
+Load pattern: many requests that share long prefixes, on engines whose cache is
+small and whose cache events arrive late or not at all.
 Without it: a long statement is prefilled again on every runner.
 
-The view follows what was sent there, bounded as the runner's own memory is.
-An event that a prefix was evicted counts only if the prefix was not sent
-again within `EVENT_LAG_S`, since the event may be older than that send. A run
-that found much less cached than expected empties the view for its prefixes,
-which makes up for events that never came.
+The view records the prefixes that were sent to the runner, up to
+`MAX_CACHED_PREFIXES`, as the runner's own memory is bounded. An eviction event
+is ignored if the prefix was sent again within `EVENT_LAG_S`, since the event
+may be older than that send. A run that found much less cached than expected
+removes its prefixes from the view, which compensates for lost events.
 """
 
 from collections import OrderedDict
@@ -20,20 +20,20 @@
 STORED = 'stored'
 EVICTED = 'evicted'
 EVENT_LAG_S = 5.0
-MIN_HIT_RATIO = (
-    0.5  # of the tokens expected cached; below it the view was wrong
-)
+# Share of the expected cached tokens; a run that finds less shows that the view
+# is wrong.
+MIN_HIT_RATIO = 0.5
 
 
 class CacheView:
-    """One runner's cache, as the owner believes it to be."""
+    """The owner's estimate of one runner's prefix cache."""
 
     def __init__(self) -> None:
-        """Start cold."""
+        """Start with an empty cache."""
         self._sent_at: OrderedDict[str, float] = OrderedDict()
 
     def record_sent(self, prefixes: Sequence[str], now: float) -> None:
-        """Note prefixes that a run computes there."""
+        """Record prefixes that a run computes on the runner."""
         for prefix in prefixes:
             self._sent_at[prefix] = now
             self._sent_at.move_to_end(prefix)
@@ -58,13 +58,13 @@
         expected: int,
         cached: int,
     ) -> None:
-        """Compare with what a run really found cached."""
+        """Correct the view by the tokens that a run really found cached."""
         if cached < expected * MIN_HIT_RATIO:
             for prefix in prefixes[1:]:
                 self._sent_at.pop(prefix, None)
 
     def handle_event(self, kind: str, prefix: str, now: float) -> None:
-        """Take in an event, unless it may be older than what was sent."""
+        """Apply a cache event, unless it may be older than the last send."""
         if kind == STORED:
             self._sent_at.setdefault(prefix, now)
         elif (
@@ -75,7 +75,7 @@
         self._trim()
 
     def clear(self) -> None:
-        """Forget everything; the runner lost its memory."""
+        """Remove everything; the runner lost its cache."""
         self._sent_at.clear()
 
     def _trim(self) -> None:
--- a/bramleybend/decisions/concurrency_limit.py
+++ b/bramleybend/decisions/concurrency_limit.py
@@ -1,32 +1,33 @@
-"""How many requests a runner is given at once.
+"""The number of requests that a runner is given at once.
 
 Load pattern: saturation, on runners whose true concurrency differs and whose
-load reports come late.
-Without it: the whole queue is poured into the engines, which admit in order
-of arrival; tiers, fairness and deadlines then have nothing left to order.
+load reports are late.
+Without it: the whole queue is sent to the engines, which admit in order of
+arrival; tiers, fairness and deadlines then have no effect.
 
-The limit is learned from own runs only: how many were past their first token
-at once. An engine with a full batch starts no further stream until one ends,
-so the peak never passes its true batch; and while one prompt is being filled
-the engine is busy, so one run more than the peak is enough. A round in which
-the peak reached the limit raises it by one; a lower peak lowers it. A runner
-that sends no first tokens keeps the declared limit, lowered by refusals.
+The limit is learned from the owner's own runs only: from how many were past
+their first token at once. An engine with a full batch starts no further stream
+until one ends, so the peak never exceeds its true batch size; and while a
+prompt is being prefilled the engine is busy, so one run more than the peak is
+enough. A round whose peak reached the limit raises it by one; a lower peak
+lowers it. A runner that reports no first tokens keeps the declared limit, which
+only refusals lower.
 """
 
 from math import ceil
 
-ROUND_RUNS = 6  # completions between two changes
-SPARE_RUNS = 1  # runs beyond the peak of streams: the prompt being filled
-MAX_STEP_DOWN = 0.8  # of the limit, at most, in one round
+ROUND_RUNS = 6  # completed runs between two changes
+SPARE_RUNS = 1  # runs beyond the peak of streams: one prompt in prefill
+MAX_STEP_DOWN = 0.8  # lower bound of a decrease in one round, of the limit
 REFUSAL_BACKOFF = 0.85
 MAX_GROWTH = 8
 
 
 class ConcurrencyLimit:
-    """One runner's limit."""
+    """The concurrency limit of one runner."""
 
     def __init__(self, start: int, *, learn: bool = True) -> None:
-        """Trust the runner with `start` requests at first."""
+        """Start with the declared limit."""
         self._start = max(start, 1)
         self._learn = learn
         self._limit = self._start
@@ -36,28 +37,28 @@
 
     @property
     def value(self) -> int:
-        """The limit, at least one."""
+        """Return the limit, at least 1."""
         return self._limit
 
     def record_streams(self, streams: int, in_flight: int) -> None:
-        """Note how many runs are past their first token."""
+        """Record how many runs are past their first token."""
         self._peak = max(self._peak, streams)
         self._update_was_full(in_flight)
 
     def record_completion(self, in_flight: int) -> None:
-        """Learn from a run that ended well."""
+        """Record a run that ended successfully."""
         self._update_was_full(in_flight)
         self._completions += 1
         if self._completions >= ROUND_RUNS:
             self._close_round()
 
     def record_refusal(self) -> None:
-        """Learn from a request that the runner did not admit."""
+        """Lower the limit after the runner rejected a request."""
         if self._learn:
             self._limit = max(int(self._limit * REFUSAL_BACKOFF), 1)
 
     def _update_was_full(self, in_flight: int) -> None:
-        # A limit that was not reached says nothing about the runner.
+        # A limit that was not reached gives no information about the runner.
         self._was_full = self._was_full or in_flight >= self._limit
 
     def _close_round(self) -> None:
--- a/bramleybend/decisions/dispatch.py
+++ b/bramleybend/decisions/dispatch.py
@@ -1,19 +1,21 @@
-"""What starts next, and where.
-
-Load pattern: saturation, where each freed slot meets a whole queue.
-Without it: the entry at the head goes to whichever runner came free, and the
-prefix that another entry has there is thrown away.
-
-A freed slot goes to the tier and workspace whose turn it is; of that
-workspace's next `WINDOW` entries the one is taken that costs the runner
-least, each place down the line counting as `PLACE_S`, so an entry is passed
-over a bounded number of times. An entry is held for a busy runner that would
-serve it `HOLD_S` sooner, prefill weighed in (`places.OTHERS`), unless it is
-urgent, would start late, or there are entries enough for all runners; where
-more wait than there are runners, only for one that has its prefix cached.
-With a free runner for each entry, one that is expected to end too late is tried
-once it is urgent, rather than refused beside idle runners.
-`MOST_WEIGHED` bounds the time of one decision.
+"""Selection of the next request to start, and of its runner.
+
+Load pattern: saturation, where a full queue competes for each released slot.
+Without it: the entry at the head goes to whichever runner became free, and the
+prefix that another entry has cached there is evicted.
+
+A released slot goes to the tier and workspace whose turn it is. Of that
+workspace's next `WINDOW_ENTRIES` entries, the one with the least regret is
+started: the extra cost of the best free runner over the best runner of all,
+plus `POSITION_PENALTY_S` for each position in the queue. The penalty bounds how
+often an entry is passed over. An entry is held for a busy runner that would
+serve it `MIN_HOLD_GAIN_S` sooner, including the impact of its prefill on other
+runs (`placement.PREFILL_IMPACT`), unless the entry is urgent, would start late,
+or there are enough entries for all runners. Where more entries wait than there
+are runners, an entry is held only for a runner that has its prefix cached. With
+a free runner for each entry, an urgent entry that is expected to end too late
+is tried rather than refused beside idle runners. `MAX_EVALUATED` bounds the
+time of one decision.
 """
 
 from dataclasses import dataclass, field
@@ -35,36 +37,38 @@
 
 POSITION_PENALTY_S = 0.05
 MIN_HOLD_GAIN_S = 0.25
-# Seconds that a run may take longer where it spares a new connection, which
-# costs both sides; paces are not known more exactly than this.
+# A runner with an open connection is preferred if its cost is at most this much
+# higher: a new connection costs both sides, and paces are not known more
+# precisely.
 CONNECTION_COST_S = 0.03
-MAX_EVALUATED = 6 * WINDOW_ENTRIES  # entries, in as many windows as that takes
+MAX_EVALUATED = 6 * WINDOW_ENTRIES  # entries, over as many windows as needed
 
 
 @dataclass(frozen=True)
 class Candidate:
-    """An entry that may start, and where."""
+    """A queued entry that may start, and its best runner."""
 
     entry: WaitingEntry
     runner: Runner
-    regret: float  # seconds, beside the best it could wait for
-    saves_prefill: bool  # waiting for that one would fill fewer tokens
-    cost: float = field(default=0, compare=False)  # seconds, there
+    regret: float  # seconds above the best runner, including busy ones
+    saves_prefill: bool  # that best runner would prefill fewer tokens
+    cost: float = field(default=0, compare=False)  # seconds on `runner`
 
 
 def dispatch_waiting(
     shard: Shard, now: float, new_request_id: str | None = None
 ) -> list[Action]:
-    """Fill the free slots.
+    """Start waiting requests on the free slots.
 
-    `added` names the only request that came since nothing else could start.
+    `new_request_id` names the only request that arrived since no other could
+    start.
     """
     actions = _dispatch_suspect(shard, now)
     while True:
         candidate = choose_next(shard, now, new_request_id)
         if candidate is None:
             return actions
-        # What starts changes for how long others would wait.
+        # A started run changes the wait of the other entries.
         new_request_id = None
         ask = candidate.entry.ask
         runner = _connected_runner(shard, candidate, now) or candidate.runner
@@ -75,9 +79,9 @@
 def choose_next(
     shard: Shard, now: float, new_request_id: str | None = None
 ) -> Candidate | None:
-    """Return what starts next, if anything may.
+    """Return the candidate to start next, or None.
 
-    With `added`, only the window that this request came to is weighed.
+    With `new_request_id`, only the window that holds this request is evaluated.
     """
     if not shard.queue or not shard.pool.has_room(now):
         return None
@@ -105,7 +109,7 @@
 def _connected_runner(
     shard: Shard, candidate: Candidate, now: float
 ) -> Runner | None:
-    """Return a runner that costs about as much and spares a connection."""
+    """Return a runner that costs about as much and needs no new connection."""
     ask = candidate.entry.ask
     names = ask.connected - ask.excluded
     if not names or shard.switches.spreading:
@@ -146,7 +150,8 @@
         for position, entry in eligible
     )
     found = [candidate for candidate in evaluated if candidate is not None]
-    # Enough entries for all runners will use them all; none is held.
+    # With enough entries for all runners, no entry is held: each runner gets
+    # one.
     are_few_candidates = window_length < min(len(snapshots), WINDOW_ENTRIES)
     if not (are_few_candidates and shard.switches.holding):
         return found
@@ -161,8 +166,8 @@
 def _is_held(candidate: Candidate, now: float, are_few_waiting: bool) -> bool:
     if candidate.regret < MIN_HOLD_GAIN_S:
         return False
-    # A long queue uses the faster runners anyway: held for their pace alone,
-    # it would leave the others idle.
+    # A long queue keeps the faster runners busy anyway: entries held for their
+    # pace alone would leave the other runners idle.
     if not (are_few_waiting or candidate.saves_prefill):
         return False
     entry = candidate.entry
@@ -177,7 +182,7 @@
     now: float,
     must_end_in_time: bool,
 ) -> Candidate | None:
-    """Weigh the free runners against waiting for a busy one."""
+    """Compare the free runners with waiting for a busy one."""
     ask = entry.ask
     eligible = snapshots
     if ask.excluded:
@@ -218,7 +223,8 @@
         other.reserved_for = None
     if runner is None:
         return []
-    # Held empty for the suspect, or it would never find a runner to itself.
+    # The runner is drained for the suspect, which would otherwise never find an
+    # idle runner.
     runner.reserved_for = ask.request_id
     if runner.in_flight:
         return []
@@ -236,15 +242,15 @@
 
 
 def _load_key(runner: Runner) -> tuple[int, bool]:
-    # Of equals, the one that is already held for the suspect.
+    # Among equals, the runner that is already reserved for the suspect.
     return (len(runner.in_flight), runner.reserved_for is None)
 
 
 def next_start_at(shard: Shard, now: float) -> float:
-    """Return when something may start without any event.
+    """Return when an entry may start without any further event.
 
-    Ramps and floors end, what is held for a better runner gets urgent, and
-    a runner that named a limit takes its next request.
+    Ramps and floors end, entries that are held for a better runner become
+    urgent, and runners with a start rate accept their next request.
     """
     if not shard.queue and not shard.suspects:
         return inf
--- a/bramleybend/decisions/expiry.py
+++ b/bramleybend/decisions/expiry.py
@@ -1,14 +1,14 @@
-"""Which waiting requests leave because they can't be done in time.
+"""Refusal of waiting requests that can't end in time.
 
-Load pattern: a queue longer than the deadlines of what stands in it.
+Load pattern: a queue longer than the deadlines of its entries.
 Without it: slots go to requests whose callers have given up, and their whole
-prefill is wasted just when capacity is short. The ablation `expiry` switches
-this off together with `places.Place.in_time`.
+prefill is wasted while capacity is short. The ablation `expiry` also turns off
+the check of the time left in `dispatch`.
 
-What is refused for want of capacity may only be shed once nothing lower runs
-(`floor`). So nothing lower starts from the refusal on, for as long as the
-gateway needs to ask for that; else the slot that comes free next goes to a
-lower tier, and the refused request runs out of time without proof.
+A request refused for lack of capacity may be shed only once nothing of a lower
+tier runs (`floor`). So nothing lower starts from the refusal until the gateway
+has had time to ask the owners. Otherwise the next released slot would go to a
+lower tier, and the refused request would reach its deadline without a permit.
 """
 
 from collections.abc import Sequence
@@ -23,7 +23,7 @@
 
 
 def expire(shard: Shard, now: float) -> list[Action]:
-    """Refuse what can no longer end in time, or only at others' expense."""
+    """Refuse entries that can't end in time, and late ones in standing queues."""
     expired = _expired(shard.queue, now) + _expired(shard.suspects, now)
     actions = _refuse_all(shard, expired, 'deadline_unmet', now)
     overdue = shard.queue.overdue(now)
@@ -34,7 +34,7 @@
 def refuse(
     shard: Shard, ask: Ask, reason: str, now: float, *, shed: bool
 ) -> Refuse:
-    """Turn a request away, with the time to come back."""
+    """Refuse a request and tell its caller when to retry."""
     if shed and shard.switches.floor_at_refusal:
         shard.raise_floor(ask.tier, now + HOLD_S)
     cost_ahead = shard.queue.cost_ahead(ask)
--- a/bramleybend/decisions/hedging.py
+++ b/bramleybend/decisions/hedging.py
@@ -1,16 +1,16 @@
-"""Whether and when a second run is started beside a slow first one.
+"""Hedging of slow runs with a second run.
 
-Load pattern: short idempotent calls of which a few meet a runner that has
-just stalled, before its owner has noticed.
-Without it: each of them waits out the stall, or its whole deadline, while
-other runners stand idle.
+Load pattern: short idempotent calls, a few of which meet a runner that has just
+stalled, before its owner has noticed.
+Without it: each of them waits until the stall ends or its deadline passes,
+while other runners are idle.
 
-A second run starts once the first has taken longer than `QUANTILE` of the
-last `WINDOW` calls of its service and profile: in quiet times one call in
-twenty, so each may have one. When all runners are slow that would double the
-load at the worst moment, so second runs are also paid from a budget that
-grows by `SHARE` of the first runs. Before `FEWEST` calls the quantile means
-nothing and nothing is hedged.
+A second run starts once the first has taken longer than `QUANTILE` of the last
+`WINDOW_CALLS` calls of its service and profile. Normally that is one call in
+twenty, so each of these may have a second run. When all runners are slow, this
+would double the load at the worst moment, so second runs also need a budget,
+which grows by `BUDGET_PER_CALL` with each first run. With fewer than
+`MIN_CALLS` calls the quantile has no meaning and nothing is hedged.
 """
 
 from collections import deque
@@ -33,31 +33,31 @@
 
 
 class Hedging:
-    """What a gateway learned of the calls that may be hedged."""
+    """The durations and hedging budgets of a gateway's calls."""
 
     def __init__(self) -> None:
-        """Know no calls yet."""
+        """Start without known calls."""
         self._calls: dict[tuple[str, str], _CallStats] = {}
 
     def begun(self, service: str, profile: str) -> None:
-        """Earn a part of a second run."""
+        """Count a first run, which earns part of a second run."""
         calls = self._stats_of(service, profile)
         calls.budget = min(calls.budget + BUDGET_PER_CALL, MAX_BUDGET)
 
     def finished(self, service: str, profile: str, seconds: float) -> None:
-        """Learn how long a call took; impossible figures teach nothing."""
+        """Record a call's duration in seconds, if it is positive."""
         if seconds > 0:
             self._stats_of(service, profile).seconds.append(seconds)
 
     def delay_s(self, service: str, profile: str) -> float | None:
-        """Return after how long a second run is worth it, if it is known."""
+        """Return after how many seconds to start a second run, if known."""
         seconds = sorted(self._stats_of(service, profile).seconds)
         if len(seconds) < MIN_CALLS:
             return None
         return seconds[int(len(seconds) * QUANTILE)]
 
     def allow(self, service: str, profile: str) -> bool:
-        """Spend a second run, if the budget has one."""
+        """Spend a second run; tell whether the budget had one."""
         calls = self._stats_of(service, profile)
         if calls.budget < 1:
             return False
--- a/bramleybend/decisions/orders.py
+++ b/bramleybend/decisions/orders.py
@@ -1,8 +1,8 @@
-"""Which engine is ordered next, and which get no work meanwhile.
+"""Orders to engines, and the engines that get no work meanwhile.
 
 Load pattern: new weights for a whole pool under full load.
-Without it: all engines would load at once, and nobody would serve; or a
-version that can't be loaded would take one engine after the other out.
+Without it: all engines would load at once and none would serve; or a version
+that can't be loaded would take the engines out of service one by one.
 """
 
 from collections.abc import Sequence
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class EngineState:
-    """What an engine reports that it holds."""
+    """An engine's report of what it has loaded."""
 
     model: str
     version: str
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class LoadModel:
-    """Load a version of a model in place of what is held."""
+    """Load a version of a model instead of the loaded one."""
 
     model: str
     version: str
@@ -33,14 +33,14 @@
 
 @dataclass(frozen=True)
 class LoadAdapter:
-    """Load an adapter beside those that are held."""
+    """Load an adapter in addition to the loaded ones."""
 
     adapter: str
 
 
 @dataclass(frozen=True)
 class SetRole:
-    """Take another part of the work; needs no weights."""
+    """Serve another phase of requests; needs no weights."""
 
     role: EngineRole
 
@@ -50,18 +50,18 @@
 
 @dataclass(frozen=True)
 class EngineView:
-    """One engine of a shard, as its issuer knows it."""
+    """One engine of a shard, as the issuer of its orders knows it."""
 
     name: str
-    state: EngineState | None = None  # none: it has not answered
-    changing: bool = False  # taken out of service for an order
-    failed: bool = False  # did not do as ordered, lately
+    state: EngineState | None = None  # None if it has not replied
+    changing: bool = False  # out of service for an order
+    failed: bool = False  # failed a recent order
 
 
 def next_order(state: EngineState, target: EngineTarget) -> Order | None:
-    """Return the one order that brings an engine closer to its target.
+    """Return the next order that brings an engine closer to its target.
 
-    The model goes first: engines drop adapters with the model they were for.
+    The model comes first: engines drop their adapters with the model.
     """
     if (state.model, state.version) != (target.model, target.version):
         return LoadModel(target.model, target.version)
@@ -74,12 +74,12 @@
 
 
 def needs_weights(order: Order) -> bool:
-    """Whether the order makes an engine read from the weight store."""
+    """Tell whether the order makes an engine read from the weight store."""
     return not isinstance(order, SetRole)
 
 
 def is_right(state: EngineState | None, target: EngineTarget) -> bool:
-    """Whether an engine holds what it should, and is done loading it."""
+    """Tell whether an engine matches its target and is not loading."""
     if state is None or state.loading:
         return False
     return next_order(state, target) is None
@@ -91,9 +91,10 @@
 ) -> frozenset[str]:
     """Return the engines that get no work now.
 
-    With a new version published every engine is wrong at once. So a wrong one
-    serves on with what it has until half of the shard is right. An engine
-    that has never answered is left in: work goes on if only its report fails.
+    When a new version is published, no engine matches it. So an engine with the
+    wrong version continues to serve until half of the shard matches. An engine
+    that has never replied stays in service: work continues if only its report
+    fails.
     """
     right_count = sum(is_right(view.state, target) for view in views)
     is_half_right = 2 * right_count >= len(views)
@@ -113,9 +114,9 @@
 ) -> tuple[str, ...]:
     """Return the engines to take out of service for an order now.
 
-    Half of a shard at most is out at once, or its only engine. What failed
-    or does not answer counts as out: a version that can't be loaded then
-    stops its own rollout, and what is left serves on.
+    At most half of a shard is out at once, or its only engine. Engines that
+    failed or don't reply count as out: so a version that can't be loaded stops
+    its own rollout, and the remaining engines continue to serve.
     """
     out_count = sum(_is_out(view) for view in views)
     max_out = min(max(len(views) // 2, 1), loads_at_once)
@@ -124,7 +125,7 @@
         for view in views
         if not _is_out(view) and _is_wrong(view.state, target)
     ]
-    # One that holds nothing serves nobody, so nothing is lost by its load.
+    # An engine without a model serves no requests, so its load costs nothing.
     wrong.sort(key=lambda view: (not _is_empty(view.state), view.name))
     return tuple(view.name for view in wrong[: max(max_out - out_count, 0)])
 
--- a/bramleybend/decisions/overload.py
+++ b/bramleybend/decisions/overload.py
@@ -1,48 +1,48 @@
-"""How a shard treats more work than its runners can do.
+"""Bounds on lateness and starvation during a lasting overload.
 
-Load pattern: an overload that lasts, above which one tier fills every slot.
-Without it: all who wait in a tier are answered late or refused at the end of
-their patience, as the queue never gets shorter than their objective; and the
+Load pattern: a lasting overload in which one tier could use every slot.
+Without it: all requests of that tier are answered late or refused at the end of
+their patience, since the queue never gets shorter than their objective; and the
 lowest tiers are not served at all.
 
-A queue stands once entries have kept getting late for `standing_s` without the
-queue running empty (as in CoDel, it is time and not length that tells a burst
-from an overload). Then a late entry is refused at once while others of its tier
-can still be on time: those get the slots, and who is refused hears of it early
-enough to come back.
+A queue is standing once entries have kept becoming late for `standing_s`
+without the queue becoming empty. As in CoDel, duration rather than length
+distinguishes an overload from a burst. In a standing queue, a late entry is
+refused at once while other entries of its tier can still be on time: these get
+the slots, and the refused caller learns of it early enough to retry.
 
-Each lower tier that waits gets `min_share` of the starts at least. Above that,
-tiers go strictly.
+Each lower tier that waits gets at least `min_share` of the starts. Beyond that,
+tiers have strict priority.
 """
 
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass
 from math import inf
 
-MAX_OWED_STARTS = 2.0  # starts that a tier may claim in a row
+MAX_OWED_STARTS = 2.0  # starts that a tier may accumulate
 
 
 @dataclass(frozen=True)
 class Overload:
-    """Bounds that hold while there is more work than capacity."""
+    """Bounds that hold while demand exceeds capacity."""
 
-    min_share: float = 0  # of the starts, for each lower tier that waits
-    standing_s: float = inf  # for how long a queue may be late
+    min_share: float = 0  # of the starts, for each waiting lower tier
+    standing_s: float = inf  # how long a queue may keep its entries late
 
 
 UNBOUNDED = Overload()
 
 
 class StartShares:
-    """Which tiers are owed a start."""
+    """Counts the starts that are owed to lower tiers."""
 
     def __init__(self, min_share: float) -> None:
-        """Owe nothing."""
+        """Start without owed starts."""
         self._min_share = min_share
         self._owed_starts: dict[int, float] = {}  # starts, by tier
 
     def record_start(self, tier: int, waiting: Collection[int]) -> None:
-        """Count a start of a tier, while entries of these tiers wait."""
+        """Count a start of a tier; `waiting` are the tiers with entries."""
         highest = min(waiting, default=tier)
         for lower in waiting:
             if lower > highest:
@@ -51,7 +51,7 @@
         self._owed_starts[tier] = max(self._owed_starts.get(tier, 0) - 1, 0)
 
     def sort_tiers(self, tiers: Iterable[int]) -> list[int]:
-        """Return the tiers by turn: those that are owed a start first."""
+        """Return the tiers that are owed a start first, then by priority."""
         return sorted(tiers, key=self._sort_key)
 
     def _sort_key(self, tier: int) -> tuple[bool, int]:
@@ -59,26 +59,26 @@
 
 
 class LatenessTracker:
-    """For how long the entries of a queue have kept getting late."""
+    """Tracks how long the entries of a queue have kept becoming late."""
 
     def __init__(self, standing_s: float) -> None:
-        """Start in time."""
+        """Start without late entries."""
         self._standing_s = standing_s
         self._late_since = inf
         self._last_late_at = -inf
 
     def record_late(self, now: float) -> None:
-        """Hear that an entry can't be on time any more."""
+        """Record that an entry can't be on time any more."""
         if self._has_lapsed(now):
             self._late_since = now
         self._last_late_at = now
 
     def record_empty(self) -> None:
-        """Hear that the queue ran empty: what was late has been worked off."""
+        """Record that the queue became empty, which ends a standing queue."""
         self._late_since = inf
 
     def is_standing(self, now: float) -> bool:
-        """Tell whether the queue stands."""
+        """Tell whether the queue is standing."""
         return (
             not self._has_lapsed(now)
             and now - self._late_since >= self._standing_s
--- a/bramleybend/decisions/owner.py
+++ b/bramleybend/decisions/owner.py
@@ -1,8 +1,8 @@
-"""The policy of one shard's owner: the composition of all decisions.
+"""The policy of one shard's owner, which combines all decisions.
 
-A scheduler task tells it what happened and carries out the actions that come
-back. It holds no socket and no clock; `now` is monotonic seconds, and a `now`
-that went back counts as the latest one seen.
+A scheduler task reports events to it and carries out the actions that it
+returns. The policy holds no socket and no clock; `now` is monotonic seconds,
+and a `now` that is earlier than a previous one counts as the latest one seen.
 """
 
 from collections.abc import Mapping, Sequence
@@ -33,10 +33,10 @@
 
 
 class ShardPolicy:
-    """Decides for one shard; every method returns what to do now.
+    """Decides for one shard; the event methods return the actions to carry out.
 
-    A batched policy only takes in what happened; `tick` decides for all of it
-    at once.
+    A batched policy only records events; `tick` decides for all of them at
+    once.
     """
 
     def __init__(self, shard: Shard, *, batched: bool = False) -> None:
@@ -46,12 +46,12 @@
         self._new_request_id: str | None = None
         self._now = -inf
         self._has_runner_list = False
-        self.is_undecided = False  # something happened since the last `tick`
-        # Until then what waits can't start, unless something happens.
+        self.is_undecided = False  # events were recorded since the last `tick`
+        # Until this time no waiting request can start unless an event occurs.
         self._idle_until = -inf
 
     def ask(self, ask: Ask, now: float) -> list[Action]:
-        """Take in a request for a slot; a repeated one changes nothing."""
+        """Handle a request for a slot; a repeated request changes nothing."""
         moment = self._advance_clock(now)
         run = self._shard.runs.get(ask.request_id)
         if run is not None:
@@ -71,14 +71,14 @@
         return self._act(moment, new_request_id=ask.request_id)
 
     def adopt(self, ask: Ask, runner: str, now: float) -> list[Action]:
-        """Take over a run whose previous owner was lost."""
+        """Take over a run of a previous owner that was lost."""
         moment = self._advance_clock(now)
         if ask.request_id not in self._shard.runs:
             self._shard.adopt(sanitize_ask(ask), runner, moment)
         return self._act(moment)
 
     def witness(self, ask: Ask, name: str, now: float) -> list[Action]:
-        """Note a run that begins now by another owner's grant."""
+        """Record a run that starts now under another owner's grant."""
         moment = self._advance_clock(now)
         runner = self._shard.pool.get(name)
         if runner is not None and ask.request_id not in self._shard.runs:
@@ -86,7 +86,7 @@
         return self._act(moment)
 
     def withdraw(self, request_id: str, now: float) -> list[Action]:
-        """Forget a request whose caller or gateway is gone."""
+        """Drop a request whose caller or gateway is gone."""
         moment = self._advance_clock(now)
         self._shard.dequeue(request_id)
         self._shard.finish(request_id)
@@ -99,10 +99,10 @@
         cached_tokens: int,
         now: float,
     ) -> list[Action]:
-        """Learn from a finished prefill.
+        """Update the estimates from a finished prefill.
 
-        Many engines tell what was cached only with the last event, so
-        `cached_tokens` is negative where it is not known yet.
+        `cached_tokens` is negative while it is unknown: many engines report the
+        cached tokens only with the last event.
         """
         moment = self._advance_clock(now)
         run = self._shard.runs.get(request_id)
@@ -125,7 +125,7 @@
         report: RunReport,
         now: float,
     ) -> list[Action]:
-        """Free the run's slot and learn from its end."""
+        """Release the run's slot and update the estimates from its outcome."""
         moment = self._advance_clock(now)
         run = self._shard.runs.get(request_id)
         if run is not None:
@@ -138,7 +138,7 @@
         names: Sequence[RunnerInfo],
         now: float,
     ) -> list[Action]:
-        """Take in the list of the shard's runners."""
+        """Replace the list of the shard's runners."""
         moment = self._advance_clock(now)
         self._has_runner_list = True
         self._shard.pool.update(names, self._shard.runs.values(), moment)
@@ -147,9 +147,9 @@
     def start_rates(
         self, per_s: Mapping[str, float], now: float
     ) -> list[Action]:
-        """Take in how often runners may be sent a request.
+        """Set the maximum start rates of runners, in requests per second.
 
-        Runners that are not named may be at any time.
+        Runners that are not named have no maximum rate.
         """
         moment = self._advance_clock(now)
         changed = [
@@ -165,7 +165,7 @@
         prefix: str,
         now: float,
     ) -> list[Action]:
-        """Take in a runner's cache event; they come late and with gaps."""
+        """Handle a runner's cache event; events may be late or missing."""
         moment = self._advance_clock(now)
         runner = self._shard.pool.get(runner_name)
         if runner is not None:
@@ -173,17 +173,17 @@
         return self._act(moment)
 
     def tick(self, now: float) -> list[Action]:
-        """Do what has become due."""
+        """Decide on everything that has become due."""
         new_request_id = self._new_request_id
         self._new_request_id = None
         self.is_undecided = False
         return self._decide(self._advance_clock(now), new_request_id)
 
     def next_wake(self, now: float) -> float | None:
-        """Return when `tick` has something to do, if nothing else happens."""
+        """Return when `tick` is due if no other event occurs, or None."""
         moment = self._advance_clock(now)
         shard = self._shard
-        start = self._idle_until  # worked out when something last happened
+        start = self._idle_until  # computed after the last event
         if start <= moment:
             start = next_start_at(shard, moment)
         times = [start]
@@ -193,9 +193,10 @@
         return None if earliest == inf else max(earliest, moment)
 
     def set_floor(self, tier: Tier, hold_s: float, now: float) -> int:
-        """Start nothing below a tier for a while; count what runs below.
+        """Start nothing below a tier for `hold_s`; count the runs below it.
 
-        The next `tick` preempts for whatever waits in the tiers above.
+        The next `tick` preempts these runs for requests that wait in higher
+        tiers.
         """
         moment = self._advance_clock(now)
         self._shard.raise_floor(tier, moment + max(hold_s, 0))
@@ -203,7 +204,7 @@
         return len(self._shard.runs_below(tier))
 
     def load(self) -> ShardLoad:
-        """Return what gateways are told about this shard."""
+        """Return the load that gateways are told about this shard."""
         return ShardLoad(
             len(self._shard.runs),
             len(self._shard.queue) + len(self._shard.suspects),
@@ -211,7 +212,7 @@
         )
 
     def backlog(self, now: float) -> Backlog | None:
-        """Return what waits, unless nothing does."""
+        """Return the waiting requests in numbers, or None if none waits."""
         moment = self._advance_clock(now)
         shard = self._shard
         if not shard.queue:
@@ -225,7 +226,7 @@
         )
 
     def _refusal_reason(self, ask: Ask, now: float) -> str | None:
-        # What came just now isn't a queue yet while there is a free slot.
+        # New requests don't form a queue while a free slot may still take them.
         has_unassigned_slots = self.is_undecided and self._shard.pool.has_room(
             now
         )
@@ -255,7 +256,8 @@
         has_demoted = shard.switches.on_time_first and (
             shard.queue.demote_late(now)
         )
-        # With as many entries as runners, what was held is held no longer.
+        # With as many entries as runners, entries are no longer held for a busy
+        # runner.
         is_hold_over = len(shard.queue) == len(shard.pool)
         if actions or has_demoted or is_hold_over or now >= self._idle_until:
             new_request_id = None
@@ -274,10 +276,11 @@
     batched: bool = False,
     overload: Overload = UNBOUNDED,
 ) -> ShardPolicy:
-    """Make the policy of an empty shard; weights are the workspaces'."""
+    """Create the policy of an empty shard; `weights` are by workspace."""
     switches = switches or Switches()
     if service.kind is ServiceKind.PLAIN:
-        # Without first tokens nothing tells when a prompt is filled.
+        # A plain service reports no first tokens, so the end of a prefill is
+        # unknown.
         switches = replace(switches, filling=False)
     workspace_weights: Mapping[str, float] = {} if weights is None else weights
     shard = Shard(
--- a/bramleybend/decisions/ownership.py
+++ b/bramleybend/decisions/ownership.py
@@ -1,10 +1,10 @@
-"""Who owns which runners: shards of a pool and their ranked owners.
+"""Shards of a pool and the ranking of their owners.
 
-Answers churn among the entry VMs. A table of owners would have to be agreed
-on at each change; ranking by hash gives every VM the same answer from the
-same view, and a VM that joins or leaves moves only its own share (about one
-shard in n). Views may differ for a moment: two owners of a shard then cost
-goodput, never a promise, because the right to dispatch rests elsewhere.
+Membership changes often among the entry VMs. A table of owners would need an
+agreement at each change; ranking by hash gives every VM the same result from
+the same view, and a VM that joins or leaves moves only its own share (about one
+shard in n). Views may differ for a moment: two owners of a shard then reduce
+goodput but break no guarantee, because only a request's home may dispatch it.
 """
 
 from collections.abc import Sequence
@@ -18,10 +18,10 @@
 
 
 def shard_of(runner_name: str, shards: int) -> int:
-    """Return the shard that a runner belongs to, for as long as it is named.
+    """Return the shard of a runner, which depends only on its name.
 
-    Changing the number of shards moves most runners, which is why the number
-    is declared in the terms and not worked out from the runners seen.
+    Changing the number of shards moves most runners, so the number is declared
+    in the terms and not derived from the runners seen.
     """
     return xxh64_intdigest(runner_name.encode()) % shards
 
@@ -33,10 +33,10 @@
 ) -> list[Member]:
     """Rank the members for a shard: the owner, then its fallbacks.
 
-    Every VM weighs the same, so a small domain isn't loaded beyond its VMs.
-    The first fallback stands in another domain, where there is one: the loss
-    of a domain would otherwise take owner and fallback at once, and asks
-    would time out down the whole ranking.
+    Every VM has the same weight, so a small failure domain is not loaded beyond
+    its VMs. The first fallback is in another domain if there is one: otherwise
+    the loss of a domain could take owner and fallback at once, and asks would
+    time out at each of them in turn.
     """
     ranked = sorted(
         members,
@@ -51,7 +51,7 @@
 
 
 def _score(service: str, shard: int, member: Member) -> int:
-    # By name, not incarnation: a restarted VM gets its own shards back, and
-    # the others keep theirs.
+    # The hash uses the name, not the incarnation: a restarted VM gets its own
+    # shards back, and the other VMs keep theirs.
     key = SEPARATOR.join((service, str(shard), member.vm))
     return xxh64_intdigest(key.encode())
--- a/bramleybend/decisions/placement.py
+++ b/bramleybend/decisions/placement.py
@@ -1,13 +1,13 @@
-"""What each runner would cost a request, for one round of dispatch.
+"""Estimated cost of a request on each runner, for one dispatch round.
 
 Load pattern: long prompts on runners that also serve short ones.
-Without it: several long prompts are filled on one engine at once. None ends
-sooner for that, as one prompt keeps the engine busy; all of them end late,
-and no slot is left to order by tier.
+Without it: several long prompts are prefilled on one engine at once. None ends
+sooner for that, since one prompt keeps the engine busy; all of them end late,
+and no slot is left to assign by tier.
 
-A runner takes a prompt while what it still has to fill lasts less than
-`FILL_S`, or if the prompt is so short (`SHORT_TOKENS`) that it hardly delays
-the others.
+A runner accepts a prompt while its prefill backlog is shorter than
+`MAX_BACKLOG_S`, or if the prompt is so short (`SHORT_PREFILL_TOKENS`) that it
+hardly delays the others.
 """
 
 from collections.abc import Callable, Container, Sequence
@@ -24,44 +24,44 @@
 MAX_BACKLOG_S = 0.5
 SHORT_PREFILL_TOKENS = 512
 
-PREFILL_IMPACT = (
-    4.0  # seconds the others lose by a second of prefill at mean pace
-)
+# Seconds that other runs lose per second of prefill at the mean pace.
+PREFILL_IMPACT = 4.0
 
 
 @dataclass(frozen=True, slots=True)
 class TimeLeft:
     """Seconds that remain for a request's answer."""
 
-    first_token_s: float  # until its first token
-    total_s: float  # until its last
+    first_token_s: float  # until the first token
+    total_s: float  # until the last token
 
     def covers(self, prefill_s: float, run_s: float) -> bool:
-        """Tell whether a run that takes so long stays within it."""
+        """Tell whether a run with these durations ends within the time left."""
         return prefill_s < self.first_token_s and run_s < self.total_s
 
 
 UNLIMITED: Final = TimeLeft(inf, inf)
 
 
-# Not frozen, with slots: one is made for each runner and start, and a frozen
-# one takes longer to make.
+# Not frozen, and with slots: an object is created for each runner and start,
+# and creating a frozen one takes longer.
 @dataclass(slots=True)
 class RunnerSnapshot:
-    """A runner as it stands now."""
+    """The state of a runner at the time of a decision."""
 
     runner: Runner
     pace: Pace
-    mean_pace: Pace  # over the shard's runners
+    mean_pace: Pace  # mean of the shard's runners
     is_free: bool
-    wait_s: float  # for a slot, seconds
-    backlog_s: float  # seconds until its prompts are filled
-    max_backlog_s: float  # the most of these with which it takes a long prompt
-    failure_share: float  # share of its runs that failed lately
-    cached_tokens: Callable[[Sequence[str], int], int]  # its cache's estimate
+    wait_s: float  # until a slot is free
+    backlog_s: float  # until its prompts are prefilled
+    max_backlog_s: float  # limit of `backlog_s` for accepting a long prompt
+    failure_share: float  # of its recent runs
+    # Estimates the cached tokens of a prompt; see `CacheView.cached_tokens`.
+    cached_tokens: Callable[[Sequence[str], int], int]
 
     def prefill_tokens(self, ask: Ask) -> int:
-        """Estimate the prompt tokens that are not cached here."""
+        """Estimate the prompt tokens that are not cached on this runner."""
         prompt = ask.prompt_tokens
         if not ask.prefixes:
             return prompt
@@ -69,21 +69,21 @@
         return prompt - cached if prompt > cached else 0
 
     def estimate_run_s(self, ask: Ask) -> float:
-        """Estimate how long a request runs here."""
+        """Estimate the seconds that a request runs on this runner."""
         return self._estimate_s(self.prefill_tokens(ask), decode_work(ask))
 
     def can_start(self, ask: Ask) -> bool:
-        """Tell whether a request may be started here."""
+        """Tell whether a request may start on this runner."""
         return self._accepts_prefill(self.prefill_tokens(ask))
 
     def can_start_in_time(
         self, prefill: int, seconds: float, left: 'TimeLeft'
     ) -> bool:
-        """Tell whether a run of so many seconds may be started here.
+        """Tell whether a run of `seconds` may start on this runner.
 
-        It would have to begin to answer and to end in time. An idle runner
-        always gets a try: were it believed too slow for ever, nothing would
-        run there that could prove otherwise.
+        Its first token and its end must be expected in time. An idle runner
+        always accepts a run: if it were considered too slow permanently, no run
+        could show that it has recovered.
         """
         if not self.is_free or not self._accepts_prefill(prefill):
             return False
@@ -91,7 +91,7 @@
         return left.covers(prefill_s, seconds) or not self.runner.in_flight
 
     def max_prefill_tokens(self) -> float:
-        """Return the longest prefill that may be started here."""
+        """Return the longest prefill that may start, -1 without a free slot."""
         if not self.is_free:
             return -1
         return (
@@ -109,24 +109,25 @@
 
 @dataclass(slots=True)
 class Placement:
-    """Where a request would run best now, beside waiting for another place."""
+    """The best free runner for a request, compared with waiting for any runner."""
 
-    runner: Runner | None  # none may take it
-    cost: float  # there, seconds
-    min_cost: float  # of all places, the wait for each included
-    prefill: int = 0  # tokens to fill there
-    min_cost_prefill: int = 0  # tokens to fill where it costs least
+    runner: Runner | None  # None if no runner may start it
+    cost: float  # seconds on `runner`
+    min_cost: float  # seconds on the best of all runners, including the wait
+    prefill: int = 0  # prompt tokens to compute on `runner`
+    # Prompt tokens to compute on the best of all runners.
+    min_cost_prefill: int = 0
 
 
 def find_placement(
     snapshots: Sequence[RunnerSnapshot], ask: Ask, left: TimeLeft
 ) -> Placement:
-    """Weigh the places for one request with so much time left.
+    """Compare the runners for one request with this time left.
 
-    A place that would lose with the whole prompt cached is not looked into.
-    The sums stand in the loops and not in a method of `Place`: they are done
-    for each entry that is weighed and each runner, most of what an owner's
-    decisions cost.
+    The cache of a runner that would lose even with the whole prompt cached is
+    not looked up. The sums are written out in the loops instead of in a method
+    of `RunnerSnapshot`: they are computed for each pair of an evaluated entry
+    and a runner, and are most of the cost of an owner's decisions.
     """
     decode = decode_work(ask)
     placement = Placement(None, inf, inf)
@@ -202,14 +203,14 @@
 
 
 def decode_work(ask: Ask) -> float:
-    """Return the work of a request beyond its prompt, at least one."""
+    """Return the work of a request beyond its prompt, at least 1."""
     return max(ask.cost - ask.prompt_tokens, 1)
 
 
 def snapshot_runners(
     shard: Shard, now: float, names: Container[str] | None = None
 ) -> list[RunnerSnapshot]:
-    """Look at the runners, or at those with these names, that get new work."""
+    """Return snapshots of the runners that get new work, optionally by name."""
     mean_pace = shard.pool.mean_pace()
     max_backlog_s = MAX_BACKLOG_S if shard.switches.filling else inf
     return [
--- a/bramleybend/decisions/pool.py
+++ b/bramleybend/decisions/pool.py
@@ -1,7 +1,7 @@
-"""The runners of a shard, and which of them a request is sent to.
+"""The runners of a shard and their limits and paces.
 
-Load pattern: unlike runners with warm and cold caches.
-Without it: see `speeds` and `cache_view`; here the two are weighed in one
+Load pattern: different runners with warm and cold caches.
+Without it: see `runner_pace` and `cache_view`; here both are combined in one
 unit, seconds.
 """
 
@@ -20,7 +20,7 @@
 
 
 class RunnerPool:
-    """The runners as now known."""
+    """The runners of the current list."""
 
     def __init__(self, slots: int, switches: Switches) -> None:
         """Start without runners."""
@@ -29,15 +29,15 @@
         self._runners: dict[str, Runner] = {}
 
     def __iter__(self) -> Iterator[Runner]:
-        """Go over the runners."""
+        """Iterate over the runners."""
         return iter(self._runners.values())
 
     def __len__(self) -> int:
-        """Count the runners that get new work."""
+        """Return the number of runners that get new work."""
         return sum(not runner.leaving for runner in self._runners.values())
 
     def get(self, name: str) -> Runner | None:
-        """Return a runner, if it is known."""
+        """Return a runner by name, or None if it is unknown."""
         return self._runners.get(name)
 
     def update(
@@ -46,7 +46,7 @@
         runs: Iterable[Run],
         now: float,
     ) -> None:
-        """Take in the list: drop what is gone, add what is new."""
+        """Apply a list of runners: remove missing ones, add new ones."""
         infos_by_name = {info.name: info for info in infos}
         for gone in self._runners.keys() - infos_by_name.keys():
             self._runners.pop(gone)
@@ -57,7 +57,7 @@
             self._register_run(run)
 
     def free_runners(self, now: float) -> list[Runner]:
-        """Return the runners that may start something now."""
+        """Return the runners that may start a request now."""
         return [
             runner
             for runner in self._runners.values()
@@ -65,13 +65,13 @@
         ]
 
     def has_room(self, now: float) -> bool:
-        """Tell whether anything may start now."""
+        """Tell whether a runner may start a request now."""
         return any(
             runner.free_slots(now) > 0 for runner in self._runners.values()
         )
 
     def total_capacity(self) -> int:
-        """Sum the limits of runners that get new work."""
+        """Return the sum of the limits of runners that get new work."""
         return sum(
             runner.max_concurrency()
             for runner in self._runners.values()
@@ -79,12 +79,12 @@
         )
 
     def pace_of(self, runner: Runner, mean: Pace) -> Pace:
-        """Return the learned pace, else the mean of the peers."""
+        """Return the measured pace of a runner, else the mean of its peers."""
         pace = runner.speed.pace if self._switches.speeds else None
         return pace or mean
 
     def min_run_time(self, ask: Ask) -> MinRunTime:
-        """Estimate how long a request takes on the best idle runner."""
+        """Estimate the run time of a request on the best idle runner."""
         if not self._switches.expiry:
             return MinRunTime(0, 0)
         decode = max(ask.cost - ask.prompt_tokens, 1)
@@ -103,7 +103,7 @@
         )
 
     def mean_pace(self) -> Pace:
-        """Return the peers' mean, or a guess before any run has ended."""
+        """Return the mean of the measured paces, else the default pace."""
         paces = [
             runner.speed.pace
             for runner in self._runners.values()
--- a/bramleybend/decisions/preemption.py
+++ b/bramleybend/decisions/preemption.py
@@ -1,13 +1,14 @@
-"""Which run is stopped for a more important request.
+"""Selection of runs to stop for a more important request.
 
-Load pattern: runners full of long low-tier work when a high tier arrives.
-Without it: a booking waits out a debrief, and is shed while the debrief is
-still being served.
+Load pattern: runners full of long low-tier work when requests of a high tier
+arrive.
+Without it: a booking waits until a debrief ends, and is shed while the debrief
+is still being served.
 
-The victim has the lowest tier of all, and of these loses least prefill: the
-tokens computed so far, counting a started prompt as computed. Work that can't
-be cancelled is never a victim. Where slots are to spare, only a floor makes
-victims of prompts being filled: doing so for every urgent request cost total
+The victim is of the lowest tier and, within it, loses the least prefill: the
+tokens computed so far, where a started prompt counts as computed. Work that
+can't be cancelled is never a victim. While slots are free, only a floor makes
+victims of runs in prefill: preempting them for every urgent request cost total
 goodput (docs/design/decisions.md). The ablation is `preemption`.
 """
 
@@ -20,11 +21,11 @@
 from bramleybend.decisions.tier_queue import WaitingEntry
 from bramleybend.models import Ask, Tier
 
-MAX_VICTIMS_PER_STEP = 8  # victims ordered in one step; bounds its time
+MAX_VICTIMS_PER_STEP = 8  # bounds the time of one step
 
 
 def preemptible_runs(runs: Iterable[Run], tier: int) -> list[Run]:
-    """Return the runs that may yield to a tier, the least loss first."""
+    """Return the runs that a tier may preempt, the cheapest loss first."""
     return sorted(
         (run for run in runs if _is_preemptible(run, tier)),
         key=_preemption_cost,
@@ -40,7 +41,7 @@
 
 
 def _preemption_cost(run: Run) -> tuple[int, int, float]:
-    # The latest started has decoded least; it breaks ties.
+    # The run that started last has decoded least; it breaks ties.
     return (-run.ask.tier, run.prefill_tokens, -run.started_at)
 
 
@@ -58,8 +59,8 @@
     urgent = _urgent_entries(shard, tier, now)
     runners = snapshot_runners(shard, now) if urgent else []
     snapshots = {snapshot.runner.name: snapshot for snapshot in runners}
-    # Sorted once for all entries: for each of them anew, it took a third of
-    # the time that an owner spends under saturation.
+    # Sorted once for all entries: sorting for each of them took a third of an
+    # owner's time under saturation.
     candidates = preemptible_runs(shard.runs.values(), tier) if urgent else []
     victims = [
         _order_victim(shard, entry, candidates, snapshots, now)
@@ -98,10 +99,10 @@
     snapshots: dict[str, RunnerSnapshot],
     now: float,
 ) -> Iterator[Run]:
-    """Go over the runs in whose stead the request could end in time."""
+    """Yield the runs whose preemption lets the request end in time."""
     time_left_s = ask.deadline - now
-    # No run's prompt is longer than all that its runner has to fill, so most
-    # runners are ruled out without a look at their runs.
+    # No run's prompt is longer than its runner's backlog, so most runners are
+    # ruled out without checking their runs.
     fast_runners = {
         name
         for name, snapshot in snapshots.items()
@@ -136,7 +137,8 @@
 def _frees_enough(
     run: Run, ask: Ask, snapshot: RunnerSnapshot, time_left_s: float
 ) -> bool:
-    # With slots to spare it is the prompts being filled that are in the way.
+    # If a slot is free, only a prompt in prefill can be what blocks the
+    # request.
     if snapshot.is_free and not run.backlog_tokens:
         return False
     freed_s = run.backlog_tokens / snapshot.pace.prefill_per_s
@@ -150,6 +152,6 @@
 def _urgent_entries(shard: Shard, tier: Tier, now: float) -> list[WaitingEntry]:
     if not shard.runs_below(tier):
         return []
-    # Those that already have a victim stand first; a few more may get one.
+    # Entries that already have a victim come first; a few more may get one.
     max_count = len(shard.victims) + MAX_VICTIMS_PER_STEP
     return shard.queue.urgent_entries(now, tier, max_count)
--- a/bramleybend/decisions/quarantine.py
+++ b/bramleybend/decisions/quarantine.py
@@ -1,21 +1,22 @@
-"""Requests whose content crashes the runners that run it.
-
-Load pattern: one request kills its runner, and its caller sends it again
-under a new id.
-Without it: one prompt takes down the whole pool, a runner at a time, and all
-that was in flight on each.
-
-What was in flight at a crash is suspect and runs alone from then on, so a
-further crash points at it. Content is refused for good after crashes on
-`CONDEMNED` runners: the first in company, the next two alone. With two, a
-runner that dies of itself under an innocent suspect would condemn it; the
-third costs one more runner. One runner crashing twice counts once, as it may
-be the faulty part; so a suspect goes to a runner that it has not crashed yet,
-and in a pool of fewer than `CONDEMNED` runners each crash counts. Finishing
-clears, since crashes by content repeat.
-
-Records merge in any order: a clearance raises the generation, and of two
-records the higher generation holds; equal ones are united.
+"""Quarantine of requests whose content crashes their runners.
+
+Load pattern: a request crashes its runner, and its caller sends it again under
+a new ID.
+Without it: one prompt crashes the whole pool, runner by runner, with all
+requests in flight on each.
+
+Content that was in flight at a crash is suspect and runs alone from then on, so
+a further crash identifies it. Content is refused permanently after crashes on
+`CONDEMNED` runners: the first among other requests, the next two alone. With a
+limit of two, a runner that crashes by itself under an innocent suspect would
+get it refused; the third crash costs one more runner. Several crashes of one
+runner count once, since the runner may be faulty; so a suspect is sent to a
+runner that it has not crashed yet. In a pool of fewer than `CONDEMNED` runners,
+each crash counts. A run that ends normally clears its content, since crashes by
+content repeat.
+
+Records merge in any order: clearing raises the generation, and of two records
+the one with the higher generation wins; equal generations are united.
 """
 
 from collections import OrderedDict
@@ -25,11 +26,11 @@
 
 CONDEMNED = 3
 MAX_RECORDS = 10_000
-SUSPECT_TTL_S = 3600.0  # without a crash or a finish in between
+SUSPECT_TTL_S = 3600.0  # after the last change of the record
 
 
 class Verdict(StrEnum):
-    """How a request's content is to be treated."""
+    """How a request with this content is treated."""
 
     CLEAR = 'clear'
     SUSPECT = 'suspect'
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True)
 class CrashRecord:
-    """What is known of one fingerprint."""
+    """The known crashes of one content fingerprint."""
 
     fingerprint: str
     generation: int = 0
@@ -47,10 +48,10 @@
 
 
 class CrashBook:
-    """One process's records, shared with the others by gossip."""
+    """One process's crash records, shared with the others by gossip."""
 
     def __init__(self) -> None:
-        """Start with nothing suspect."""
+        """Start without records."""
         self._records: OrderedDict[str, CrashRecord] = OrderedDict()
         self._changed_at: dict[str, float] = {}
 
@@ -60,14 +61,14 @@
         fingerprints: Iterable[str],
         now: float,
     ) -> None:
-        """Suspect all content that was in flight on a crashed runner."""
+        """Mark all content that was in flight on a crashed runner as suspect."""
         for fingerprint in set(fingerprints):
             record = self._record(fingerprint)
             runners = record.runners | {runner}
             self._store(replace(record, runners=runners), now)
 
     def finished(self, fingerprint: str, now: float) -> None:
-        """Clear content that ran to its end."""
+        """Clear content whose run ended normally."""
         record = self._record(fingerprint)
         if record.runners and not record.refused:
             cleared = CrashRecord(fingerprint, record.generation + 1)
@@ -78,7 +79,7 @@
         return self._record(fingerprint).runners
 
     def verdict(self, fingerprint: str, now: float) -> Verdict:
-        """Return how content is to be treated now."""
+        """Return how content is treated now."""
         record = self._record(fingerprint)
         if record.refused:
             return Verdict.REFUSED
@@ -92,7 +93,7 @@
         return list(self._records.values())
 
     def recent(self, since: float) -> list[CrashRecord]:
-        """Return what changed since, and all that is refused."""
+        """Return the records changed since a time, and all refused ones."""
         return [
             record
             for fingerprint, record in self._records.items()
@@ -100,7 +101,7 @@
         ]
 
     def merge(self, records: Iterable[CrashRecord], now: float) -> None:
-        """Take in the records of another process."""
+        """Merge the records of another process."""
         for record in records:
             own = self._record(record.fingerprint)
             merged = _merge(own, record)
@@ -120,7 +121,8 @@
             self._drop_oldest()
 
     def _drop_oldest(self) -> None:
-        # Refused content goes last: it would crash three runners again.
+        # Records of refused content are dropped last: without its record, the
+        # content would crash three runners again.
         oldest = next(
             (name for name, rec in self._records.items() if not rec.refused),
             next(iter(self._records)),
--- a/bramleybend/decisions/random_placement.py
+++ b/bramleybend/decisions/random_placement.py
@@ -1,16 +1,16 @@
-"""Where a request goes at a service that each VM orders for itself.
+"""Runner selection at a service for which each VM dispatches by itself.
 
-Load pattern: many VMs with a request now and then, each of which knows the
-runners by its own few runs alone.
-Without it: the least cost wins, and costs differ by what hardly matters. Of
-runners that look alike every VM takes the first of the list. Once each runner
-has failed a request, one that joins and has failed none is the best for all VMs
-at once, and is overrun.
+Load pattern: many VMs with few requests each, which know the runners only by
+their own runs.
+Without it: each VM chooses the least cost, but the costs differ by noise. Of
+runners that look alike, every VM takes the first of the list. Once each runner
+has failed a request, a runner that joins and has failed none is the best for
+all VMs at once, and is overloaded.
 
-A runner is drawn with a chance that grows with its slots and falls with the
-square of what a request costs there. So a slow or failing one gets little, and
-is still tried now and then, or it could not show that it has recovered. One to
-which a connection is open is likelier: a new one costs both sides.
+A runner is drawn with a probability that grows with its slots and falls with
+the square of the request's cost on it. So a slow or failing runner gets little
+work but is still tried, or it could not show that it has recovered. A runner
+with an open connection is more likely: a new one costs both sides.
 """
 
 from collections.abc import Sequence
@@ -24,17 +24,16 @@
 from bramleybend.decisions.runs import Runner
 from bramleybend.models import Ask
 
-MIN_RUN_S = 0.001  # a run is not measured more exactly
-FAILURE_COST_FACTOR = (
-    20.0  # as dear as this is a runner that fails all its runs
-)
-CONNECTED_WEIGHT_FACTOR = 3.0  # as likely is one to which a connection is open
+MIN_RUN_S = 0.001  # precision of the measured run times
+FAILURE_COST_FACTOR = 20.0  # cost added at a failure share of 1, in run times
+# Applied to the weight of a runner with an open connection.
+CONNECTED_WEIGHT_FACTOR = 3.0
 
 
 def draw_runner(
     snapshots: Sequence[RunnerSnapshot], ask: Ask, left: TimeLeft, rng: Random
 ) -> Runner | None:
-    """Draw a runner that may take a request now, if there is one."""
+    """Draw a runner that may start a request now, if there is one."""
     eligible = [
         snapshot for snapshot in snapshots if _can_start(snapshot, ask, left)
     ]
@@ -52,7 +51,8 @@
 
 
 def _weight(snapshot: RunnerSnapshot, ask: Ask) -> float:
-    # Not the slots that a named rate fills: the rate has let this start.
+    # Slots are not reduced by a start rate: `can_start_in_time` has already
+    # applied it.
     slots = snapshot.runner.limit.value
     used_share = len(snapshot.runner.in_flight) / slots
     prefill = snapshot.prefill_tokens(ask)
--- a/bramleybend/decisions/resends.py
+++ b/bramleybend/decisions/resends.py
@@ -1,12 +1,12 @@
-"""How often requests may be sent to a second runner, over all VMs.
+"""Budget of requests sent to a second runner, over all VMs.
 
 Load pattern: runners that fail many requests at once.
-Without it: each failure becomes another arrival at the runners that are left,
-and those fail next.
+Without it: each failure becomes another arrival at the remaining runners, which
+fail next.
 
-The budget of a service is shared by all VMs without a word between them: each
-has its part of the fixed allowance and the whole ratio of its own requests.
-A bucket that holds half of its part and refills the other half in a window
+All VMs share the budget of a service without communication: each VM has its
+part of the fixed allowance, and the whole ratio of its own requests. A bucket
+holds half of the VM's part and refills the other half within a window, so it
 spends no more than the part in any window of that length.
 """
 
@@ -15,10 +15,10 @@
 
 @dataclass(frozen=True)
 class ResendTerms:
-    """What the operators allow a service, over all VMs."""
+    """The limits that the operators set for a service, over all VMs."""
 
-    ratio: float  # resends for each request
-    extra: float  # resends beyond the ratio, in a window
+    ratio: float  # resends per request
+    extra: float  # resends beyond the ratio, per window
     window_s: float
 
 
@@ -36,13 +36,13 @@
     _buckets: dict[str, _Bucket] = field(default_factory=dict)
 
     def requested(self, service: str, vms: int, now: float) -> None:
-        """Count a request, which earns a part of a resend."""
+        """Count a request, which earns part of a resend."""
         bucket = self._bucket(service, vms, now)
         capacity = self._capacity(vms)
         bucket.tokens = min(bucket.tokens + self.terms.ratio, capacity + 1)
 
     def spend(self, service: str, vms: int, now: float) -> bool:
-        """Take one resend, if there is one."""
+        """Spend one resend; tell whether the budget had one."""
         bucket = self._bucket(service, vms, now)
         if bucket.tokens < 1:
             return False
--- a/bramleybend/decisions/retries.py
+++ b/bramleybend/decisions/retries.py
@@ -1,13 +1,13 @@
-"""Whether and when a failed request may be sent again.
+"""Retry budgets and backoff of failed requests.
 
 Load pattern: an outage that fails many requests at once.
-Without it: each failed request comes back at once and again, and the load
-after the outage is a multiple of the load before it.
+Without it: each failed request is sent again at once and repeatedly, and the
+load after the outage is a multiple of the load before it.
 
-A retry takes a token from its workspace's and from its service's bucket; a
-success puts back a tenth, so retries add a tenth to the load at most. The
-workspace's bucket keeps one caller from using up the service's. Work that may
-run once is never sent again.
+A retry takes a token from its workspace's bucket and from its service's bucket;
+a success returns a tenth of a token, so retries add at most a tenth to the
+load. The workspace's bucket keeps one caller from using up the service's
+bucket. Work that may run only once is never sent again.
 """
 
 from dataclasses import dataclass
@@ -16,9 +16,10 @@
 
 from bramleybend.models import Repeat
 
-TOKENS_PER_SUCCESS = 0.1  # of the successes
-MAX_TOKENS = 10  # retries without a success before
-REFILL_PER_S = 0.2  # tokens a second, so that a quiet caller may retry too
+TOKENS_PER_SUCCESS = 0.1  # tokens earned by a success
+MAX_TOKENS = 10  # retries possible without a previous success
+# Lets a caller with little traffic retry, too.
+REFILL_PER_S = 0.2
 BASE_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 5.0
 MAX_DOUBLINGS = 10
@@ -36,14 +37,14 @@
 
 
 class RetryBudgets:
-    """The buckets of the workspaces and services a gateway meets."""
+    """The retry buckets of a gateway's workspaces and services."""
 
     def __init__(self) -> None:
         """Start with full buckets."""
         self._buckets: dict[tuple[str, str], _Bucket] = {}
 
     def succeeded(self, workspace: str, service: str, now: float) -> None:
-        """Earn a part of a retry."""
+        """Count a success, which earns part of a retry."""
         for bucket in self._workspace_and_service(workspace, service, now):
             bucket.tokens = min(bucket.tokens + TOKENS_PER_SUCCESS, MAX_TOKENS)
 
@@ -54,7 +55,7 @@
         service: str,
         now: float,
     ) -> bool:
-        """Spend a retry, if the request may run again and both have one."""
+        """Spend a retry, if the request may run again and both buckets allow."""
         if repeat is not Repeat.IDEMPOTENT:
             return False
         buckets = self._workspace_and_service(workspace, service, now)
@@ -80,7 +81,7 @@
 
 
 def backoff(attempt: int, rng: Random) -> timedelta:
-    """Return how long to wait before the attempt; 1 is the first retry."""
+    """Return the delay before an attempt; attempt 1 is the first retry."""
     doublings = min(max(attempt - 1, 0), MAX_DOUBLINGS)
     max_s = min(BASE_BACKOFF_S * 2**doublings, MAX_BACKOFF_S)
     return timedelta(seconds=rng.uniform(0, max_s))
--- a/bramleybend/decisions/routing.py
+++ b/bramleybend/decisions/routing.py
@@ -1,15 +1,15 @@
-"""Which shard of a service a gateway asks.
-
-Load pattern: prefixes shared by many requests, asked for by gateways that
-each hold a stale view of the shards.
-Without it: requests with one prefix are spread over all shards and each
-prefills it again; or all gateways send to the shard that looked idle last.
-
-Shards are ranked by rendezvous hash on the prefix, so that all gateways agree
-without talking. The first choice is left only when it looks overcommitted by
-`MOST_LOAD` times the mean; the next is the less loaded of two by random, as
-stale loads make the least loaded one a target for all. `MOST_LOAD` is the
-usual bound of bounded-load hashing, not tuned by a run here.
+"""Selection of the shard of a service that a gateway asks.
+
+Load pattern: prefixes shared by many requests, sent by gateways that each hold
+a stale view of the shards.
+Without it: requests with one prefix are spread over all shards, and each shard
+prefills it again; or all gateways send to the shard that last looked idle.
+
+Shards are ranked by a rendezvous hash of the prefix, so that all gateways agree
+without communication. The first choice is skipped only if its load exceeds the
+mean by a factor of `MAX_LOAD_RATIO`; the next is the less loaded of two random
+shards, since stale loads would make the least loaded shard the target of all
+gateways.
 """
 
 from collections.abc import Sequence
@@ -21,7 +21,7 @@
 from bramleybend.decisions.prefixes import routing_key
 from bramleybend.models import Ask
 
-MAX_LOAD_RATIO = 1.25  # of the mean; the bound of bounded-load hashing
+MAX_LOAD_RATIO = 1.25  # of the mean; the usual bound of bounded-load hashing
 MAX_VIEW_AGE_S = 5.0  # older loads count as unknown
 
 
@@ -30,7 +30,7 @@
     shards: Sequence[ShardView],
     rng: Random,
 ) -> list[int]:
-    """Order the shards to ask, best first."""
+    """Return the shards of a request's service to ask, best first."""
     views = [view for view in shards if view.service == ask.service]
     if not views:
         return []
--- a/bramleybend/decisions/run_feedback.py
+++ b/bramleybend/decisions/run_feedback.py
@@ -1,4 +1,4 @@
-"""What the end of a run teaches about its runner, workspace and shard."""
+"""Updates of runner, workspace and shard estimates from runs."""
 
 from math import isfinite
 
@@ -13,7 +13,7 @@
 
 
 def apply_report(shard: Shard, run: Run, report: RunReport, now: float) -> None:
-    """Take in a report; figures that can't be true teach nothing."""
+    """Apply the report of a run's end; implausible values are ignored."""
     if report.outcome == DONE:
         _record_work(shard, run, report, now)
     runner = shard.pool.get(run.runner)
@@ -37,14 +37,15 @@
     prefill_tokens: int,
     now: float,
 ) -> None:
-    """Take in a finished prefill; a second report of it changes nothing."""
+    """Apply the end of a prefill; a second report of it changes nothing."""
     if run.first_token_at is not None:
         return
     run.first_token_at = now
     run.prefill_tokens = prefill_tokens
     runner = shard.pool.get(run.runner)
     if runner is not None:
-        # The prompts filled at once share the runner, so it is as much faster.
+        # Concurrent prefills share the runner, so its pace is as many times the
+        # pace of one.
         prefills_now = len(runner.in_flight) - len(runner.streaming)
         concurrent_prefills = (run.prefills_at_start + max(prefills_now, 1)) / 2
         shard.end_prefill(run)
@@ -67,7 +68,8 @@
     shard.queue.charge(run.ask, served)
     shard.drain_rate.record_run(run.ask.cost, now - run.started_at, now)
     runner = shard.pool.get(run.runner)
-    # A report from the future would make the runner look slow for long.
+    # A report that claims more time than has passed would make the runner look
+    # slow for long.
     if runner is not None and _is_plausible(
         report.seconds, now - run.started_at
     ):
--- a/bramleybend/decisions/runner_pace.py
+++ b/bramleybend/decisions/runner_pace.py
@@ -1,12 +1,12 @@
-"""How fast each runner works, learned from own runs.
+"""The pace of each runner, learned from its own runs.
 
-Load pattern: unlike engines behind one service.
-Without it: the slow engines get the long prompts as often as the fast, and
-those deadlines pass there.
+Load pattern: different engines behind one service.
+Without it: slow engines get long prompts as often as fast ones, and deadlines
+pass there.
 
-Prefill and decode are learned apart, as a long prompt and a long answer load
-an engine differently; each is smoothed over about ten runs. A runner without
-a measure counts as its peers' mean, which the pool gives.
+Prefill and decode are measured separately, since a long prompt and a long
+answer load an engine differently; each is smoothed over about ten runs. A
+runner without a measurement gets the mean of its peers from the pool.
 """
 
 from dataclasses import dataclass
@@ -14,51 +14,52 @@
 SMOOTHING = 0.15
 DEFAULT_PREFILL = 2000.0
 DEFAULT_DECODE = 400.0
-MIN_PREFILL_TOKENS = 64  # a shorter prefill measures the waiting, not the speed
+MIN_PREFILL_TOKENS = 64  # a shorter prefill measures the wait, not the pace
 
 
 @dataclass(frozen=True)
 class Pace:
-    """Work units a second of one run, in its two phases."""
+    """Work units per second of one run, by phase."""
 
     prefill_per_s: float
     decode_per_s: float
 
     def seconds(self, prefill: float, decode: float) -> float:
-        """Estimate how long a run takes."""
+        """Estimate the duration of a run in seconds."""
         return prefill / self.prefill_per_s + decode / self.decode_per_s
 
 
 DEFAULT_PACE = Pace(
     DEFAULT_PREFILL, DEFAULT_DECODE
-)  # before any run has ended anywhere
+)  # used before any run has ended
 
 
 class PaceEstimator:
-    """One runner's pace, as measured."""
+    """The measured pace of one runner."""
 
     def __init__(self) -> None:
-        """Start without a measure."""
+        """Start without a measurement."""
         self._prefill_per_s: float | None = None
         self._decode_per_s: float | None = None
-        self.pace: Pace | None = None  # once both phases were seen
+        self.pace: Pace | None = None  # set once both phases have been measured
 
     def record_prefill(self, tokens: float, seconds: float) -> None:
-        """Learn from a prompt that was filled."""
+        """Record a finished prefill."""
         if tokens >= MIN_PREFILL_TOKENS and seconds > 0:
             self._prefill_per_s = _smooth(self._prefill_per_s, tokens / seconds)
             self._update()
 
     def record_decode(self, work: float, seconds: float) -> None:
-        """Learn from an answer that ended whole."""
+        """Record the decode phase of a run that ended successfully."""
         if work > 0 and seconds > 0:
             self._decode_per_s = _smooth(self._decode_per_s, work / seconds)
             self._update()
 
     def record_run(self, work: float, seconds: float) -> None:
-        """Learn from a run without a first token, as of one phase."""
+        """Record a run without a first token, as a single phase."""
         if self._prefill_per_s is None and work > 0 and seconds > 0:
-            # Plain services have no prompts, and no pace without this phase.
+            # Plain services have no prompts; without this value they would have
+            # no pace.
             self._prefill_per_s = work / seconds
         self.record_prefill(work, seconds)
         self.record_decode(work, seconds)
--- a/bramleybend/decisions/runs.py
+++ b/bramleybend/decisions/runs.py
@@ -1,4 +1,4 @@
-"""What the owner knows of each granted run and each runner."""
+"""Granted runs and runners, as the owner knows them."""
 
 from dataclasses import dataclass, field
 from math import ceil
@@ -11,7 +11,7 @@
 from bramleybend.decisions.start_rate import StartRate
 from bramleybend.models import Ask, Tier
 
-COMPLETION_COST = 8  # work of a decoded token, in prompt tokens
+COMPLETION_COST = 8  # work of decoding a token, in prompt tokens
 
 
 @dataclass
@@ -21,16 +21,18 @@
     ask: Ask
     runner: str
     started_at: float
-    prefill_tokens: int  # computed or being computed for this run alone
-    prefills_at_start: int = 1  # runs being prefilled there when it started
-    backlog_tokens: int = 0  # tokens counted in its runner's backlog
+    prefill_tokens: int  # not taken from a prefix cache
+    # Runs in prefill on the runner at the start, including this one.
+    prefills_at_start: int = 1
+    backlog_tokens: int = 0  # prompt tokens counted in the runner's backlog
     first_token_at: float | None = None
-    preempted_for: Tier | None = None  # a preemption was ordered
+    # Tier for which the preemption of this run was ordered.
+    preempted_for: Tier | None = None
 
 
 @dataclass
 class Runner:
-    """One runner and all that was learned of it."""
+    """One runner, with its limits and measured values."""
 
     name: str
     limit: ConcurrencyLimit
@@ -39,15 +41,19 @@
     cache: CacheView
     leaving: bool = False
     in_flight: set[str] = field(default_factory=set)
-    streaming: set[str] = field(default_factory=set)  # past the first token
-    mean_run_s: float = 1  # of a run
-    backlog_tokens: int = 0  # prompt tokens sent there and not known as filled
-    reserved_for: str | None = None  # the suspect that runs here by itself
+    # Runs past their first token.
+    streaming: set[str] = field(default_factory=set)
+    mean_run_s: float = 1  # moving average
+    # Prompt tokens sent to the runner whose prefill has not been reported.
+    backlog_tokens: int = 0
+    # ID of the suspect request for which the runner is drained or that it runs.
+    reserved_for: str | None = None
     failures: FailureShare = field(default_factory=FailureShare)
-    start_rate: StartRate | None = None  # while the runner names a limit
+    # None unless the runner reports a rate limit.
+    start_rate: StartRate | None = None
 
     def update_start_rate(self, per_s: float | None, now: float) -> bool:
-        """Start so many a second from now on; tells whether that is new."""
+        """Set the maximum starts per second; tell whether it changed."""
         before = self.start_rate.per_s if self.start_rate else None
         if per_s is None:
             self.start_rate = None
@@ -58,19 +64,19 @@
         return before != per_s
 
     def record_start(self, now: float) -> None:
-        """Count a start, also one that another owner granted."""
+        """Count a start, including starts that another owner granted."""
         if self.start_rate is not None:
             self.start_rate.record_start(now)
 
     def max_concurrency(self) -> int:
-        """Return how many requests it runs at once, by all its limits."""
+        """Return how many requests may run at once within all limits."""
         if self.start_rate is None:
             return self.limit.value
         at_once = ceil(self.start_rate.per_s * self.mean_run_s)
         return min(self.limit.value, at_once)
 
     def estimate_wait_s(self, now: float) -> float:
-        """Estimate the wait for a slot when none is free."""
+        """Estimate the seconds until a slot is released, if none is free."""
         wait = self.mean_run_s / max(len(self.in_flight), 1)
         return (
             wait
@@ -79,14 +85,14 @@
         )
 
     def release_slot(self, request_id: str) -> None:
-        """Free a slot; unknown ids change nothing."""
+        """Release a request's slot; unknown IDs change nothing."""
         self.in_flight.discard(request_id)
         self.streaming.discard(request_id)
         if self.reserved_for == request_id:
             self.reserved_for = None
 
     def free_slots(self, now: float) -> int:
-        """Return how many more requests may start here now."""
+        """Return how many more requests may start on this runner now."""
         share = self.ramp.share(now)
         if self.leaving or self.reserved_for is not None or not share:
             return 0
@@ -97,5 +103,5 @@
 
 
 def run_work(prompt: int, cached: int, completion: int) -> float:
-    """Return the work a run took, in prompt-token equivalents."""
+    """Return the work of a run, in prompt-token equivalents."""
     return max(prompt - cached, 0) + max(completion, 0) * COMPLETION_COST
--- a/bramleybend/decisions/shard.py
+++ b/bramleybend/decisions/shard.py
@@ -1,4 +1,4 @@
-"""All that one owner knows of its shard, without any policy."""
+"""The state of one shard as its owner knows it, without any policy."""
 
 from dataclasses import dataclass, field
 from math import log
@@ -23,7 +23,7 @@
 
 @dataclass
 class Shard:
-    """The queue, the runs and the runners of one shard."""
+    """The queues, the runs and the runners of one shard."""
 
     pool: RunnerPool
     queue: WaitingQueue
@@ -33,14 +33,16 @@
     switches: Switches
     overload: Overload = UNBOUNDED
     runs: dict[str, Run] = field(default_factory=dict)
-    victims: dict[str, str] = field(default_factory=dict)  # by who waits
-    floor_ends: dict[int, float] = field(default_factory=dict)  # tier to end
+    # ID of the preempted run, by the ID of the request that waits for its slot.
+    victims: dict[str, str] = field(default_factory=dict)
+    # End of the floor of each tier.
+    floor_ends: dict[int, float] = field(default_factory=dict)
     recent_starts: DecayingSum = field(
         default_factory=_make_start_counter
-    )  # of entries
+    )  # Recent starts of queued entries.
 
     def lowest_startable_tier(self, now: float) -> int:
-        """Return the lowest tier that may be started now."""
+        """Return the lowest tier that may start now; drops expired floors."""
         self.floor_ends = {
             tier: until
             for tier, until in self.floor_ends.items()
@@ -49,24 +51,24 @@
         return min(self.floor_ends, default=Tier.BULK.value)
 
     def raise_floor(self, tier: int, until: float) -> None:
-        """Start nothing below a tier for a while."""
+        """Start nothing below a tier until a time."""
         self.floor_ends[tier] = max(self.floor_ends.get(tier, until), until)
 
     def drain_per_s(self, now: float) -> float | None:
-        """Return the cost that the slots can finish, once that is known."""
+        """Return the cost per second that the slots can finish, if known."""
         return self.drain_rate.cost_per_s(self.pool.total_capacity(), now)
 
     def min_starts_per_s(self, now: float) -> float:
-        """Return how often a lower tier that waits surely gets a start."""
+        """Return the start rate that a waiting lower tier is guaranteed."""
         per_s = self.recent_starts.value(now) * log(2) / STARTS_HALF_LIFE_S
         return per_s * self.overload.min_share
 
     def queue_for(self, ask: Ask) -> WaitingQueue:
-        """Return the queue that a request belongs in."""
+        """Return the queue that a request belongs to."""
         return self.suspects if ask.suspect else self.queue
 
     def dequeue(self, request_id: str) -> WaitingEntry | None:
-        """Take a request out of whichever queue holds it."""
+        """Remove a request from whichever queue holds it."""
         entry = self.queue.remove(request_id) or self.suspects.remove(
             request_id,
         )
@@ -74,7 +76,7 @@
         return entry
 
     def start(self, ask: Ask, runner: Runner, now: float) -> None:
-        """Note a request as running on a runner."""
+        """Record that a request runs on a runner."""
         entry = self.dequeue(ask.request_id)
         if entry is not None:
             self.queue.record_start(entry)
@@ -94,11 +96,12 @@
         self.queue.charge(ask, ask.cost)
 
     def adopt(self, ask: Ask, runner_name: str, now: float) -> None:
-        """Note a run under way, on a runner that may not be listed yet.
+        """Record a run in progress, on a runner that may not be listed yet.
 
-        Its first token may have come before, so it counts as streaming: else
-        its prompt would stand in the backlog, and keep the runner closed to
-        long prompts, until it ends.
+        The run counts as streaming, since its first token may have been sent
+        before and won't be reported again. Otherwise its prompt would stay in
+        the runner's backlog until the run ends and keep the runner closed to
+        long prompts.
         """
         runner = self.pool.get(runner_name)
         self.dequeue(ask.request_id)
@@ -119,7 +122,7 @@
                 runner.reserved_for = ask.request_id
 
     def end_prefill(self, run: Run) -> None:
-        """Take a run's prompt out of its runner's backlog, once."""
+        """Remove a run's prompt from its runner's backlog, once."""
         runner = self.pool.get(run.runner)
         if runner is not None and run.backlog_tokens:
             runner.backlog_tokens = max(
@@ -128,7 +131,7 @@
         run.backlog_tokens = 0
 
     def finish(self, request_id: str) -> Run | None:
-        """Forget a run; its slot is free."""
+        """Remove a run and release its slot."""
         run = self.runs.pop(request_id, None)
         if run is not None:
             self.end_prefill(run)
@@ -139,16 +142,17 @@
         return run
 
     def runs_below(self, tier: int) -> list[Run]:
-        """Return the runs of a lower tier."""
+        """Return the runs of lower tiers."""
         return [run for run in self.runs.values() if run.ask.tier > tier]
 
     def has_run_below(self, tier: int) -> bool:
-        """Tell whether a run of a lower tier is under way."""
+        """Tell whether a run of a lower tier is in progress."""
         return any(run.ask.tier > tier for run in self.runs.values())
 
     def _release_slot(self, request_id: str, run: Run | None) -> None:
         if run is None or run.ask.suspect:
-            # A suspect may hold a runner other than the one that it ran on.
+            # A runner other than the one it ran on may be reserved for a
+            # suspect.
             for runner in self.pool:
                 runner.release_slot(request_id)
             return
--- a/bramleybend/decisions/start_rate.py
+++ b/bramleybend/decisions/start_rate.py
@@ -1,12 +1,12 @@
-"""How often a runner that named a limit may be sent a request.
+"""Start rate of a runner that reports a rate limit.
 
-Load pattern: a runner in need that takes fewer requests a second than its
-slots could serve.
-Without it: short runs free their slots at once, so no limit of concurrency
-holds a rate, and the runner gets as much as before.
+Load pattern: an overloaded runner that accepts fewer requests per second than
+its slots could serve.
+Without it: short runs release their slots at once, so no concurrency limit
+bounds the rate, and the runner gets as many requests as before.
 
-A token bucket that holds one second's requests, or one. It starts empty, as
-the runner has just had more than it takes.
+The rate is a token bucket that holds the requests of one second, at least one.
+It starts empty, since the runner has just had more requests than it accepts.
 """
 
 from math import inf
@@ -15,27 +15,27 @@
 
 
 class StartRate:
-    """A runner's starts over time."""
+    """Token bucket for the starts on one runner."""
 
     def __init__(self, per_s: float, now: float) -> None:
-        """Begin without a token."""
-        self.per_s = per_s  # 0: none may start
+        """Start without a token."""
+        self.per_s = per_s  # 0: no request may start
         self._tokens = float(0)
         self._refilled_at = now
 
     def set_rate(self, per_s: float, now: float) -> None:
-        """Go on at another rate; what was taken stays taken."""
+        """Change the rate; tokens already taken stay taken."""
         self._refill(now)
         self.per_s = per_s
         self._tokens = min(self._tokens, self._max_tokens())
 
     def record_start(self, now: float) -> None:
-        """Count a start, also one that another owner granted."""
+        """Count a start, including starts that another owner granted."""
         self._refill(now)
         self._tokens = max(self._tokens - 1, -self._max_tokens())
 
     def wait_s(self, now: float) -> float:
-        """Return the seconds until the next start."""
+        """Return the seconds until the next start, `inf` at a rate of 0."""
         self._refill(now)
         missing = 1 - self._tokens
         if missing <= 0:
--- a/bramleybend/decisions/switches.py
+++ b/bramleybend/decisions/switches.py
@@ -1,11 +1,11 @@
-"""Which decisions are on; all of them outside the ablations."""
+"""Feature switches of the decisions, all on except in ablations."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class Switches:
-    """One flag for each decision, so that a benchmark can turn it off."""
+    """One flag per decision, so that a benchmark can turn it off."""
 
     tiers: bool = True
     fair: bool = True
@@ -19,7 +19,6 @@
     holding: bool = True
     pacing: bool = True
     admission: bool = True
-    floor_at_refusal: bool = True  # off where no request asks for a floor
-    spreading: bool = (
-        False  # on where many VMs order a service, each for itself
-    )
+    floor_at_refusal: bool = True  # off where no gateway asks for a floor
+    # On for services for which each VM dispatches by itself.
+    spreading: bool = False
--- a/bramleybend/decisions/tier_queue.py
+++ b/bramleybend/decisions/tier_queue.py
@@ -1,14 +1,15 @@
 """The waiting requests of one tier.
 
-Load pattern: saturation, where some can still be on time and some can't.
-Without it: a late request of one workspace makes another's late, too.
-
-The workspace with the least cost served per weight is next (start-time fair
-queueing). Entries that can no longer be on time start after those of all
-workspaces that can: in a queue longer than the objective, order of arrival
-alone makes everybody late, whoever has just come included. Every
-`LATE_EVERY`th start goes to a late entry at risk, so that late ones are
-served, too. The ablation is `on_time_first`.
+Load pattern: saturation, where some requests can still be on time and others
+can't.
+Without it: a late request of one workspace makes a request of another late.
+
+The workspace with the least served cost per weight is next (start-time fair
+queueing). Entries that can no longer be on time start after the entries of all
+workspaces that still can: in a queue longer than the objective, order of
+arrival alone makes every request late, including new ones. Every
+`LATE_START_INTERVAL`th start goes to an urgent late entry, so that late entries
+are served, too. The ablation is `on_time_first`.
 """
 
 from collections import defaultdict
@@ -22,11 +23,10 @@
 from bramleybend.decisions.prefixes import prefix_tokens
 from bramleybend.models import Ask
 
-LATE_START_INTERVAL = 6  # starts, of which one is left to late entries
-LATE_KEY_MIN = (True, -inf, '')  # sorts before every late entry
-WINDOW_ENTRIES = (
-    12  # entries a free runner may choose its best prefix match from
-)
+LATE_START_INTERVAL = 6  # starts, one of which goes to a late entry
+LATE_KEY_MIN = (True, -inf, '')  # lower bound of the late entries
+# Entries of a workspace among which the best prefix match is chosen.
+WINDOW_ENTRIES = 12
 
 
 @dataclass(frozen=True)
@@ -35,22 +35,22 @@
 
     ask: Ask
     arrived_at: float
-    latest_start: float  # later it is surely too late
-    urgent_at: float  # later it is at risk
+    latest_start: float  # seconds; it expires then
+    urgent_at: float  # seconds; its deadline is at risk from then on
     rank: float
     on_time_until: float = inf
     is_late: bool = False
 
     @property
     def min_prefill_tokens(self) -> int:
-        """Return the prompt tokens that no prefix covers."""
+        """Return the prompt tokens to compute after a full cache hit."""
         count = len(self.ask.prefixes)
         covered = prefix_tokens(count - 1) if count else 0
         return max(self.ask.prompt_tokens - covered, 0)
 
     @property
     def sort_key(self) -> tuple[bool, float, str]:
-        """Sort late ones last, then by rank; the id makes it total."""
+        """Sort late entries last, then by rank; the ID makes the order total."""
         return (self.is_late, self.rank, self.ask.request_id)
 
     @property
@@ -60,17 +60,17 @@
 
     @property
     def urgency_key(self) -> tuple[float, str]:
-        """Sort by the time from which it is at risk."""
+        """Sort by the time from which the entry is urgent."""
         return (self.urgent_at, self.ask.request_id)
 
     @property
     def objective_key(self) -> tuple[float, str]:
-        """Sort by the time until which it can be on time."""
+        """Sort by the time until which the entry can be on time."""
         return (self.on_time_until, self.ask.request_id)
 
 
 class TierQueue:
-    """The entries of one tier, fair between workspaces."""
+    """The entries of one tier, in fair order of their workspaces."""
 
     def __init__(
         self,
@@ -87,22 +87,24 @@
         self._lane_order = SortedList()
         self._min_virtual_time = float(0)
         self._costs: defaultdict[str, float] = defaultdict(float)
-        self._starts_since_late = 0  # starts since one of a late entry
+        # Starts since the last start of a late entry.
+        self._starts_since_late = 0
         self.cost = float(0)
         self.by_expiry = SortedList()
         self.by_urgency = SortedList()
         self.by_objective = SortedList()
 
     def __len__(self) -> int:
-        """Count the entries."""
+        """Return the number of entries."""
         return sum(len(lane) for lane in self._lanes.values())
 
     def add(self, entry: WaitingEntry) -> None:
-        """Queue an entry in its workspace's lane."""
+        """Add an entry to its workspace's lane."""
         name = self._lane_of(entry.ask)
         if name not in self._lanes:
             self._lanes[name] = SortedKeyList(key=_sort_key_of)
-            # An idle workspace saves up no claim: it rejoins at the floor.
+            # An idle workspace earns no credit: it resumes at the minimum
+            # virtual time.
             served = max(
                 self._virtual_times.get(name, self._min_virtual_time),
                 self._min_virtual_time,
@@ -117,7 +119,7 @@
         self.cost += entry.ask.cost
 
     def remove(self, entry: WaitingEntry) -> None:
-        """Take an entry out; its lane goes with the last one."""
+        """Remove an entry, and its lane if it was the last entry there."""
         name = self._lane_of(entry.ask)
         lane = self._lanes[name]
         lane.remove(entry)
@@ -156,9 +158,10 @@
         )
 
     def windows(self, now: float) -> Iterator[list[WaitingEntry]]:
-        """Go over the next entries of each workspace, in turn.
+        """Yield windows of the next entries of each workspace, in turn.
 
-        Late ones come last, unless some are at risk and it is their turn.
+        Late entries come last, unless it is their turn and some of them are
+        urgent.
         """
         if self._starts_since_late < LATE_START_INTERVAL - 1:
             yield from self._on_time_windows()
@@ -178,16 +181,16 @@
         ]
 
     def has_on_time(self) -> bool:
-        """Tell whether an entry that waits can still be on time."""
+        """Tell whether a waiting entry can still be on time."""
         return any(not lane[0].is_late for lane in self._lanes.values())
 
     def count_ahead(self, ask: Ask) -> int:
-        """Return the workspace's own entries times those it takes turns with."""
+        """Return the workspace's own entries times the number of workspaces."""
         own = len(self._lanes.get(self._lane_of(ask), ()))
         return min(own * max(len(self._lanes), 1), len(self))
 
     def cost_ahead(self, ask: Ask) -> float:
-        """Return the workspace's own cost times those it takes turns with."""
+        """Return the workspace's own cost times the number of workspaces."""
         name = self._lane_of(ask)
         turns = max(len(self._lanes), 1)
         return min(self._costs.get(name, 0) * turns, self.cost)
--- a/bramleybend/decisions/waiting_queue.py
+++ b/bramleybend/decisions/waiting_queue.py
@@ -1,18 +1,19 @@
-"""In which order waiting requests start.
-
-Load pattern: a queue in which a few workspaces hold most of the entries and
-a few long prompts stand among many short ones, while tiers differ.
-Without it: in arrival order a debrief of 20,000 tokens stands before ten
-bookings, and a workspace that sends a thousand drafts takes the shard.
-
-Tiers go strictly first; `tier_queue` tells who is next within one. Within a
-workspace an entry is ordered by arrival plus `AGEING` seconds for each unit of
-cost, so a short one overtakes a long one only if it came soon after; the key
-never changes, so a long one is passed over for a bounded time, of which
-`AGEING_SHARE` leaves it most of what its caller waits.
-
-`SURE`, `LIKELY` and `LEAD_S` say when an entry is too late and when at risk,
-from the least time it needs.
+"""The order in which waiting requests start.
+
+Load pattern: a queue in which a few workspaces hold most of the entries and a
+few long prompts wait among many short ones, in different tiers.
+Without it: in order of arrival, a debrief of 20,000 tokens starts before ten
+bookings, and a workspace that sends a thousand drafts takes the whole shard.
+
+Tiers have strict priority; `tier_queue` orders the entries within a tier.
+Entries of a workspace are ordered by arrival plus `AGEING_S_PER_COST` for each
+unit of cost, so a short one overtakes a long one only if it arrived soon after.
+The key never changes, so a long entry is passed over for a bounded time;
+`MAX_AGEING_SHARE` of the time until its latest start leaves it most of the time
+that its caller waits.
+
+`EXPIRY_FACTOR`, `URGENCY_FACTOR` and `PREEMPTION_LEAD_S` set when an entry
+expires and when it is urgent, from its minimum run time.
 """
 
 from collections.abc import Iterator, Mapping
@@ -29,30 +30,27 @@
 from bramleybend.decisions.tier_queue import TierQueue, WaitingEntry
 from bramleybend.models import Ask, Tier
 
-AGEING_S_PER_COST = (
-    0.0005  # seconds of later arrival that a unit of cost counts as
-)
-MAX_AGEING_SHARE = 0.125  # of the time left for a start, at most
-EXPIRY_FACTOR = (
-    0.5  # of the least seconds; only what is surely too late is given up
-)
-URGENCY_FACTOR = 1.0  # times the least seconds: what a run takes
-PREEMPTION_LEAD_S = (
-    1.0  # before that: a preemption takes a round trip and a cleanup
-)
-LAST_ID = '\U0010ffff'  # sorts after every id, so a time's own entries count
+AGEING_S_PER_COST = 0.0005
+MAX_AGEING_SHARE = 0.125  # of the time until the latest start
+# Of the minimum run time: an entry expires only when even half of it no longer
+# fits.
+EXPIRY_FACTOR = 0.5
+URGENCY_FACTOR = 1.0  # of the minimum run time: the usual duration of a run
+PREEMPTION_LEAD_S = 1.0  # a preemption takes a round trip and a cleanup
+# Sorts after every ID, so a bound includes all entries of the same time.
+LAST_ID = '\U0010ffff'
 
 
 @dataclass(frozen=True)
 class MinRunTime:
-    """The least seconds that a request takes on an idle runner."""
+    """Estimated seconds that a request takes on the best idle runner."""
 
-    first_token_s: float  # until its first token
-    total_s: float  # until its last
+    first_token_s: float  # until the first token
+    total_s: float  # until the last token
 
 
 class WaitingQueue:
-    """All that waits in a shard."""
+    """All waiting requests of a shard."""
 
     def __init__(
         self,
@@ -63,7 +61,7 @@
         short_first: bool = True,
         overload: Overload = UNBOUNDED,
     ) -> None:
-        """Start empty; the switches exist for the ablations."""
+        """Start empty; the switches exist for ablation benchmarks."""
         self._standing_s = overload.standing_s
         self._shares = StartShares(overload.min_share)
         self._weights = weights
@@ -74,16 +72,16 @@
         self._entries: dict[str, WaitingEntry] = {}
 
     def __len__(self) -> int:
-        """Count the entries."""
+        """Return the number of entries."""
         return len(self._entries)
 
     def __contains__(self, request_id: str) -> bool:
-        """Tell whether a request waits."""
+        """Tell whether a request is queued."""
         return request_id in self._entries
 
     def add(self, ask: Ask, now: float, min_time: MinRunTime) -> None:
-        """Queue a request that takes so long at least."""
-        # An estimate that is wrong leaves at least half of the time to try.
+        """Queue a request with its estimated minimum run time."""
+        # Even with a wrong estimate, half of the time remains for a start.
         min_total_s = min(min_time.total_s, max(ask.deadline - now, 0) / 2)
         min_first_token_s = min(
             min_time.first_token_s, max(ask.begin_by - now, 0) / 2
@@ -109,7 +107,7 @@
         self._tier_queue(ask.tier).add(entry)
 
     def remove(self, request_id: str) -> WaitingEntry | None:
-        """Take a request out, if it waits."""
+        """Remove a request and return its entry, or None if it is not queued."""
         entry = self._entries.pop(request_id, None)
         if entry is not None:
             tier_queue = self._tier_queue(entry.ask.tier)
@@ -119,7 +117,7 @@
         return entry
 
     def demote_late(self, now: float) -> bool:
-        """Move back what can't be on time any more; tells whether any was."""
+        """Sort entries that can't be on time last; tell whether any was moved."""
         has_moved = False
         for tier_queue in self._tiers.values():
             ids = tuple(tier_queue.by_objective.irange(maximum=(now, LAST_ID)))
@@ -138,7 +136,7 @@
         self._tier_queue(ask.tier).charge(ask, cost)
 
     def record_start(self, entry: WaitingEntry) -> None:
-        """Count a start towards the next turns of other entries."""
+        """Count a start towards the turns of late entries and lower tiers."""
         self._tier_queue(entry.ask.tier).record_start(entry)
         waiting = [
             tier for tier, tier_queue in self._tiers.items() if len(tier_queue)
@@ -148,18 +146,19 @@
     def windows(
         self, lowest: int, now: float = -inf
     ) -> Iterator[list[WaitingEntry]]:
-        """Go over the next entries by tier, down to `lowest`.
+        """Yield windows of the next entries by tier, down to tier `lowest`.
 
-        By `now`, in seconds, late entries are at risk or not.
+        `now`, in seconds, decides which late entries are urgent.
         """
         for tier in self._shares.sort_tiers(self._tiers):
             if tier <= lowest:
                 yield from self._tiers[tier].windows(now)
 
     def overdue(self, now: float) -> list[WaitingEntry]:
-        """Return the late entries of queues that stand.
+        """Return the late entries of tiers whose queue is standing.
 
-        Where none can be on time, the late ones have the runners.
+        Tiers in which no entry can be on time are left out: there the late
+        entries get the runners.
         """
         overdue: list[WaitingEntry] = []
         for tier_queue in self._tiers.values():
@@ -171,7 +170,7 @@
         return overdue
 
     def expired(self, before: float, tier: int) -> list[WaitingEntry]:
-        """Return the tier's entries whose latest start is before a time."""
+        """Return a tier's entries whose latest start is not after `before`."""
         if tier not in self._tiers:
             return []
         ids = self._tiers[tier].by_expiry.irange(maximum=(before, LAST_ID))
@@ -180,7 +179,7 @@
     def urgent_entries(
         self, now: float, tier: int, max_count: int
     ) -> list[WaitingEntry]:
-        """Return the tier's entries that are most at risk."""
+        """Return a tier's most urgent entries, `max_count` at most."""
         if tier not in self._tiers:
             return []
         ids = self._tiers[tier].by_urgency.irange(maximum=(now, LAST_ID))
@@ -190,40 +189,40 @@
         ]
 
     def next_urgent(self, tier: int, now: float) -> float:
-        """Return when the next entry of a tier gets at risk."""
+        """Return when the next entry of a tier becomes urgent."""
         if tier not in self._tiers:
             return inf
         later = self._tiers[tier].by_urgency.irange(minimum=(now, LAST_ID))
         return next(later, (inf, ''))[0]
 
     def next_late(self, tier: int, after: float) -> float:
-        """Return the next time after which an entry would start late."""
+        """Return the next time after `after` at which an entry becomes late."""
         if tier not in self._tiers:
             return inf
         later = self._tiers[tier].by_objective.irange(minimum=(after, LAST_ID))
         return next(later, (inf, ''))[0]
 
     def next_expiry(self, tier: int) -> float:
-        """Return the earliest latest start in a tier."""
+        """Return the earliest of the latest start times in a tier."""
         expiry = self._tiers[tier].by_expiry if tier in self._tiers else ()
         return expiry[0][0] if expiry else inf
 
     def count_by_tier(self) -> dict[int, int]:
-        """Count the entries of each tier."""
+        """Return the number of entries of each tier."""
         return {tier: len(self._tiers[tier]) for tier in sorted(self._tiers)}
 
     def oldest_arrival(self) -> float:
-        """Return when the entry that waits longest was queued."""
+        """Return when the oldest entry was queued, `inf` without entries."""
         return min(
             (one.arrived_at for one in self._entries.values()), default=inf
         )
 
     def count_ahead(self, ask: Ask) -> int:
-        """Estimate how many of its tier a new entry waits behind."""
+        """Estimate the number of entries of its tier ahead of a new one."""
         return self._tier_queue(ask.tier).count_ahead(ask)
 
     def cost_ahead(self, ask: Ask) -> float:
-        """Estimate the cost that a new entry waits behind."""
+        """Estimate the cost queued ahead of a new entry, in all tiers."""
         above = sum(
             tier_queue.cost
             for tier, tier_queue in self._tiers.items()
