--- a/tests/decisions/engine_play.py
+++ b/tests/decisions/engine_play.py
@@ -26,51 +26,53 @@
 
 ENGINES: Final = 30
 SLOTS: Final = 8
-SLOWNESS: Final = (0.55, 1, 2.8)  # times the seconds of a plain engine
+SLOWDOWNS: Final = (0.55, 1, 2.8)  # times the seconds of a plain engine
 STEP_S: Final = 0.0031
-STEP_OF_A_RUN_S: Final = 0.0001
-CHUNK: Final = 2048  # tokens of a prompt that are filled in one step
+STEP_PER_RUN_S: Final = 0.0001
+PREFILL_CHUNK_TOKENS: Final = (
+    2048  # tokens of a prompt that are filled in one step
+)
 PREFILL_PER_S: Final = 56_900
 EVENT_TOKENS: Final = 7
 COMPLETION_COST: Final = 8
 WORKSPACES: Final = 16
 PATIENCE_S: Final = 4.0  # until the first event
-PACE_RESERVE: Final = 0.3
-LATE_WORTH: Final = 0.1
+DEADLINE_RESERVE: Final = 0.3
+LATE_VALUE: Final = 0.1
 
 
-class Spread(NamedTuple):
+class SizeDistribution(NamedTuple):
     """A log-normal size."""
 
     mean: float
     sigma: float
-    most: int
+    max_size: int
 
-    def draw(self, rng: Random) -> int:
+    def sample(self, rng: Random) -> int:
         """Return one size."""
-        middle = log(self.mean) - self.sigma**2 / 2
+        mu = log(self.mean) - self.sigma**2 / 2
         return int(
-            min(max(rng.lognormvariate(middle, self.sigma), 1), self.most)
+            min(max(rng.lognormvariate(mu, self.sigma), 1), self.max_size)
         )
 
 
-class Kind(NamedTuple):
+class RequestKind(NamedTuple):
     """A kind of request, as callers send it."""
 
     tier: Tier
     per_s: float
-    prompt: Spread
-    events: Spread
+    prompt: SizeDistribution
+    events: SizeDistribution
     objective_s: float
     deadline_s: float
 
 
-class Burst(NamedTuple):
+class LoadBurst(NamedTuple):
     """A time with more requests than usual."""
 
-    begins: float
-    ends: float
-    times: float
+    start: float
+    end: float
+    factor: float
 
 
 @dataclass
@@ -82,36 +84,36 @@
     late: int = 0
 
     @property
-    def worth(self) -> float:
+    def value(self) -> float:
         """Return the share of the worth that was earned."""
-        return (self.on_time + self.late * LATE_WORTH) / self.sent
+        return (self.on_time + self.late * LATE_VALUE) / self.sent
 
 
 @dataclass(eq=False)
 class Run:
     """One request."""
 
-    kind: Kind
+    kind: RequestKind
     ask: Ask
-    to_fill: int
-    answer: int
-    made: int = 0
+    prefill_left: int
+    answer_tokens: int
+    decoded_tokens: int = 0
     granted_at: float = 0
     is_counted: bool = True
-    is_told: bool = False  # of its first event
+    has_first_event: bool = False  # of its first event
 
 
 @dataclass(eq=False)
 class Engine:
     """One runner."""
 
-    slowness: float
+    slowdown: float
     waiting: deque[Run] = field(default_factory=deque)
     batch: list[Run] = field(default_factory=list)
     is_busy: bool = False
 
 
-class Play:
+class EngineSimulation:
     """One play; ask it for its tallies."""
 
     def __init__(
@@ -121,7 +123,7 @@
         self._rng = Random(seed)
         self._counts_from = counts_from
         self._now = float(0)
-        self._numbers = count()
+        self._ids = count()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._policy = make_shard_policy(
             Service('lm', ServiceKind.ENGINE, slots=1),
@@ -129,50 +131,54 @@
             switches=switches,
         )
         self._engines = {
-            f'r{number}': Engine(SLOWNESS[number % len(SLOWNESS)])
+            f'r{number}': Engine(SLOWDOWNS[number % len(SLOWDOWNS)])
             for number in range(ENGINES)
         }
         self._runs: dict[str, Run] = {}
         self._wake_at = float(0)
-        self.tallies: dict[Kind, Tally] = {}
-        self.refused_half_idle = 0  # with under half of the slots taken
+        self.tallies: dict[RequestKind, Tally] = {}
+        self.refusals_below_half_load = 0  # with under half of the slots taken
         infos = [
             RunnerInfo(name, slots=SLOTS, warm=True) for name in self._engines
         ]
         self._act(self._policy.runners(infos, 0))
 
-    def run(self, kinds: tuple[Kind, ...], burst: Burst, ends: float) -> None:
+    def run(
+        self, kinds: tuple[RequestKind, ...], burst: LoadBurst, end: float
+    ) -> None:
         """Let callers send requests of all kinds for a while."""
         for kind in kinds:
             self.tallies[kind] = Tally()
-            self._plan_arrivals(kind, burst, ends)
-        while self._events and self._events[0][0] < ends + PATIENCE_S:
-            self._now, _, happen = heappop(self._events)
-            happen()
+            self._schedule_arrivals(kind, burst, end)
+        while self._events and self._events[0][0] < end + PATIENCE_S:
+            self._now, _, callback = heappop(self._events)
+            callback()
 
-    def _plan_arrivals(self, kind: Kind, burst: Burst, ends: float) -> None:
+    def _schedule_arrivals(
+        self, kind: RequestKind, burst: LoadBurst, end: float
+    ) -> None:
         at = float(0)
-        while at < ends:
-            times = burst.times if burst.begins <= at < burst.ends else 1
-            at += self._rng.expovariate(kind.per_s * times)
-            self._plan(at, lambda: self._arrive(kind))
+        while at < end:
+            factor = burst.factor if burst.start <= at < burst.end else 1
+            at += self._rng.expovariate(kind.per_s * factor)
+            self._schedule(at, lambda: self._arrive(kind))
 
-    def _plan(self, at: float, happen: Callable[[], None]) -> None:
-        heappush(self._events, (at, next(self._numbers), happen))
+    def _schedule(self, at: float, callback: Callable[[], None]) -> None:
+        heappush(self._events, (at, next(self._ids), callback))
 
-    def _arrive(self, kind: Kind) -> None:
-        prompt = kind.prompt.draw(self._rng)
-        answer = kind.events.draw(self._rng) * EVENT_TOKENS
+    def _arrive(self, kind: RequestKind) -> None:
+        prompt = kind.prompt.sample(self._rng)
+        answer = kind.events.sample(self._rng) * EVENT_TOKENS
         hint = max(answer * exp(self._rng.gauss(0, 0.5)), 1)
         ask = Ask(
-            request_id=f'q{next(self._numbers)}',
+            request_id=f'q{next(self._ids)}',
             service='lm',
             tier=kind.tier,
             workspace=f'w{self._rng.randrange(WORKSPACES)}',
             cost=prompt + COMPLETION_COST * hint,
             prompt_tokens=prompt,
             prefixes=(),
-            deadline=self._now + kind.deadline_s * (1 - PACE_RESERVE),
+            deadline=self._now + kind.deadline_s * (1 - DEADLINE_RESERVE),
             cancellable=False,
             on_time_until=self._now + kind.objective_s,
             begin_by=self._now + min(PATIENCE_S, kind.deadline_s),
@@ -189,13 +195,15 @@
                 self._send(self._runs[action.request_id], action.runner)
             elif isinstance(action, Refuse):
                 self._runs.pop(action.request_id)
-                self.refused_half_idle += self._taken() < ENGINES * SLOTS / 2
+                self.refusals_below_half_load += (
+                    self._used_slots() < ENGINES * SLOTS / 2
+                )
         due = self._policy.next_wake(self._now)
         if due is not None:
             self._wake_at = max(due, self._now + 0.001)
-            self._plan(self._wake_at, self._tick)
+            self._schedule(self._wake_at, self._tick)
 
-    def _taken(self) -> int:
+    def _used_slots(self) -> int:
         return sum(
             len(engine.batch) + len(engine.waiting)
             for engine in self._engines.values()
@@ -211,7 +219,7 @@
         engine.waiting.append(run)
         if not engine.is_busy:
             engine.is_busy = True
-            self._plan(self._now, lambda: self._step(engine))
+            self._schedule(self._now, lambda: self._step(engine))
 
     def _step(self, engine: Engine) -> None:
         while engine.waiting and len(engine.batch) < SLOTS:
@@ -219,32 +227,34 @@
         engine.is_busy = bool(engine.batch)
         if not engine.is_busy:
             return
-        streams = [run for run in engine.batch if not run.to_fill]
-        filling = next((run for run in engine.batch if run.to_fill), None)
+        streams = [run for run in engine.batch if not run.prefill_left]
+        prefilling = next(
+            (run for run in engine.batch if run.prefill_left), None
+        )
         # While nobody fills, the steps of one event are played as one.
-        steps = 1 if filling else EVENT_TOKENS
-        seconds = (STEP_S + STEP_OF_A_RUN_S * len(engine.batch)) * steps
-        if filling:
-            chunk = min(filling.to_fill, CHUNK)
-            filling.to_fill -= chunk
-            seconds += chunk / PREFILL_PER_S
-        self._plan(
-            self._now + seconds * engine.slowness,
+        steps = 1 if prefilling else EVENT_TOKENS
+        seconds = (STEP_S + STEP_PER_RUN_S * len(engine.batch)) * steps
+        if prefilling:
+            chunk_tokens = min(prefilling.prefill_left, PREFILL_CHUNK_TOKENS)
+            prefilling.prefill_left -= chunk_tokens
+            seconds += chunk_tokens / PREFILL_PER_S
+        self._schedule(
+            self._now + seconds * engine.slowdown,
             lambda: self._end_step(engine, streams, steps),
         )
 
     def _end_step(self, engine: Engine, streams: list[Run], steps: int) -> None:
         for run in streams:
-            run.made += steps
-            if not run.is_told and run.made >= EVENT_TOKENS:
-                self._tell_first(run)
-            if run.made >= run.answer:
+            run.decoded_tokens += steps
+            if not run.has_first_event and run.decoded_tokens >= EVENT_TOKENS:
+                self._report_first_token(run)
+            if run.decoded_tokens >= run.answer_tokens:
                 engine.batch.remove(run)
                 self._end(run)
         self._step(engine)
 
-    def _tell_first(self, run: Run) -> None:
-        run.is_told = True
+    def _report_first_token(self, run: Run) -> None:
+        run.has_first_event = True
         tally = self.tallies[run.kind]
         if self._now <= run.ask.on_time_until:
             tally.on_time += run.is_counted
@@ -257,7 +267,7 @@
         report = RunReport(
             'done',
             prompt_tokens=run.ask.prompt_tokens,
-            completion_tokens=run.answer,
+            completion_tokens=run.answer_tokens,
             seconds=self._now - run.granted_at,
         )
         name = run.ask.request_id
--- a/tests/decisions/test_choice.py
+++ b/tests/decisions/test_choice.py
@@ -37,79 +37,99 @@
 
 NOW = 1000.0
 STATES = 400
-LEAST = MinRunTime(0.1, 0.3)
+MIN_TIME = MinRunTime(0.1, 0.3)
 PREFIXES = [f'prefix-{number}' for number in range(12)]
 
 
-def plain_cost(place: RunnerSnapshot, ask: Ask) -> float:
+def expected_cost(snapshot: RunnerSnapshot, ask: Ask) -> float:
     """Add up what a run costs at a place, the caches looked into."""
-    prefill = place.prefill_tokens(ask)
+    prefill = snapshot.prefill_tokens(ask)
     decode = max(ask.cost - ask.prompt_tokens, 1)
-    seconds = place.backlog_s + place.pace.seconds(prefill, decode)
-    work = prefill / place.mean_pace.prefill_per_s
+    seconds = snapshot.backlog_s + snapshot.pace.seconds(prefill, decode)
+    work = prefill / snapshot.mean_pace.prefill_per_s
     return (
-        seconds + work * PREFILL_IMPACT + place.failure_share * FAILURE_COST_S
+        seconds
+        + work * PREFILL_IMPACT
+        + snapshot.failure_share * FAILURE_COST_S
     )
 
 
-def plainly_takes(place: RunnerSnapshot, ask: Ask, left: TimeLeft) -> bool:
+def is_startable(snapshot: RunnerSnapshot, ask: Ask, left: TimeLeft) -> bool:
     """Tell whether a request may start at a place and is in time there."""
-    if not place.is_free:
+    if not snapshot.is_free:
         return False
-    short = place.prefill_tokens(ask) <= SHORT_PREFILL_TOKENS
-    if place.backlog_s >= place.max_backlog_s and not short:
+    short = snapshot.prefill_tokens(ask) <= SHORT_PREFILL_TOKENS
+    if snapshot.backlog_s >= snapshot.max_backlog_s and not short:
         return False
-    begins = place.backlog_s + place.pace.seconds(place.prefill_tokens(ask), 0)
+    first_token_s = snapshot.backlog_s + snapshot.pace.seconds(
+        snapshot.prefill_tokens(ask), 0
+    )
     in_time = (
-        begins < left.first_token_s and place.estimate_run_s(ask) < left.total_s
+        first_token_s < left.first_token_s
+        and snapshot.estimate_run_s(ask) < left.total_s
     )
-    return in_time or not place.runner.in_flight
+    return in_time or not snapshot.runner.in_flight
 
 
-def plain_choices(
-    shard: Shard, window: list[WaitingEntry], places: list[RunnerSnapshot]
+def expected_candidates(
+    shard: Shard, window: list[WaitingEntry], snapshots: list[RunnerSnapshot]
 ) -> Iterator[Candidate]:
     """Weigh each entry of a window against every runner."""
-    hold = shard.switches.holding and len(window) < min(
-        len(places), WINDOW_ENTRIES
+    can_hold = shard.switches.holding and len(window) < min(
+        len(snapshots), WINDOW_ENTRIES
+    )
+    has_slot_for_each = len(shard.queue) <= sum(
+        one.is_free for one in snapshots
     )
-    is_free_for_all = len(shard.queue) <= sum(one.is_free for one in places)
     for position, entry in enumerate(window):
         ask = entry.ask
         left = TimeLeft(inf, inf)
-        is_tried = is_free_for_all and entry.urgent_at <= NOW
+        is_tried = has_slot_for_each and entry.urgent_at <= NOW
         if shard.switches.expiry and not is_tried:
             left = TimeLeft(ask.begin_by - NOW, ask.deadline - NOW)
-        able = [one for one in places if one.runner.name not in ask.excluded]
-        taken = [one for one in able if plainly_takes(one, ask, left)]
-        if not taken:
+        eligible = [
+            one for one in snapshots if one.runner.name not in ask.excluded
+        ]
+        startable = [one for one in eligible if is_startable(one, ask, left)]
+        if not startable:
             continue
-        best = min(taken, key=lambda one: plain_cost(one, ask))
-        least_at = min(able, key=lambda one: plain_cost(one, ask) + one.wait_s)
-        least = plain_cost(least_at, ask) + least_at.wait_s
-        regret = plain_cost(best, ask) - least + position * POSITION_PENALTY_S
-        saves = least_at.prefill_tokens(ask) < best.prefill_tokens(ask)
-        worth_it = saves or len(shard.queue) < len(places)
+        best = min(startable, key=lambda one: expected_cost(one, ask))
+        cheapest = min(
+            eligible, key=lambda one: expected_cost(one, ask) + one.wait_s
+        )
+        min_cost = expected_cost(cheapest, ask) + cheapest.wait_s
+        regret = (
+            expected_cost(best, ask) - min_cost + position * POSITION_PENALTY_S
+        )
+        saves_prefill = cheapest.prefill_tokens(ask) < best.prefill_tokens(ask)
+        is_worth_holding = saves_prefill or len(shard.queue) < len(snapshots)
         held_until = min(entry.urgent_at, entry.on_time_until - MIN_HOLD_GAIN_S)
-        held = (
-            hold and worth_it and regret >= MIN_HOLD_GAIN_S and held_until > NOW
+        is_held = (
+            can_hold
+            and is_worth_holding
+            and regret >= MIN_HOLD_GAIN_S
+            and held_until > NOW
         )
-        if not held:
-            yield Candidate(entry, best.runner, regret, saves)
+        if not is_held:
+            yield Candidate(entry, best.runner, regret, saves_prefill)
 
 
-def plain_choice(shard: Shard) -> Candidate | None:
+def expected_choice(shard: Shard) -> Candidate | None:
     """Return what a weighing of everything against everything would start."""
-    places = snapshot_runners(shard, NOW)
+    snapshots = snapshot_runners(shard, NOW)
     windows = shard.queue.windows(shard.lowest_startable_tier(NOW))
-    longest = max((one.max_prefill_tokens() for one in places), default=-1)
-    weighed = 0
+    max_prefill = max(
+        (one.max_prefill_tokens() for one in snapshots), default=-1
+    )
+    evaluated = 0
     for window in windows:
-        choices = list(plain_choices(shard, window, places))
-        if choices:
-            return min(choices, key=lambda one: one.regret)
-        weighed += sum(entry.min_prefill_tokens <= longest for entry in window)
-        if weighed >= MAX_EVALUATED:
+        candidates = list(expected_candidates(shard, window, snapshots))
+        if candidates:
+            return min(candidates, key=lambda one: one.regret)
+        evaluated += sum(
+            entry.min_prefill_tokens <= max_prefill for entry in window
+        )
+        if evaluated >= MAX_EVALUATED:
             return None
     return None
 
@@ -133,13 +153,13 @@
     )
 
 
-def stir(rng: Random, runner: Runner) -> None:
+def randomize_runner(rng: Random, runner: Runner) -> None:
     """Put a runner in a random state."""
     runner.leaving = rng.random() < 0.1
     runner.backlog_tokens = rng.choice([0, 0, 400, 3000, 20_000])
     runner.mean_run_s = rng.choice([0.01, 0.2, 1, 4])
-    busy = rng.randint(0, 4)
-    runner.in_flight = {f'run-{number}' for number in range(busy)}
+    run_count = rng.randint(0, 4)
+    runner.in_flight = {f'run-{number}' for number in range(run_count)}
     if rng.random() < 0.7:
         runner.speed.record_prefill(3000, rng.choice([0.06, 0.2, 1.5]))
         runner.speed.record_decode(200, rng.choice([0.1, 0.4, 2]))
@@ -155,10 +175,10 @@
     infos = [RunnerInfo(f'r{number}') for number in range(count)]
     pool.update(infos, (), NOW - rng.choice([1, 3, 100]))
     for runner in pool:
-        stir(rng, runner)
+        randomize_runner(rng, runner)
     queue = WaitingQueue({}, tiers=True, fair=True, short_first=True)
     for number in range(rng.choice([1, 5, 40])):
-        queue.add(random_ask(rng, number), NOW - rng.random() * 3, LEAST)
+        queue.add(random_ask(rng, number), NOW - rng.random() * 3, MIN_TIME)
     return Shard(
         pool, queue, WaitingQueue({}), DrainRate(), rng, switches=switches
     )
@@ -169,19 +189,19 @@
     [Switches(), Switches(holding=False), Switches(expiry=False)],
     ids=['all', 'no holding', 'no expiry'],
 )
-def test_the_choice_is_that_of_a_plain_weighing(switches: Switches) -> None:
+def test_choice_equals_exhaustive_evaluation(switches: Switches) -> None:
     """Runners that are passed over unweighed would not have been chosen."""
     rng = Random(23)
     started = 0
     for _ in range(STATES):
         shard = random_shard(rng, switches)
-        expected = plain_choice(shard)
+        expected = expected_choice(shard)
         assert choose_next(shard, NOW) == expected
         started += expected is not None
-    assert STATES / 4 < started < STATES, 'both outcomes are played'
+    assert STATES / 4 < started < STATES, 'both outcomes occur'
 
 
-def test_each_cache_is_looked_into_once_a_request(
+def test_each_cache_is_looked_up_once_per_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """An owner's processor time goes into these looks.
@@ -189,23 +209,23 @@
     Of 300 requests under a standing queue of 50 at 70 runners, each pair of a
     waiting request and a runner took 4.5 looks before and takes 0.94 now.
     """
-    looks: Counter[int] = Counter()
-    look = CacheView.cached_tokens
+    lookups: Counter[int] = Counter()
+    cached_tokens = CacheView.cached_tokens
 
     def counted(view: CacheView, *asked: Any) -> int:
-        looks[id(view)] += 1
-        return look(view, *asked)
+        lookups[id(view)] += 1
+        return cached_tokens(view, *asked)
 
     monkeypatch.setattr(CacheView, 'cached_tokens', counted)
     rng = Random(29)
     for _ in range(STATES):
         shard = random_shard(rng, Switches())
-        looks.clear()
+        lookups.clear()
         choose_next(shard, NOW)
-        assert max(looks.values(), default=0) <= len(shard.queue)
+        assert max(lookups.values(), default=0) <= len(shard.queue)
 
 
-def test_a_request_without_prefixes_looks_into_no_cache(
+def test_request_without_prefixes_looks_up_no_cache(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """An owner that looks all the same falls behind its callers."""
@@ -213,14 +233,14 @@
     shard.queue = WaitingQueue({})
     for number in range(20):
         ask = replace(random_ask(Random(number), number), prefixes=())
-        shard.queue.add(ask, NOW, LEAST)
-    looks = 0
+        shard.queue.add(ask, NOW, MIN_TIME)
+    lookups = 0
 
     def counted(view: CacheView, *asked: Any) -> int:
-        nonlocal looks
-        looks += 1
+        nonlocal lookups
+        lookups += 1
         return 0
 
     monkeypatch.setattr(CacheView, 'cached_tokens', counted)
     assert choose_next(shard, NOW) is not None
-    assert not looks
+    assert not lookups
--- a/tests/decisions/test_connected.py
+++ b/tests/decisions/test_connected.py
@@ -10,13 +10,13 @@
 from bramleybend.models import Ask, Service, ServiceKind, Tier
 
 TOKENS = 1000
-NONE: frozenset[str] = frozenset()
+NO_RUNNERS: frozenset[str] = frozenset()
 
 
-def ask_of(
+def make_ask(
     name: str,
-    connected: frozenset[str] = NONE,
-    excluded: frozenset[str] = NONE,
+    connected: frozenset[str] = NO_RUNNERS,
+    excluded: frozenset[str] = NO_RUNNERS,
 ) -> Ask:
     """Return a request for a slot."""
     return Ask(
@@ -34,7 +34,7 @@
     )
 
 
-def policy_of(seconds: dict[str, float]) -> ShardPolicy:
+def make_policy(seconds: dict[str, float]) -> ShardPolicy:
     """Return an owner that has seen how long a run takes at each runner."""
     service = Service('lm', ServiceKind.ENGINE, slots=4)
     policy = make_shard_policy(service, Random(1), switches=SWITCHES)
@@ -43,7 +43,7 @@
     for number, (name, whole_s) in enumerate(seconds.items()):
         others = frozenset(seconds) - {name}
         run = f'first-{number}'
-        policy.ask(ask_of(run, excluded=others), number)
+        policy.ask(make_ask(run, excluded=others), number)
         policy.first_token(run, TOKENS, 0, number + whole_s / 2)
         report = RunReport(
             'done', prompt_tokens=TOKENS, completion_tokens=10, seconds=whole_s
@@ -59,8 +59,8 @@
     other_s: float, expected: str
 ) -> None:
     """A new one for each request costs both sides, and a slow run callers."""
-    policy = policy_of({'a': other_s, 'b': 0.4})
-    ask = ask_of('x', connected=frozenset({'a', 'gone'}))
+    policy = make_policy({'a': other_s, 'b': 0.4})
+    ask = make_ask('x', connected=frozenset({'a', 'gone'}))
     (grant,) = policy.ask(ask, 10)
     assert isinstance(grant, Grant)
     assert grant.runner == expected
@@ -68,8 +68,8 @@
 
 def test_a_runner_that_failed_it_is_not_used_for_its_connection() -> None:
     """It would fail the request again."""
-    policy = policy_of({'a': 0.4, 'b': 0.4})
+    policy = make_policy({'a': 0.4, 'b': 0.4})
     names = frozenset({'a'})
-    (grant,) = policy.ask(ask_of('x', connected=names, excluded=names), 10)
+    (grant,) = policy.ask(make_ask('x', connected=names, excluded=names), 10)
     assert isinstance(grant, Grant)
     assert grant.runner == 'b'
--- a/tests/decisions/test_failing.py
+++ b/tests/decisions/test_failing.py
@@ -12,7 +12,7 @@
 STEP_S = 0.01
 
 
-def ask(number: int, now: float) -> Ask:
+def make_ask(number: int, now: float) -> Ask:
     """Return a request of usual size."""
     return Ask(
         f'a{number}',
@@ -27,7 +27,7 @@
     )
 
 
-def play(requests_per_s: float, *, refuses: bool = False) -> dict[str, int]:
+def simulate(requests_per_s: float, *, refuses: bool = False) -> dict[str, int]:
     """Return what each of three runners got; `grey` fails half at once.
 
     With `refuses`, it turns them away unrun instead.
@@ -40,7 +40,7 @@
     )
     infos = [RunnerInfo(name, warm=True) for name in ('grey', 'b', 'c')]
     policy.runners(infos, 0)
-    got = {'grey': 0, 'b': 0, 'c': 0}
+    starts = {'grey': 0, 'b': 0, 'c': 0}
     ends: list[tuple[float, str, bool]] = []
     for step in range(int(12 / STEP_S)):
         now = step * STEP_S
@@ -57,15 +57,15 @@
             )
             actions.extend(policy.ended(end[1], report, now))
         if rng.random() < requests_per_s * STEP_S:
-            actions.extend(policy.ask(ask(step, now), now))
+            actions.extend(policy.ask(make_ask(step, now), now))
         actions.extend(policy.tick(now))
         for action in actions:
             if isinstance(action, Grant):
-                got[action.runner] += 1
+                starts[action.runner] += 1
                 fails = action.runner == 'grey' and rng.random() < 0.5
                 lasts = 0.002 if fails else RUN_S
                 ends.append((now + lasts, action.request_id, fails))
-    return got
+    return starts
 
 
 def test_a_runner_that_fails_half_gets_little_work() -> None:
@@ -74,13 +74,13 @@
     Without the share it got 111 of 209 requests here, as a run that fails at
     once leaves it free; with it, 8 of 204.
     """
-    got = play(requests_per_s=18)
+    got = simulate(requests_per_s=18)
     assert got['grey'] < 0.12 * sum(got.values())
 
 
-def test_a_runner_that_turns_half_away_gets_little_work() -> None:
+def test_a_runner_that_rejects_half_gets_little_work() -> None:
     """A refusal in a millisecond leaves it free, so it would get the most."""
-    got = play(requests_per_s=18, refuses=True)
+    got = simulate(requests_per_s=18, refuses=True)
     assert got['grey'] < 0.12 * sum(got.values())
 
 
--- a/tests/decisions/test_floor.py
+++ b/tests/decisions/test_floor.py
@@ -12,7 +12,7 @@
 from bramleybend.state.terms_rules import RENEW_EVERY_S, RenewalTimer
 
 POOL = 'bend-lm'
-SOON = (HOLD_S - MARGIN_S) / 2
+DURING_PERMIT = (HOLD_S - MARGIN_S) / 2
 
 
 def permits_after(*replies: tuple[bool, int], view_age: float = 0) -> bool:
@@ -21,8 +21,10 @@
         POOL, Tier.HIGH, frozenset(range(2)), 0, view_age=view_age
     )
     for shard, (settled, lower) in enumerate(replies):
-        permits.reply(opened, shard, SOON, settled=settled, lower_running=lower)
-    return permits.permit(POOL, Tier.HIGH, SOON)
+        permits.reply(
+            opened, shard, DURING_PERMIT, settled=settled, lower_running=lower
+        )
+    return permits.permit(POOL, Tier.HIGH, DURING_PERMIT)
 
 
 def test_every_owner_must_agree() -> None:
@@ -36,11 +38,11 @@
 def test_permit_covers_lower_tiers_of_its_service_until_its_end() -> None:
     permits = ShedPermits()
     opened = permits.begin(POOL, Tier.HIGH, frozenset({0}), 0, view_age=0)
-    permits.reply(opened, 0, SOON, settled=True, lower_running=0)
+    permits.reply(opened, 0, DURING_PERMIT, settled=True, lower_running=0)
 
-    assert permits.permit(POOL, Tier.BULK, SOON)
-    assert not permits.permit(POOL, Tier.CRITICAL, SOON)
-    assert not permits.permit('briefing-llm', Tier.BULK, SOON)
+    assert permits.permit(POOL, Tier.BULK, DURING_PERMIT)
+    assert not permits.permit(POOL, Tier.CRITICAL, DURING_PERMIT)
+    assert not permits.permit('briefing-llm', Tier.BULK, DURING_PERMIT)
     assert not permits.permit(POOL, Tier.HIGH, HOLD_S - MARGIN_S)
 
 
@@ -70,7 +72,7 @@
     assert owner.settled(100)
 
 
-def test_run_that_left_without_end_unsettles_its_owner() -> None:
+def test_lost_run_unsettles_its_owner() -> None:
     owner = Settling()
     owner.lose_run(10)
 
@@ -84,7 +86,7 @@
     assert not grant_usable(granted_by='a', owner='a', view_age=FRESH_S)
 
 
-def test_renewal_is_due_until_one_is_seen_to_land() -> None:
+def test_renewal_is_due_until_one_is_seen() -> None:
     timer = RenewalTimer()
     assert timer.due(10)
     timer.saw_renewal(10)
--- a/tests/decisions/test_free_slots.py
+++ b/tests/decisions/test_free_slots.py
@@ -18,65 +18,69 @@
 from bramleybend.models import Ask, Service, ServiceKind, Tier
 from tests.decisions.engine_play import (
     COMPLETION_COST,
-    Burst,
-    Kind,
-    Play,
-    Spread,
+    LoadBurst,
+    RequestKind,
+    EngineSimulation,
+    SizeDistribution,
 )
 
 # For these, no kind needs to go short: the engines can do all but the burst.
 KINDS: Final = (
-    Kind(
+    RequestKind(
         Tier.CRITICAL,
         per_s=43,
-        prompt=Spread(6610, 1, 54_600),
-        events=Spread(55, 1.3, 550),
+        prompt=SizeDistribution(6610, 1, 54_600),
+        events=SizeDistribution(55, 1.3, 550),
         objective_s=1,
         deadline_s=15,
     ),
-    Kind(
+    RequestKind(
         Tier.HIGH,
         per_s=40,
-        prompt=Spread(628, 0.8, 3310),
-        events=Spread(42, 1.4, 420),
+        prompt=SizeDistribution(628, 0.8, 3310),
+        events=SizeDistribution(42, 1.4, 420),
         objective_s=0.5,
         deadline_s=12,
     ),
-    Kind(
+    RequestKind(
         Tier.NORMAL,
         per_s=56,
-        prompt=Spread(1800, 1, 6870),
-        events=Spread(3, 1.1, 32),
+        prompt=SizeDistribution(1800, 1, 6870),
+        events=SizeDistribution(3, 1.1, 32),
         objective_s=0.5,
         deadline_s=3,
     ),
 )
-BURST: Final = Burst(2, 7, 1.8)
-LENGTH_S: Final = 10.0
-FLOOR: Final = 0.42  # share of its worth that each kind has to earn
+BURST: Final = LoadBurst(2, 7, 1.8)
+DURATION_S: Final = 10.0
+MIN_VALUE: Final = 0.42  # share of its worth that each kind has to earn
 SEEDS: Final = (1, 2, 3)
 # As entry VMs decide, and as the owners of the product's own interface do.
-BOTH: Final = (SWITCHES, replace(SWITCHES, holding=True))
-NAMES: Final = ('raw path', 'holding')
+SWITCH_SETS: Final = (SWITCHES, replace(SWITCHES, holding=True))
+SWITCH_IDS: Final = ('raw path', 'holding')
 
 SLOTS: Final = 4
-WORKSPACES: Final = 16  # more than the runners, with a request each
-HELD: Final = 8  # fewer than the runners, but more than are weighed at once
-ENOUGH: Final = 7  # pairs of engines
-RUNS: Final = 30  # of each engine, that taught its pace
+WORKSPACE_COUNT: Final = 16  # more than the runners, with a request each
+HELD_COUNT: Final = (
+    8  # fewer than the runners, but more than are weighed at once
+)
+PAIR_COUNT: Final = 7  # pairs of engines
+RUNS_PER_ENGINE: Final = 30  # of each engine, that taught its pace
 NOW: Final = 1000.0
 
 
-@pytest.fixture(scope='module', params=BOTH, ids=NAMES)
-def plays(request: pytest.FixtureRequest) -> list[Play]:
+@pytest.fixture(scope='module', params=SWITCH_SETS, ids=SWITCH_IDS)
+def simulations(request: pytest.FixtureRequest) -> list[EngineSimulation]:
     """Play the load with each seed."""
-    played = [Play(seed, request.param) for seed in SEEDS]
-    for play in played:
-        play.run(KINDS, BURST, LENGTH_S)
-    return played
+    simulations = [EngineSimulation(seed, request.param) for seed in SEEDS]
+    for simulation in simulations:
+        simulation.run(KINDS, BURST, DURATION_S)
+    return simulations
 
 
-def ask(name: str, tier: Tier, tokens: int = 400, answer: int = 100) -> Ask:
+def make_ask(
+    name: str, tier: Tier, tokens: int = 400, answer: int = 100
+) -> Ask:
     """Return a request of a workspace of its own."""
     return Ask(
         request_id=name,
@@ -93,11 +97,11 @@
     )
 
 
-def run_once(
+def record_run(
     policy: ShardPolicy, name: str, runner: str, begins: float, seconds: float
 ) -> None:
     """Let a runner work on one request."""
-    policy.witness(ask(name, Tier.CRITICAL), runner, begins)
+    policy.witness(make_ask(name, Tier.CRITICAL), runner, begins)
     policy.first_token(name, 400, 0, begins + seconds / 10)
     report = RunReport(
         'done', prompt_tokens=400, completion_tokens=100, seconds=seconds
@@ -105,7 +109,7 @@
     policy.ended(name, report, begins + seconds)
 
 
-def taught(switches: Switches, pairs: int = 1) -> ShardPolicy:
+def make_trained_policy(switches: Switches, pairs: int = 1) -> ShardPolicy:
     """Return a policy that knows full fast engines and free slow ones."""
     service = Service('lm', ServiceKind.ENGINE, slots=1)
     policy = make_shard_policy(service, Random(1), switches=switches)
@@ -113,57 +117,62 @@
     paces += [(f'slow-{number}', 0.9) for number in range(pairs)]
     infos = [RunnerInfo(name, slots=SLOTS, warm=True) for name, _ in paces]
     policy.runners(infos, 0)
-    for number in range(RUNS):
+    for number in range(RUNS_PER_ENGINE):
         for position, (runner, seconds) in enumerate(paces):
             begins = float(number * len(paces) + position)
-            run_once(policy, f'{runner}-{number}', runner, begins, seconds)
+            record_run(policy, f'{runner}-{number}', runner, begins, seconds)
     for name, _ in paces[:pairs]:
         for number in range(SLOTS):
-            running = ask(f'on-{name}-{number}', Tier.CRITICAL)
+            running = make_ask(f'on-{name}-{number}', Tier.CRITICAL)
             policy.witness(running, name, NOW)
             policy.first_token(running.request_id, 400, 0, NOW)
     return policy
 
 
-def granted(actions: list[Action]) -> list[str]:
+def granted_ids(actions: list[Action]) -> list[str]:
     """Return what may start."""
     return [
         action.request_id for action in actions if isinstance(action, Grant)
     ]
 
 
-@pytest.mark.parametrize('switches', BOTH, ids=NAMES)
-def test_requests_of_many_workspaces_do_not_all_wait_for_one_slot(
+@pytest.mark.parametrize('switches', SWITCH_SETS, ids=SWITCH_IDS)
+def test_requests_of_many_workspaces_use_all_free_slots(
     switches: Switches,
 ) -> None:
-    policy = taught(switches)
+    policy = make_trained_policy(switches)
     started: list[str] = []
-    for number in range(WORKSPACES):
-        started += granted(policy.ask(ask(f'w{number}', Tier.HIGH), NOW))
+    for number in range(WORKSPACE_COUNT):
+        started += granted_ids(
+            policy.ask(make_ask(f'w{number}', Tier.HIGH), NOW)
+        )
     assert len(started) == SLOTS
 
 
-@pytest.mark.parametrize('switches', BOTH, ids=NAMES)
+@pytest.mark.parametrize('switches', SWITCH_SETS, ids=SWITCH_IDS)
 def test_held_requests_do_not_hide_a_lower_one_from_free_slots(
     switches: Switches,
 ) -> None:
-    policy = taught(switches, ENOUGH)
-    for number in range(HELD):
-        policy.ask(ask(f'w{number}', Tier.HIGH), NOW)
-    brief = ask('brief', Tier.NORMAL, tokens=50, answer=2)
-    assert granted(policy.ask(brief, NOW)) == ['brief']
+    policy = make_trained_policy(switches, PAIR_COUNT)
+    for number in range(HELD_COUNT):
+        policy.ask(make_ask(f'w{number}', Tier.HIGH), NOW)
+    brief = make_ask('brief', Tier.NORMAL, tokens=50, answer=2)
+    assert granted_ids(policy.ask(brief, NOW)) == ['brief']
 
 
 def test_no_kind_is_starved_while_engines_have_free_slots(
-    plays: list[Play],
+    simulations: list[EngineSimulation],
 ) -> None:
-    worths = [
-        min(tally.worth for tally in play.tallies.values()) for play in plays
+    min_values = [
+        min(tally.value for tally in simulation.tallies.values())
+        for simulation in simulations
     ]
-    assert min(worths) >= FLOOR, worths
+    assert min(min_values) >= MIN_VALUE, min_values
 
 
 def test_nothing_is_refused_with_under_half_of_the_slots_taken(
-    plays: list[Play],
+    simulations: list[EngineSimulation],
 ) -> None:
-    assert [play.refused_half_idle for play in plays] == [0 for _ in plays]
+    assert [
+        simulation.refusals_below_half_load for simulation in simulations
+    ] == [0 for _ in simulations]
--- a/tests/decisions/test_hedging.py
+++ b/tests/decisions/test_hedging.py
@@ -10,7 +10,7 @@
 CALL = ('booking-app', 'availability')
 
 
-def _learned(seconds: float) -> Hedging:
+def _trained(seconds: float) -> Hedging:
     hedging = Hedging()
     for _ in range(WINDOW_CALLS):
         hedging.finished(*CALL, seconds)
@@ -34,7 +34,7 @@
     learned delay; the budget pays the first few second runs and then one in
     twenty. Without it the stalled pool would get each call twice.
     """
-    hedging = _learned(0.02)
+    hedging = _trained(0.02)
     allowed = 0
     for _ in range(1000):
         hedging.begun(*CALL)
@@ -44,14 +44,14 @@
 
 def test_one_slow_profile_spends_its_own_budget_only() -> None:
     """Another profile's second runs stay paid for."""
-    hedging = _learned(0.02)
+    hedging = _trained(0.02)
     while hedging.allow(*CALL):
         hedging.finished(*CALL, 5)
     assert hedging.allow('booking-app', 'other')
 
 
-def test_a_time_that_went_back_teaches_nothing() -> None:
+def test_negative_duration_is_ignored() -> None:
     """A negative duration would pull the delay to nothing."""
-    hedging = _learned(0.02)
+    hedging = _trained(0.02)
     hedging.finished(*CALL, -5)
     assert hedging.delay_s(*CALL) == 0.02
--- a/tests/decisions/test_invariants.py
+++ b/tests/decisions/test_invariants.py
@@ -17,10 +17,10 @@
 from tests.decisions.test_owner import SERVICE, make_ask
 
 STEPS = 600
-NAMES = ('e0', 'e1', 'e2', 'e3')
+RUNNER_NAMES = ('e0', 'e1', 'e2', 'e3')
 
 
-class Play:
+class RandomEvents:
     """Random callers, runners and faults around one policy."""
 
     def __init__(self, seed: int) -> None:
@@ -29,58 +29,58 @@
         self.now = float(0)
         self.asks: dict[str, Ask] = {}
         self.running: dict[str, str] = {}
-        self.over: set[str] = set()
+        self.finished: set[str] = set()
         self.leaving: set[str] = set()
         self.floor: tuple[float, Tier] = (-1, Tier.BULK)
-        infos = [RunnerInfo(name) for name in NAMES]
-        self.take(self.policy.runners(infos, 0))
+        infos = [RunnerInfo(name) for name in RUNNER_NAMES]
+        self.handle_actions(self.policy.runners(infos, 0))
 
-    def take(self, actions: list[Action]) -> None:
+    def handle_actions(self, actions: list[Action]) -> None:
         for action in actions:
             ask = self.asks[action.request_id]
             if isinstance(action, Grant):
-                self.granted(ask, action.runner)
+                self.handle_grant(ask, action.runner)
             elif isinstance(action, Refuse):
                 assert ask.request_id not in self.running
                 assert action.retry_after.total_seconds() > 0
-                self.over.add(ask.request_id)
+                self.finished.add(ask.request_id)
             elif isinstance(action, Preempt):
                 assert ask.cancellable
                 assert ask.tier > action.for_tier
                 assert ask.request_id in self.running
 
-    def granted(self, ask: Ask, runner: str) -> None:
+    def handle_grant(self, ask: Ask, runner: str) -> None:
         if self.running.get(ask.request_id) == runner:
             return  # a repeated ask was answered again
         assert ask.request_id not in self.running
-        assert ask.request_id not in self.over
+        assert ask.request_id not in self.finished
         assert runner not in self.leaving | ask.excluded
         until, tier = self.floor
         assert self.now >= until or ask.tier <= tier
-        company = [
+        other_runs = [
             other for other, place in self.running.items() if place == runner
         ]
         if ask.suspect:
-            assert not company
-        assert not any(self.asks[other].suspect for other in company)
+            assert not other_runs
+        assert not any(self.asks[other].suspect for other in other_runs)
         self.running[ask.request_id] = runner
 
     def step(self) -> None:
         self.now += self.rng.expovariate(4)
-        moves = (
+        events = (
             self.ask,
             self.ask,
             self.ask,
             self.end,
             self.end,
             self.first_token,
-            self.repeat,
+            self.repeat_ask,
             self.withdraw,
             self.list_runners,
             self.set_floor,
             self.tick,
         )
-        self.rng.choice(moves)()
+        self.rng.choice(events)()
 
     def ask(self) -> None:
         rng = self.rng
@@ -94,16 +94,16 @@
             deadline=self.now + rng.uniform(-1, 30),
             cancellable=rng.random() < 0.7,
             suspect=rng.random() < 0.05,
-            excluded=frozenset(rng.sample(NAMES, rng.randint(0, 1))),
+            excluded=frozenset(rng.sample(RUNNER_NAMES, rng.randint(0, 1))),
         )
         self.asks[ask.request_id] = ask
-        self.take(self.policy.ask(ask, self.now))
+        self.handle_actions(self.policy.ask(ask, self.now))
 
     def end(self) -> None:
         if self.running:
             name = self.rng.choice(list(self.running))
             self.running.pop(name)
-            self.over.add(name)
+            self.finished.add(name)
             report = RunReport(
                 self.rng.choice(('done', 'failed')),
                 crashed=self.rng.random() < 0.05,
@@ -112,29 +112,35 @@
                 completion_tokens=self.rng.randint(-5, 500),
                 seconds=self.rng.uniform(-1, 20),
             )
-            self.take(self.policy.ended(name, report, self.now))
+            self.handle_actions(self.policy.ended(name, report, self.now))
 
     def first_token(self) -> None:
         if self.running:
             name = self.rng.choice(list(self.running))
-            self.take(self.policy.first_token(name, 900, 100, self.now))
+            self.handle_actions(
+                self.policy.first_token(name, 900, 100, self.now)
+            )
 
-    def repeat(self) -> None:
+    def repeat_ask(self) -> None:
         if self.running:
             ask = self.asks[self.rng.choice(list(self.running))]
-            self.take(self.policy.ask(ask, self.now))
+            self.handle_actions(self.policy.ask(ask, self.now))
 
     def withdraw(self) -> None:
-        waiting = self.asks.keys() - self.running.keys() - self.over
+        waiting = self.asks.keys() - self.running.keys() - self.finished
         if waiting:
             name = min(waiting)
-            self.over.add(name)
-            self.take(self.policy.withdraw(name, self.now))
+            self.finished.add(name)
+            self.handle_actions(self.policy.withdraw(name, self.now))
 
     def list_runners(self) -> None:
-        self.leaving = set(self.rng.sample(NAMES, self.rng.randint(0, 2)))
-        infos = [RunnerInfo(name, name in self.leaving) for name in NAMES]
-        self.take(self.policy.runners(infos, self.now))
+        self.leaving = set(
+            self.rng.sample(RUNNER_NAMES, self.rng.randint(0, 2))
+        )
+        infos = [
+            RunnerInfo(name, name in self.leaving) for name in RUNNER_NAMES
+        ]
+        self.handle_actions(self.policy.runners(infos, self.now))
 
     def set_floor(self) -> None:
         if self.now >= self.floor[0]:
@@ -146,17 +152,17 @@
             )
 
     def tick(self) -> None:
-        self.take(self.policy.tick(self.now))
+        self.handle_actions(self.policy.tick(self.now))
 
 
 @pytest.mark.parametrize('seed', range(12))
-def test_owner_keeps_its_promises_in_any_order(seed: int) -> None:
-    play = Play(seed)
+def test_invariants_hold_for_any_event_order(seed: int) -> None:
+    events = RandomEvents(seed)
     for _ in range(STEPS):
-        play.step()
-        assert play.policy.load().running == len(play.running)
+        events.step()
+        assert events.policy.load().running == len(events.running)
     # Once all deadlines are past, each request was granted or refused.
-    play.now += 60
-    play.tick()
-    assert play.policy.load().waiting == 0
-    assert play.asks.keys() == play.over | play.running.keys()
+    events.now += 60
+    events.tick()
+    assert events.policy.load().waiting == 0
+    assert events.asks.keys() == events.finished | events.running.keys()
--- a/tests/decisions/test_on_time_first.py
+++ b/tests/decisions/test_on_time_first.py
@@ -14,13 +14,15 @@
 from bramleybend.models import Ask, Service, ServiceKind, Tier
 
 RUN_S = 0.1
-EVERY_S = 0.06  # between two arrivals, 1.7 times what the runner can do
+ARRIVAL_INTERVAL_S = (
+    0.06  # between two arrivals, 1.7 times what the runner can do
+)
 OBJECTIVE_S = 0.5
 PATIENCE_S = 3.0
-ASKED = 150
+REQUEST_COUNT = 150
 
 
-def play(*, on_time_first: bool) -> tuple[int, int, float]:
+def simulate(*, on_time_first: bool) -> tuple[int, int, float]:
     """Return how many started on time, how many at all, the longest wait."""
     policy = make_shard_policy(
         Service('lm', ServiceKind.ENGINE, slots=1),
@@ -30,7 +32,10 @@
         ),
     )
     policy.runners([RunnerInfo('r1', leaving=False, slots=1, warm=True)], 0)
-    arrivals = {f'a{number:03}': number * EVERY_S for number in range(ASKED)}
+    arrivals = {
+        f'a{number:03}': number * ARRIVAL_INTERVAL_S
+        for number in range(REQUEST_COUNT)
+    }
     started: dict[str, float] = {}
     refused: set[str] = set()
     ends: dict[str, float] = {}
@@ -43,7 +48,7 @@
             elif isinstance(action, Refuse):
                 refused.add(action.request_id)
 
-    for step in range(int(ASKED * EVERY_S * 200)):
+    for step in range(int(REQUEST_COUNT * ARRIVAL_INTERVAL_S * 200)):
         now = step / 100
         due = tuple(name for name, at in ends.items() if at <= now)
         for name in due:
@@ -52,14 +57,14 @@
             act(policy.ended(name, report, now), now)
         for name, at in arrivals.items():
             if at <= now < at + 0.01:
-                act(policy.ask(ask(name, at), now), now)
+                act(policy.ask(make_ask(name, at), now), now)
         act(policy.tick(now), now)
     waits = {name: at - arrivals[name] for name, at in started.items()}
     on_time = sum(wait <= OBJECTIVE_S for wait in waits.values())
     return on_time, len(waits), max(waits.values())
 
 
-def ask(name: str, now: float) -> Ask:
+def make_ask(name: str, now: float) -> Ask:
     return Ask(
         name,
         'lm',
@@ -82,9 +87,9 @@
     keeps the runner with those that can still be on time; as many are served
     in all, and nobody waits for longer than patience.
     """
-    before = play(on_time_first=False)
-    after = play(on_time_first=True)
-    assert before[0] <= ASKED * 0.1
-    assert after[0] >= ASKED * 0.2
+    before = simulate(on_time_first=False)
+    after = simulate(on_time_first=True)
+    assert before[0] <= REQUEST_COUNT * 0.1
+    assert after[0] >= REQUEST_COUNT * 0.2
     assert after[1] >= before[1] * 0.95
     assert after[2] <= PATIENCE_S
--- a/tests/decisions/test_orders.py
+++ b/tests/decisions/test_orders.py
@@ -18,7 +18,7 @@
 from bramleybend.models import EngineRole, EngineTarget
 
 TARGET = EngineTarget('model', '2', ('a', 'b'), EngineRole.DECODE)
-RIGHT = EngineState(
+MATCHING = EngineState(
     'model', '2', frozenset('abc'), EngineRole.DECODE, loading=False
 )
 OLD = EngineState('model', '1', frozenset(), EngineRole.DECODE, loading=False)
@@ -26,7 +26,7 @@
 LOADING = EngineState('model', '1', frozenset(), EngineRole.MIXED, loading=True)
 
 
-def views(*states: EngineState | None) -> list[EngineView]:
+def make_views(*states: EngineState | None) -> list[EngineView]:
     return [EngineView(f'e{at}', state) for at, state in enumerate(states)]
 
 
@@ -47,7 +47,7 @@
             ),
             SetRole(EngineRole.DECODE),
         ),
-        (RIGHT, None),
+        (MATCHING, None),
     ],
 )
 def test_the_next_order_is_worked_out_from_the_state(
@@ -61,18 +61,18 @@
     ('pool', 'unfit'),
     [
         ([OLD] * 4, set()),
-        ([RIGHT, OLD, OLD, OLD], set()),
-        ([RIGHT, RIGHT, OLD, OLD], {'e2', 'e3'}),
+        ([MATCHING, OLD, OLD, OLD], set()),
+        ([MATCHING, MATCHING, OLD, OLD], {'e2', 'e3'}),
         ([OLD, LOADING, EMPTY, OLD], {'e1', 'e2'}),
         ([None, OLD, OLD], set()),
-        ([None, RIGHT], set()),
+        ([None, MATCHING], set()),
     ],
 )
 def test_a_wrong_engine_serves_until_half_are_right(
     pool: Sequence[EngineState | None],
     unfit: set[str],
 ) -> None:
-    assert unfit_engines(views(*pool), TARGET) == unfit
+    assert unfit_engines(make_views(*pool), TARGET) == unfit
 
 
 @pytest.mark.parametrize(
@@ -84,7 +84,7 @@
         ([OLD, OLD, OLD, EMPTY], 1, ('e3',)),
         ([LOADING, OLD, OLD, OLD], 9, ('e1',)),
         ([None, None, OLD, OLD], 9, ()),
-        ([RIGHT] * 4, 9, ()),
+        ([MATCHING] * 4, 9, ()),
     ],
 )
 def test_no_more_than_half_of_a_shard_is_out_at_once(
@@ -92,7 +92,7 @@
     limit: int,
     chosen: tuple[str, ...],
 ) -> None:
-    assert engines_to_change(views(*pool), TARGET, limit) == chosen
+    assert engines_to_change(make_views(*pool), TARGET, limit) == chosen
 
 
 def test_failed_engines_stop_the_rollout() -> None:
--- a/tests/decisions/test_overload.py
+++ b/tests/decisions/test_overload.py
@@ -26,30 +26,36 @@
 
 RUN_S: Final = 0.1
 STEP_S: Final = 0.01
-LENGTH_S: Final = 20.0
+DURATION_S: Final = 20.0
 SETTLED_S: Final = 6.0  # the longest patience, and the time to tell a burst
 OBJECTIVE_S: Final = 0.5
 PATIENCE_S: Final = 4.0
 SEEDS: Final = (1, 2, 3)
 OVERLOAD: Final = Overload(MIN_TIER_SHARE, STANDING_QUEUE_S)
 # Of a runner that does ten a second: the higher tier alone asks for all of it.
-PER_S: Final = {Tier.HIGH: 11.0, Tier.NORMAL: 8.0}
+ARRIVALS_PER_S: Final = {Tier.HIGH: 11.0, Tier.NORMAL: 8.0}
 # Later, a caller would have left before the shortest time to come back.
-EARLY: Final = PATIENCE_S - MIN_RETRY_AFTER_S * RETRY_AFTER_SPREAD[1]
+MAX_REFUSAL_WAIT_S: Final = (
+    PATIENCE_S - MIN_RETRY_AFTER_S * RETRY_AFTER_SPREAD[1]
+)
 
 # Work for 1.3 s of every 1.8 s, that comes at two moments.
 BURST_STEPS: Final = 180
 BURSTS: Final = MappingProxyType({0: 10, 40: 3})
 
 
-class Played:
+class OverloadSimulation:
     """What became of the requests of each tier."""
 
     def __init__(self, seed: int) -> None:
         """Play a load in virtual time."""
-        self.sent = dict.fromkeys(PER_S, 0)
-        self.waits: dict[Tier, list[float]] = {tier: [] for tier in PER_S}
-        self.told: dict[Tier, list[float]] = {tier: [] for tier in PER_S}
+        self.sent = dict.fromkeys(ARRIVALS_PER_S, 0)
+        self.start_waits: dict[Tier, list[float]] = {
+            tier: [] for tier in ARRIVALS_PER_S
+        }
+        self.refusal_waits: dict[Tier, list[float]] = {
+            tier: [] for tier in ARRIVALS_PER_S
+        }
         self._asks: dict[str, tuple[Tier, float]] = {}
         self._ends: dict[str, float] = {}
         self._policy = make_shard_policy(
@@ -58,24 +64,26 @@
             switches=SWITCHES,
             overload=OVERLOAD,
         )
-        self._play(Random(seed))
+        self._run(Random(seed))
 
-    def _play(self, rng: Random) -> None:
+    def _run(self, rng: Random) -> None:
         info = RunnerInfo('r1', slots=1, warm=True)
         self._act(self._policy.runners([info], 0), 0)
-        for step in range(int(LENGTH_S / STEP_S)):
+        for step in range(int(DURATION_S / STEP_S)):
             now = step * STEP_S
             due = tuple(name for name, at in self._ends.items() if at <= now)
             for name in due:
                 self._ends.pop(name)
                 report = RunReport('done', prompt_tokens=10, seconds=RUN_S)
                 self._act(self._policy.ended(name, report, now), now)
-            for tier, per_s in PER_S.items():
+            for tier, per_s in ARRIVALS_PER_S.items():
                 if rng.random() < per_s * STEP_S:
                     name = f'{tier.name}-{step}'
                     self._asks[name] = (tier, now)
                     self.sent[tier] += now >= SETTLED_S
-                    self._act(self._policy.ask(_ask(name, tier, now), now), now)
+                    self._act(
+                        self._policy.ask(_make_ask(name, tier, now), now), now
+                    )
             self._act(self._policy.tick(now), now)
 
     def _act(self, actions: list[Action], now: float) -> None:
@@ -87,11 +95,11 @@
                 self._ends[action.request_id] = now + RUN_S
             if at >= SETTLED_S:
                 is_grant = isinstance(action, Grant)
-                told = self.waits if is_grant else self.told
-                told[tier].append(now - at)
+                waits = self.start_waits if is_grant else self.refusal_waits
+                waits[tier].append(now - at)
 
 
-def _ask(name: str, tier: Tier, now: float) -> Ask:
+def _make_ask(name: str, tier: Tier, now: float) -> Ask:
     return Ask(
         name,
         'lm',
@@ -107,42 +115,42 @@
     )
 
 
-play = cache(Played)
+simulate = cache(OverloadSimulation)
 
 
 @pytest.mark.parametrize('seed', SEEDS)
-def test_the_lowest_tier_is_served_while_a_higher_one_fills_all(
+def test_lower_tier_gets_its_share_of_starts(
     seed: int,
 ) -> None:
     """Strictly by tier, a lower one would not be served at all."""
-    played = play(seed)
-    starts = sum(map(len, played.waits.values()))
-    lower = len(played.waits[Tier.NORMAL])
+    simulation = simulate(seed)
+    starts = sum(map(len, simulation.start_waits.values()))
+    lower = len(simulation.start_waits[Tier.NORMAL])
     assert abs(lower - MIN_TIER_SHARE * starts) <= MAX_OWED_STARTS
 
 
 @pytest.mark.parametrize('seed', SEEDS)
-def test_who_is_refused_in_a_standing_queue_hears_of_it_early(
+def test_refusals_in_a_standing_queue_are_early(
     seed: int,
 ) -> None:
     """Told at the end of its patience, a caller can't come back."""
-    refused = play(seed).told[Tier.HIGH]
+    refused = simulate(seed).refusal_waits[Tier.HIGH]
     assert refused
-    assert max(refused) <= EARLY
+    assert max(refused) <= MAX_REFUSAL_WAIT_S
 
 
 @pytest.mark.parametrize('seed', SEEDS)
-def test_who_is_served_in_a_standing_queue_is_served_on_time(
+def test_requests_served_in_a_standing_queue_are_on_time(
     seed: int,
 ) -> None:
     """A queue longer than its objective makes everybody late."""
-    waits = play(seed).waits[Tier.HIGH]
+    waits = simulate(seed).start_waits[Tier.HIGH]
     on_time = [wait for wait in waits if wait <= OBJECTIVE_S]
     assert len(on_time) >= 0.75 * len(waits)
 
 
 @pytest.mark.parametrize('seed', SEEDS)
-def test_a_burst_that_fits_into_patience_is_served_late_not_refused(
+def test_burst_shorter_than_patience_is_served_late(
     seed: int,
 ) -> None:
     """Only an overload that lasts is refused, no short burst."""
@@ -156,7 +164,7 @@
     started: list[str] = []
     ends_at = float(0)
     for number in range(int(STANDING_QUEUE_S / RUN_S)):
-        policy.ask(_ask(f'a{number}', Tier.HIGH, 0), 0)
+        policy.ask(_make_ask(f'a{number}', Tier.HIGH, 0), 0)
     for step in range(int(PATIENCE_S / STEP_S)):
         now = step * STEP_S
         if started and now >= ends_at:
@@ -174,7 +182,7 @@
     assert len(started) == int(STANDING_QUEUE_S / RUN_S)
 
 
-def test_a_queue_that_runs_empty_does_not_stand() -> None:
+def test_queue_that_becomes_empty_is_not_standing() -> None:
     """Short bursts that are worked off would else be taken for an overload."""
     policy = make_shard_policy(
         Service('lm', ServiceKind.ENGINE, slots=1),
@@ -186,7 +194,7 @@
     refused: list[str] = []
     running = ''
     ends_at = float(0)
-    for step in range(int(LENGTH_S / STEP_S)):
+    for step in range(int(DURATION_S / STEP_S)):
         now = step * STEP_S
         actions: list[Action] = []
         if running and now >= ends_at:
@@ -194,7 +202,7 @@
             actions.extend(policy.ended(running, report, now))
             running = ''
         for number in range(BURSTS.get(step % BURST_STEPS, 0)):
-            ask = _ask(f'a{step}-{number}', Tier.HIGH, now)
+            ask = _make_ask(f'a{step}-{number}', Tier.HIGH, now)
             actions.extend(policy.ask(ask, now))
         actions.extend(policy.tick(now))
         for action in actions:
--- a/tests/decisions/test_owner.py
+++ b/tests/decisions/test_owner.py
@@ -44,7 +44,7 @@
     return policy
 
 
-def granted(actions: list[Action]) -> list[str]:
+def granted_ids(actions: list[Action]) -> list[str]:
     return [act.request_id for act in actions if isinstance(act, Grant)]
 
 
@@ -63,9 +63,9 @@
 def test_full_runner_starts_the_next_when_one_ends() -> None:
     policy = make_policy('engine-1')
     for name in ('a', 'b'):
-        assert granted(policy.ask(make_ask(name), 0)) == [name]
+        assert granted_ids(policy.ask(make_ask(name), 0)) == [name]
     assert not policy.ask(make_ask('c'), 0)
-    assert granted(policy.ended('a', DONE, 1)) == ['c']
+    assert granted_ids(policy.ended('a', DONE, 1)) == ['c']
 
 
 def test_higher_tier_starts_before_earlier_lower_tier() -> None:
@@ -73,14 +73,14 @@
     for name in ('a', 'b', 'c'):
         policy.ask(make_ask(name), 0)
     policy.ask(make_ask('booking', tier=Tier.CRITICAL), 1)
-    assert granted(policy.ended('a', DONE, 2)) == ['booking']
+    assert granted_ids(policy.ended('a', DONE, 2)) == ['booking']
 
 
 def test_withdrawn_request_frees_its_slot() -> None:
     policy = make_policy('engine-1')
     for name in ('a', 'b', 'c'):
         policy.ask(make_ask(name), 0)
-    assert granted(policy.withdraw('a', 1)) == ['c']
+    assert granted_ids(policy.withdraw('a', 1)) == ['c']
 
 
 def test_leaving_runner_gets_nothing_new() -> None:
@@ -100,7 +100,7 @@
     assert policy.ask(ask, 0) == [Grant('a', 'engine-2')]
 
 
-def test_no_live_runner_sheds_at_once_with_a_time_to_return() -> None:
+def test_request_without_live_runner_is_shed_with_retry_after() -> None:
     policy = make_policy()
     action = policy.ask(make_ask('a'), 0)[0]
     assert isinstance(action, Refuse)
@@ -142,7 +142,7 @@
     policy.ask(make_ask('draft', tier=Tier.HIGH), 0)
     policy.ask(make_ask('booking', tier=Tier.CRITICAL, deadline=1), 0)
     assert policy.tick(0.5) == []
-    assert granted(policy.withdraw('draft', 0.6)) == ['booking']
+    assert granted_ids(policy.withdraw('draft', 0.6)) == ['booking']
 
 
 def test_preemption_is_ordered_once_per_urgent_request() -> None:
@@ -170,11 +170,11 @@
     policy.ask(make_ask('booking', tier=Tier.CRITICAL, deadline=2.2), 0)
     assert policy.set_floor(Tier.CRITICAL, 2, 1) == 2
     assert [type(act) for act in policy.tick(1)] == [Preempt]
-    assert granted(policy.ended('a', DONE, 1.2)) == ['booking']
-    assert not granted(policy.ended('b', DONE, 1.4))
+    assert granted_ids(policy.ended('a', DONE, 1.2)) == ['booking']
+    assert not granted_ids(policy.ended('b', DONE, 1.4))
     wake = policy.next_wake(1.5)
     assert wake is not None
-    assert granted(policy.tick(3.1)) == ['c']
+    assert granted_ids(policy.tick(3.1)) == ['c']
 
 
 def test_suspect_runs_alone_and_one_at_a_time() -> None:
@@ -183,9 +183,9 @@
     policy.ask(make_ask('s1', suspect=True), 0)
     policy.ask(make_ask('s2', suspect=True), 0)
     assert not policy.ask(make_ask('b'), 0)
-    assert granted(policy.ended('a', DONE, 1)) == ['s1']
-    assert granted(policy.ended('s1', DONE, 2)) == ['s2']
-    assert granted(policy.ended('s2', DONE, 3)) == ['b']
+    assert granted_ids(policy.ended('a', DONE, 1)) == ['s1']
+    assert granted_ids(policy.ended('s1', DONE, 2)) == ['s2']
+    assert granted_ids(policy.ended('s2', DONE, 3)) == ['b']
 
 
 def test_adopted_run_fills_its_slot() -> None:
@@ -195,7 +195,7 @@
     assert not policy.ask(make_ask('c'), 0)
 
 
-def test_run_adopted_before_the_list_counts_when_the_list_comes() -> None:
+def test_run_adopted_before_the_runner_list_takes_a_slot() -> None:
     policy = make_shard_policy(SERVICE, Random(1))
     for name in ('a', 'b'):
         policy.adopt(make_ask(name), 'engine-1', 0)
@@ -204,15 +204,15 @@
 
 
 @pytest.mark.parametrize('cost', [-5, 0, nan, inf])
-def test_nonsense_cost_counts_as_the_prompt(cost: float) -> None:
+def test_invalid_cost_is_replaced_by_the_prompt_length(cost: float) -> None:
     policy = make_policy('engine-1')
-    assert granted(policy.ask(make_ask('a', cost=cost), 0)) == ['a']
+    assert granted_ids(policy.ask(make_ask('a', cost=cost), 0)) == ['a']
 
 
 @pytest.mark.parametrize('tier', [-3, 0, 99])
 def test_unknown_tier_is_clamped(tier: int) -> None:
     policy = make_policy('engine-1')
-    assert granted(policy.ask(make_ask('a', tier=tier), 0)) == ['a']
+    assert granted_ids(policy.ask(make_ask('a', tier=tier), 0)) == ['a']
 
 
 def test_clock_that_jumps_back_counts_as_standing_still() -> None:
@@ -222,15 +222,15 @@
     assert policy.load().running == 2
 
 
-def test_report_from_the_future_teaches_nothing() -> None:
+def test_report_longer_than_the_elapsed_time_is_ignored() -> None:
     policy = make_policy('engine-1')
     policy.ask(make_ask('a'), 0)
     report = replace(DONE, seconds=10_000)
     policy.ended('a', report, 1)
-    assert granted(policy.ask(make_ask('b', deadline=20), 2)) == ['b']
+    assert granted_ids(policy.ask(make_ask('b', deadline=20), 2)) == ['b']
 
 
-def test_crashed_runner_is_held_back_and_returns_slowly() -> None:
+def test_crashed_runner_gets_no_starts_and_then_ramps_up() -> None:
     """A runner dies with two runs on it while the VM list still has it.
 
     Both gateways report the crash. Sent there at once, the next callers would
@@ -242,8 +242,8 @@
     crash = RunReport('failed', crashed=True)
     assert not policy.ended('a', crash, 1)
     assert not policy.ended('b', crash, 1.1)
-    assert granted(policy.tick(2.0)) == ['c']
-    assert granted(policy.tick(7.0)) == ['d']
+    assert granted_ids(policy.tick(2.0)) == ['c']
+    assert granted_ids(policy.tick(7.0)) == ['d']
 
 
 def test_runner_once_slow_is_tried_again_when_idle() -> None:
@@ -256,7 +256,9 @@
     policy.ask(make_ask('slow', deadline=90), 0)
     policy.first_token('slow', 100, 0, 49)
     policy.ended('slow', replace(DONE, seconds=50), 50)
-    assert granted(policy.ask(make_ask('next', deadline=55), 51)) == ['next']
+    assert granted_ids(policy.ask(make_ask('next', deadline=55), 51)) == [
+        'next'
+    ]
 
 
 def test_plain_service_without_first_tokens_uses_all_its_slots() -> None:
@@ -265,7 +267,7 @@
     policy.runners([RunnerInfo('desk-1')], -100)
     for name in ('a', 'b'):
         ask = make_ask(name, prompt_tokens=9000, cost=9000)
-        assert granted(policy.ask(ask, 0)) == [name]
+        assert granted_ids(policy.ask(ask, 0)) == [name]
 
 
 def test_request_that_every_runner_failed_is_shed_at_once() -> None:
@@ -285,7 +287,7 @@
     policy = make_policy('engine-1')
     policy.adopt(make_ask('a', prompt_tokens=9000, cost=9000), 'engine-1', 0)
     ask = make_ask('b', prompt_tokens=9000, cost=9000)
-    assert granted(policy.ask(ask, 0)) == ['b']
+    assert granted_ids(policy.ask(ask, 0)) == ['b']
 
 
 def test_new_owner_starts_slowly() -> None:
@@ -312,7 +314,7 @@
     assert not policy.ask(make_ask('a'), 20)
 
 
-def test_a_freed_slot_does_not_go_below_what_was_just_refused() -> None:
+def test_freed_slot_starts_nothing_below_a_refused_tier() -> None:
     """Guards against a refused request that then can't be shed with proof."""
     policy = make_policy('engine-1')
     for name in ('a', 'b'):
@@ -323,5 +325,5 @@
     assert [act.request_id for act in refused if isinstance(act, Refuse)] == [
         'high'
     ]
-    assert not granted(policy.ended('a', DONE, 2.1))
-    assert granted(policy.tick(2 + HOLD_S)) == ['bulk']
+    assert not granted_ids(policy.ended('a', DONE, 2.1))
+    assert granted_ids(policy.tick(2 + HOLD_S)) == ['bulk']
--- a/tests/decisions/test_parts.py
+++ b/tests/decisions/test_parts.py
@@ -17,23 +17,23 @@
 from tests.decisions.test_owner import make_ask
 
 
-def play_round(limit: ConcurrencyLimit, streams: int) -> None:
+def finish_round(limit: ConcurrencyLimit, streams: int) -> None:
     for _ in range(ROUND_RUNS):
         limit.record_streams(streams, limit.value)
         limit.record_completion(limit.value)
 
 
-def test_limit_falls_to_what_the_runner_really_batches() -> None:
+def test_limit_falls_to_the_true_batch_size() -> None:
     limit = ConcurrencyLimit(16)
     for _ in range(20):
-        play_round(limit, min(4, limit.value))
+        finish_round(limit, min(4, limit.value))
     assert limit.value == 5
 
 
 def test_limit_grows_while_all_runs_stream() -> None:
     limit = ConcurrencyLimit(4)
     for _ in range(8):
-        play_round(limit, limit.value)
+        finish_round(limit, limit.value)
     assert limit.value == 12
 
 
@@ -52,7 +52,7 @@
     assert limit.value == 1
 
 
-def test_late_eviction_does_not_undo_what_was_sent_since() -> None:
+def test_late_eviction_does_not_remove_a_prefix_sent_since() -> None:
     """An engine evicts a prefix, a new run stores it, then the event comes.
 
     Taken at its word, the next request would be sent elsewhere and filled
@@ -66,7 +66,7 @@
     assert view.cached_tokens(['p'], 1000) == 0
 
 
-def test_missed_events_are_made_up_for_by_what_a_run_found() -> None:
+def test_cached_tokens_of_a_run_correct_missed_events() -> None:
     view = CacheView()
     view.record_sent(['p', 'q', 'r'], 0)
     view.reconcile(['p', 'q', 'r'], expected=1024, cached=0)
@@ -100,14 +100,14 @@
     assert not preemptible_runs(runs, Tier.BULK)
 
 
-def test_callers_turned_away_together_return_apart() -> None:
+def test_retry_after_spreads_callers_refused_together() -> None:
     rng = Random(5)
     waits = [retry_after(40_000, 2000, rng) for _ in range(300)]
     assert max(waits) - min(waits) > timedelta(seconds=15)
     assert min(waits) >= timedelta(seconds=15)
 
 
-def test_drain_rate_follows_what_is_finished() -> None:
+def test_drain_rate_follows_finished_runs() -> None:
     drain = DrainRate()
     for second in range(60):
         drain.record_run(500, 1, second)
@@ -117,8 +117,8 @@
 
 
 @pytest.mark.parametrize('seconds', [0, -1, -inf])
-def test_speed_learns_nothing_from_nonsense(seconds: float) -> None:
-    speed = PaceEstimator()
-    speed.record_run(100, seconds)
-    speed.record_decode(-5, 1)
-    assert speed.pace is None
+def test_pace_ignores_invalid_measurements(seconds: float) -> None:
+    estimator = PaceEstimator()
+    estimator.record_run(100, seconds)
+    estimator.record_decode(-5, 1)
+    assert estimator.pace is None
--- a/tests/decisions/test_patterns.py
+++ b/tests/decisions/test_patterns.py
@@ -19,9 +19,9 @@
 
 @cache
 def scores_of(
-    pattern: str, deployment: str = 'parwaz', off: str = ''
+    pattern: str, deployment: str = 'parwaz', disabled: str = ''
 ) -> Scores:
-    switches = Switches(**({off: False} if off else {}))
+    switches = Switches(**({disabled: False} if disabled else {}))
     return play(
         'bramleybend',
         DEPLOYMENTS[deployment],
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize('deployment', list(DEPLOYMENTS))
-def test_burst_costs_the_lower_tiers_only(deployment: str) -> None:
+def test_burst_affects_lower_tiers_only(deployment: str) -> None:
     """From second 10 to 18 three times the capacity is asked for.
 
     Callers of the top tier notice nothing; what can't be done in time is
@@ -44,7 +44,7 @@
     assert scores.goodput(Tier.CRITICAL) >= scores.goodput(Tier.NORMAL)
 
 
-def test_few_callers_that_take_most_do_not_harm_the_others() -> None:
+def test_one_heavy_workspace_does_not_harm_the_others() -> None:
     """One workspace sends 80 % of 1.3 times the capacity.
 
     The other four get what they ask for, up to an equal share.
@@ -61,7 +61,7 @@
     assert scores.goodput(Tier.CRITICAL) >= 0.99
 
 
-def test_slow_upstream_takes_little_down_with_it() -> None:
+def test_slow_upstream_affects_few_requests() -> None:
     """Six of 50 engines become ten times slower at second 10.
 
     What runs there is late; what comes after goes elsewhere.
@@ -83,6 +83,6 @@
 
 def test_saturation_without_tiers_would_fail_bookings() -> None:
     with_tiers = scores_of('saturation').goodput(Tier.CRITICAL)
-    without = scores_of('saturation', off='tiers').goodput(Tier.CRITICAL)
+    without = scores_of('saturation', disabled='tiers').goodput(Tier.CRITICAL)
     assert with_tiers >= 0.99
     assert without < 0.99
--- a/tests/decisions/test_quarantine.py
+++ b/tests/decisions/test_quarantine.py
@@ -8,7 +8,7 @@
 )
 
 
-def condemned_book() -> CrashBook:
+def make_refusing_book() -> CrashBook:
     book = CrashBook()
     for number in range(CONDEMNED):
         book.crashed(f'engine-{number}', ['poison'], number)
@@ -36,13 +36,13 @@
     After the third runner it is refused, and a late report that a copy of it
     finished somewhere does not let it back in.
     """
-    book = condemned_book()
+    book = make_refusing_book()
     assert book.verdict('poison', 10) is Verdict.REFUSED
     book.finished('poison', 11)
     assert book.verdict('poison', 10**9) is Verdict.REFUSED
 
 
-def test_one_faulty_runner_condemns_nothing() -> None:
+def test_crashes_of_one_runner_refuse_nothing() -> None:
     book = CrashBook()
     for moment in range(10):
         book.crashed('engine-1', ['a'], moment)
@@ -64,14 +64,14 @@
     assert first.verdict('b', 2) is Verdict.CLEAR
 
 
-def test_old_suspicion_ends() -> None:
+def test_suspicion_expires() -> None:
     book = CrashBook()
     book.crashed('engine-1', ['a'], 0)
     assert book.verdict('a', 4000) is Verdict.CLEAR
 
 
 def test_memory_is_bounded_and_keeps_what_is_refused() -> None:
-    book = condemned_book()
+    book = make_refusing_book()
     book.crashed('engine-9', [f'f{n}' for n in range(MAX_RECORDS + 50)], 5)
     assert len(book.export()) == MAX_RECORDS
     assert book.verdict('poison', 6) is Verdict.REFUSED
--- a/tests/decisions/test_rates.py
+++ b/tests/decisions/test_rates.py
@@ -4,7 +4,7 @@
 
 from bramleybend.decisions.actions import RunReport
 from bramleybend.decisions.start_rate import StartRate
-from tests.decisions.test_owner import granted, make_ask, make_policy
+from tests.decisions.test_owner import granted_ids, make_ask, make_policy
 
 
 @pytest.mark.parametrize('per_s', [0.25, 1, 1.4, 20])
@@ -19,7 +19,7 @@
     assert per_s * 10 - 1 <= starts <= per_s * 10
 
 
-def test_starts_of_another_owner_count() -> None:
+def test_starts_by_another_owner_count() -> None:
     """An owner that takes over doesn't begin with a full second."""
     rate = StartRate(2, 0)
     for _ in range(2):
@@ -27,14 +27,14 @@
     assert rate.wait_s(1) == pytest.approx(0.5)
 
 
-def test_a_limited_runner_starts_as_it_says_though_slots_are_free() -> None:
+def test_start_rate_applies_while_slots_are_free() -> None:
     """Short runs free their slots at once, so slots keep no rate."""
     policy = make_policy('engine-1')
     policy.start_rates({'engine-1': 1}, 0)
     started = []
     for number in range(40):
         now = number / 10
-        names = granted(policy.ask(make_ask(f'a{number:02}'), now))
+        names = granted_ids(policy.ask(make_ask(f'a{number:02}'), now))
         for name in names:
             policy.ended(name, RunReport('done', seconds=0.01), now + 0.01)
         started.extend(names)
@@ -43,15 +43,15 @@
     assert 3 <= len(started) <= 4
 
 
-def test_a_limit_that_ends_frees_what_waits() -> None:
+def test_removed_rate_limit_starts_waiting_requests() -> None:
     """Nothing waits for a rate that is no longer in force."""
     policy = make_policy('engine-1')
     policy.start_rates({'engine-1': 0.25}, 0)
-    assert not granted(policy.ask(make_ask('a'), 0))
-    assert granted(policy.start_rates({}, 0.1)) == ['a']
+    assert not granted_ids(policy.ask(make_ask('a'), 0))
+    assert granted_ids(policy.start_rates({}, 0.1)) == ['a']
 
 
-def test_a_request_is_refused_where_no_runner_may_be_sent_any() -> None:
+def test_request_is_refused_when_all_rates_are_zero() -> None:
     """Another VM has the runner's whole limit; ours would wait in vain."""
     policy = make_policy('engine-1')
     policy.start_rates({'engine-1': 0}, 0)
--- a/tests/decisions/test_routing.py
+++ b/tests/decisions/test_routing.py
@@ -27,7 +27,7 @@
     assert sorted(first) == [0, 1, 2, 3]
 
 
-def test_requests_without_prefix_spread() -> None:
+def test_requests_without_prefix_spread_over_shards() -> None:
     views = make_views(10, 10, 10, 10)
     counts = Counter(
         rank_shards(make_ask(f'r{n}'), views, Random(1))[0] for n in range(400)
@@ -35,25 +35,25 @@
     assert min(counts.values()) > 60
 
 
-def test_overloaded_favourite_is_left_and_stays_last_resort() -> None:
+def test_overloaded_first_choice_is_ranked_last() -> None:
     ask = make_ask('a', prefixes=('x',))
-    favourite = rank_shards(ask, make_views(10, 10, 10, 10), Random(1))[0]
+    first_choice = rank_shards(ask, make_views(10, 10, 10, 10), Random(1))[0]
     loads = [100, 100, 100, 100]
-    loads[favourite] = 500
+    loads[first_choice] = 500
     ranked = rank_shards(ask, make_views(*loads), Random(1))
-    assert ranked[-1] == favourite
+    assert ranked[-1] == first_choice
 
 
-def test_overflow_does_not_all_go_to_the_shard_that_looked_idle() -> None:
+def test_overflow_is_spread_over_the_other_shards() -> None:
     """Six gateways hold the same stale view in which one shard looks idle.
 
     Did all send there, it would be swamped before the next view; the less
     loaded of two by random spreads them.
     """
     ask = make_ask('a', prefixes=('x',))
-    favourite = rank_shards(ask, make_views(10, 10, 10, 10), Random(1))[0]
+    first_choice = rank_shards(ask, make_views(10, 10, 10, 10), Random(1))[0]
     loads = [90, 91, 92, 93]
-    loads[favourite] = 900
+    loads[first_choice] = 900
     chosen = Counter(
         rank_shards(ask, make_views(*loads), Random(seed))[0]
         for seed in range(300)
@@ -61,7 +61,7 @@
     assert max(chosen.values()) < 250
 
 
-def test_nonsense_age_counts_as_unknown_load() -> None:
+def test_invalid_age_counts_as_unknown_load() -> None:
     ask = make_ask('a', prefixes=('x',))
     views = make_views(10, 10, 10, 10)
     expected = rank_shards(ask, views, Random(1))[0]
--- a/tests/decisions/test_settled.py
+++ b/tests/decisions/test_settled.py
@@ -18,8 +18,8 @@
 from bramleybend.models import Ask, Service, ServiceKind, Tier
 
 SERVICE = Service('lm', ServiceKind.ENGINE, slots=1)
-EVENTS = 1500
-RUNNERS = 4
+EVENT_COUNT = 1500
+RUNNER_COUNT = 4
 
 
 def make_policy() -> ShardPolicy:
@@ -28,7 +28,7 @@
     policy = make_shard_policy(SERVICE, Random(1), switches=switches)
     infos = [
         RunnerInfo(f'r{number}', leaving=False, slots=3, warm=True)
-        for number in range(RUNNERS)
+        for number in range(RUNNER_COUNT)
     ]
     policy.runners(infos, -100)
     return policy
@@ -52,15 +52,15 @@
     )
 
 
-class Pair:
+class PolicyPair:
     """The policy as it is, and one that weighs everything each time."""
 
     def __init__(self, rng: Random) -> None:
         """Start both alike."""
         self._rng = rng
-        self._policy, self._plain = make_policy(), make_policy()
+        self._policy, self._exhaustive = make_policy(), make_policy()
         self._running: dict[str, tuple[Ask, str, float]] = {}
-        self._asked: dict[str, Ask] = {}
+        self._asks: dict[str, Ask] = {}
         self.started = 0
 
     def step(self, number: int, now: float) -> None:
@@ -68,39 +68,39 @@
         kind = self._rng.random()
         if kind < 0.5:
             ask = random_ask(self._rng, number, now)
-            self._asked[ask.request_id] = ask
-            self._both('ask', ask, now)
+            self._asks[ask.request_id] = ask
+            self._apply_to_both('ask', ask, now)
         elif kind < 0.6 or not self._running:
-            self._both('tick', now)
+            self._apply_to_both('tick', now)
         else:
-            self._move_on(now)
+            self._advance_run(now)
 
-    def _move_on(self, now: float) -> None:
+    def _advance_run(self, now: float) -> None:
         name = self._rng.choice(sorted(self._running))
         ask, _, since = self._running[name]
         if self._rng.random() < 0.4:
-            self._both('first_token', name, ask.prompt_tokens, 0, now)
+            self._apply_to_both('first_token', name, ask.prompt_tokens, 0, now)
             return
         self._running.pop(name)
         report = RunReport('done', prompt_tokens=ask.prompt_tokens)
         report = replace(report, completion_tokens=20, seconds=now - since)
-        self._both('ended', name, report, now)
+        self._apply_to_both('ended', name, report, now)
 
-    def _both(self, event: str, *facts: object) -> None:
+    def _apply_to_both(self, event: str, *facts: object) -> None:
         now = facts[-1]
         assert isinstance(now, float)
-        self._plain._idle_until = -inf
-        expected = getattr(self._plain, event)(*facts)
+        self._exhaustive._idle_until = -inf
+        expected = getattr(self._exhaustive, event)(*facts)
         actions: list[Action] = getattr(self._policy, event)(*facts)
-        assert _kinds(actions) == _kinds(expected)
+        assert _comparable(actions) == _comparable(expected)
         for action in actions:
             if isinstance(action, Grant):
                 self.started += 1
                 name = action.request_id
-                self._running[name] = (self._asked[name], action.runner, now)
+                self._running[name] = (self._asks[name], action.runner, now)
 
 
-def _kinds(actions: list[Action]) -> list[object]:
+def _comparable(actions: list[Action]) -> list[object]:
     return [
         replace(action, retry_after=None)  # type: ignore[arg-type]
         if isinstance(action, Refuse)
@@ -110,14 +110,14 @@
 
 
 @pytest.mark.parametrize('seed', range(8))
-def test_what_is_new_alone_is_weighed_with_the_same_outcome(
+def test_evaluating_only_new_requests_gives_the_same_actions(
     seed: int,
 ) -> None:
     """A request that could start isn't passed over until the next event."""
     rng = Random(seed)
-    pair = Pair(rng)
+    pair = PolicyPair(rng)
     now = float(0)
-    for number in range(EVENTS):
+    for number in range(EVENT_COUNT):
         now += rng.expovariate(40)
         pair.step(number, now)
-    assert pair.started > EVENTS / 10
+    assert pair.started > EVENT_COUNT / 10
--- a/tests/decisions/test_spreading.py
+++ b/tests/decisions/test_spreading.py
@@ -15,32 +15,32 @@
 from bramleybend.models import Ask, Service, ServiceKind, Tier
 
 SLOTS: Final = 6
-WORK_S: Final = 0.045
+RUN_S: Final = 0.045
 LOAD: Final = 0.25  # of all slots
-FAILED: Final = 0.012  # of all runs
+FAILURE_SHARE: Final = 0.012  # of all runs
 # Enough starts at each runner that a fair draw stays within the bounds.
-STARTS: Final = 450
-STARTS_S: Final = STARTS * WORK_S / (LOAD * SLOTS)
+STARTS_PER_RUNNER: Final = 450
+STARTS_S: Final = STARTS_PER_RUNNER * RUN_S / (LOAD * SLOTS)
 JOINS_AT: Final = STARTS_S
 SETTLED_S: Final = 10.0  # after a join
-LENGTH_S: Final = JOINS_AT + SETTLED_S + STARTS_S / 2
+DURATION_S: Final = JOINS_AT + SETTLED_S + STARTS_S / 2
 SEEDS: Final = (1,)
-MOST: Final = 1.25  # times the fair share
-LEAST: Final = 0.7
-FLEETS: Final = (
+MAX_SHARE: Final = 1.25  # times the fair share
+MIN_SHARE: Final = 0.7
+FLEET_SIZES: Final = (
     (6, 3),
     (9, 3),
     (84, 3),
     (195, 5),
     (350, 20),
 )
-IDLE_S: Final = 2.8  # a free connection is kept
+CONNECTION_IDLE_S: Final = 2.8  # a free connection is kept
 # A few VMs have most callers.
-BUSY_SHARE: Final = 0.1
-BUSY_WEIGHT: Final = 6
+BUSY_VM_SHARE: Final = 0.1
+BUSY_VM_WEIGHT: Final = 6
 
 
-class Fleet:
+class FleetSimulation:
     """VMs that each place their own callers' requests on shared runners."""
 
     def __init__(self, vms: int, runners: int, seed: int) -> None:
@@ -62,7 +62,7 @@
             )
             for vm in range(vms)
         ]
-        self._play(LOAD * SLOTS * runners / WORK_S)
+        self._run(LOAD * SLOTS * runners / RUN_S)
 
     def shares(self, start: float, end: float) -> dict[str, float]:
         """Return what each runner got, 1 being its fair share."""
@@ -71,24 +71,24 @@
         mean = sum(got.values()) / len(names)
         return {name: got[name] / mean for name in names}
 
-    def _play(self, per_s: float) -> None:
+    def _run(self, per_s: float) -> None:
         vms = range(len(self._policies))
-        busy = max(int(len(vms) * BUSY_SHARE), 1)
-        weights = [BUSY_WEIGHT if vm < busy else 1 for vm in vms]
-        self._list(self._names, 0)
+        busy = max(int(len(vms) * BUSY_VM_SHARE), 1)
+        weights = [BUSY_VM_WEIGHT if vm < busy else 1 for vm in vms]
+        self._update_runners(self._names, 0)
         has_joined = False
         now = self._rng.expovariate(per_s)
-        while now < LENGTH_S:
+        while now < DURATION_S:
             if now >= JOINS_AT and not has_joined:
                 has_joined = True
-                self._list([*self._names, 'new'], now)
+                self._update_runners([*self._names, 'new'], now)
             while self._due and self._due[0][0] <= now:
                 self._end(*heapq.heappop(self._due))
             vm = self._rng.choices(vms, weights)[0]
             self._ask(vm, now)
             now += self._rng.expovariate(per_s)
 
-    def _list(self, names: list[str], now: float) -> None:
+    def _update_runners(self, names: list[str], now: float) -> None:
         infos = [RunnerInfo(name, slots=SLOTS, warm=True) for name in names]
         for policy in self._policies:
             policy.runners(infos, now)
@@ -120,7 +120,7 @@
             self.new_connections.append(vm)
         slots = self._free_at[grant.runner]
         begins = max(heapq.heappop(slots), now)
-        ends = begins + WORK_S * self._rng.uniform(0.7, 1.3)
+        ends = begins + RUN_S * self._rng.uniform(0.7, 1.3)
         heapq.heappush(slots, ends)
         item = (ends, next(self._numbers), vm, grant, now)
         heapq.heappush(self._due, item)
@@ -133,51 +133,51 @@
         grant: Grant,
         started: float,
     ) -> None:
-        outcome = 'failed' if self._rng.random() < FAILED else 'done'
+        outcome = 'failed' if self._rng.random() < FAILURE_SHARE else 'done'
         report = RunReport(outcome, completion_tokens=1, seconds=ends - started)
         self._policies[vm].ended(grant.request_id, report, ends)
-        self._free_until[vm][grant.runner] = ends + IDLE_S
+        self._free_until[vm][grant.runner] = ends + CONNECTION_IDLE_S
 
 
-play = cache(Fleet)
+simulate = cache(FleetSimulation)
 
 
 @pytest.mark.parametrize('seed', SEEDS)
-@pytest.mark.parametrize(('vms', 'runners'), FLEETS)
-def test_no_runner_gets_much_more_than_its_share(
+@pytest.mark.parametrize(('vms', 'runners'), FLEET_SIZES)
+def test_no_runner_gets_much_more_than_its_fair_share(
     vms: int, runners: int, seed: int
 ) -> None:
     """Each VM by itself, all would choose the first runner of the list."""
-    fleet = play(vms, runners, seed)
-    assert max(fleet.shares(0, JOINS_AT).values()) <= MOST
-    assert max(fleet.shares(JOINS_AT, LENGTH_S).values()) <= MOST
+    fleet = simulate(vms, runners, seed)
+    assert max(fleet.shares(0, JOINS_AT).values()) <= MAX_SHARE
+    assert max(fleet.shares(JOINS_AT, DURATION_S).values()) <= MAX_SHARE
 
 
 @pytest.mark.parametrize('seed', SEEDS)
-@pytest.mark.parametrize(('vms', 'runners'), FLEETS)
-def test_right_after_a_start_of_all_no_runner_is_overrun(
+@pytest.mark.parametrize(('vms', 'runners'), FLEET_SIZES)
+def test_no_runner_is_overloaded_after_a_full_restart(
     vms: int, runners: int, seed: int
 ) -> None:
     """Without a run to learn from, all runners look alike to every VM."""
-    fleet = play(vms, runners, seed)
+    fleet = simulate(vms, runners, seed)
     first = fleet.shares(0, 1)
-    mean = LOAD * SLOTS / WORK_S
+    mean = LOAD * SLOTS / RUN_S
     # Three standard deviations of a count that is drawn evenly.
     assert max(first.values()) <= 1 + 3 / mean**0.5 * 1.2
 
 
 @pytest.mark.parametrize('seed', SEEDS)
-@pytest.mark.parametrize(('vms', 'runners'), FLEETS)
+@pytest.mark.parametrize(('vms', 'runners'), FLEET_SIZES)
 def test_a_runner_that_joins_gets_its_share(
     vms: int, runners: int, seed: int
 ) -> None:
     """Never better than the best known, it would get nothing."""
-    fleet = play(vms, runners, seed)
-    share = fleet.shares(JOINS_AT + SETTLED_S, LENGTH_S)['new']
-    assert LEAST <= share <= MOST
+    fleet = simulate(vms, runners, seed)
+    share = fleet.shares(JOINS_AT + SETTLED_S, DURATION_S)['new']
+    assert MIN_SHARE <= share <= MAX_SHARE
 
 
-def test_a_slow_runner_gets_little_and_is_still_tried() -> None:
+def test_slow_runner_gets_little_work_but_some() -> None:
     """Never tried again, it could not show that it has recovered."""
     policy = make_shard_policy(
         Service('app', ServiceKind.PLAIN, slots=SLOTS),
@@ -191,9 +191,9 @@
     got: Counter[str] = Counter()
     for number in range(2000):
         now = float(number)
-        grant = _started(policy, f'{number}', now)
+        grant = _request_grant(policy, f'{number}', now)
         got[grant.runner] += 1
-        seconds = WORK_S * (4 if grant.runner == 'slow' else 1)
+        seconds = RUN_S * (4 if grant.runner == 'slow' else 1)
         report = RunReport('done', completion_tokens=1, seconds=seconds)
         policy.ended(f'{number}', report, now + seconds)
     assert 20 <= got['slow'] <= 120
@@ -201,11 +201,11 @@
 
 def test_an_open_connection_is_used_again() -> None:
     """A new one for most requests costs both sides, and the runner's room."""
-    fleet = play(195, 5, SEEDS[0])
+    fleet = simulate(195, 5, SEEDS[0])
     assert len(fleet.new_connections) <= len(fleet.starts) / 2
 
 
-def test_a_runner_that_names_a_rate_gets_what_it_takes() -> None:
+def test_rate_limited_runner_gets_its_rate() -> None:
     """Drawn by the slots that its rate fills, it would idle beside others."""
     policy = make_shard_policy(
         Service('app', ServiceKind.PLAIN, slots=SLOTS),
@@ -221,16 +221,16 @@
     starts = []
     for number in range(20_000):
         now = number / 20
-        grant = _started(policy, f'{number}', now, frozenset(['other']))
+        grant = _request_grant(policy, f'{number}', now, frozenset(['other']))
         if grant.runner == 'limited':
             starts.append(now)
-        report = RunReport('done', completion_tokens=1, seconds=WORK_S)
-        policy.ended(grant.request_id, report, now + WORK_S)
+        report = RunReport('done', completion_tokens=1, seconds=RUN_S)
+        policy.ended(grant.request_id, report, now + RUN_S)
     waits = [later - earlier for earlier, later in pairwise(starts)]
     assert max(waits) <= 2 / per_s
 
 
-def _started(
+def _request_grant(
     policy: ShardPolicy,
     name: str,
     now: float,
--- a/tests/decisions/test_terms_age.py
+++ b/tests/decisions/test_terms_age.py
@@ -16,7 +16,7 @@
         (1, 60),  # alone
     ],
 )
-def test_peers_word_counts_only_among_more_than_half(
+def test_peer_reports_count_only_with_a_majority(
     alive: int,
     age_s: float,
 ) -> None:
@@ -29,6 +29,6 @@
     assert terms_age_s(60, 0.5, alive, 6) == age_s
 
 
-def test_the_logs_own_word_needs_no_peers() -> None:
+def test_log_read_needs_no_peers() -> None:
     """One VM that reads the log serves, whoever else is there."""
     assert terms_age_s(0.2, inf, 1, 6) == 0.2
--- a/tests/decisions/test_turnaway.py
+++ b/tests/decisions/test_turnaway.py
@@ -18,41 +18,41 @@
 
 SLOTS = 8
 RUN_S = 0.1
-FILLED_S = 0.03  # until the first token
+PREFILL_S = 0.03  # until the first token
 COST = 2000.0
 REPORT = RunReport(DONE, False, False, False, 1800, 0, 25, RUN_S)
 
 
-def play(
+def simulate(
     policy: ShardPolicy, arrivals: Iterator[float], tier: Tier, patience: float
 ) -> tuple[int, list[float]]:
     """Serve arrivals; returns the served, and how long the refused waited."""
-    fills: list[tuple[float, str]] = []
+    first_tokens: list[tuple[float, str]] = []
     ends: list[tuple[float, str]] = []
     asked: dict[str, float] = {}
     served = 0
-    waited: list[float] = []
+    refusal_waits: list[float] = []
 
-    def note(actions: list[Action], now: float) -> None:
+    def handle_actions(actions: list[Action], now: float) -> None:
         nonlocal served
         for action in actions:
             if isinstance(action, Grant):
                 served += 1
-                fills.append((now + FILLED_S, action.request_id))
+                first_tokens.append((now + PREFILL_S, action.request_id))
                 ends.append((now + RUN_S, action.request_id))
             elif isinstance(action, Refuse):
-                waited.append(now - asked[action.request_id])
+                refusal_waits.append(now - asked[action.request_id])
 
     pending = sorted(arrivals)
     now = float(0)
     while pending or ends:
         now += 0.01
-        while fills and fills[0][0] <= now:
-            name = fills.pop(0)[1]
-            note(policy.first_token(name, 1800, 0, now), now)
+        while first_tokens and first_tokens[0][0] <= now:
+            name = first_tokens.pop(0)[1]
+            handle_actions(policy.first_token(name, 1800, 0, now), now)
         while ends and ends[0][0] <= now:
             name = ends.pop(0)[1]
-            note(policy.ended(name, REPORT, now), now)
+            handle_actions(policy.ended(name, REPORT, now), now)
         while pending and pending[0] <= now:
             name = f'r{len(asked)}'
             asked[name] = now
@@ -63,13 +63,13 @@
                 prompt_tokens=1800,
                 deadline=now + patience,
             )
-            note(policy.ask(ask, now), now)
+            handle_actions(policy.ask(ask, now), now)
             pending.pop(0)
-        note(policy.tick(now), now)
-    return served, waited
+        handle_actions(policy.tick(now), now)
+    return served, refusal_waits
 
 
-def engine_policy(runners: int = 1) -> ShardPolicy:
+def make_engine_policy(runners: int = 1) -> ShardPolicy:
     """Return the owner of an engine service that has just begun."""
     service = Service('llm', ServiceKind.ENGINE, SLOTS)
     switches = Switches(preemption=False, limits=False)
@@ -91,12 +91,12 @@
     too long: 13 of 100 were served.
     """
     burst = (number * 0.001 for number in range(100))
-    served, waited = play(engine_policy(), burst, Tier.NORMAL, 3)
+    served, waited = simulate(make_engine_policy(), burst, Tier.NORMAL, 3)
     assert served == 100
     assert not waited
 
 
-def test_after_quiet_a_burst_is_judged_by_the_slots() -> None:
+def test_burst_after_a_quiet_time_is_served() -> None:
     """Callers of a burst after a quiet minute are served, too.
 
     Five requests a second keep a tenth of the slots busy for a minute; then
@@ -105,5 +105,7 @@
     """
     quiet = [number * 0.2 for number in range(300)]
     burst = [60 + number * 0.001 for number in range(150)]
-    served, _ = play(engine_policy(), iter([*quiet, *burst]), Tier.NORMAL, 3)
+    served, _ = simulate(
+        make_engine_policy(), iter([*quiet, *burst]), Tier.NORMAL, 3
+    )
     assert served >= 440
