--- a/bramleybend/decisions/drain_rate.py
+++ b/bramleybend/decisions/drain_rate.py
@@ -8,7 +8,7 @@
 ended runs. The cost finished per second would be the arrival rate while slots
 are idle, and has no value in the first seconds of an owner: with an initial
 guess of 4,000 a new owner served 13 of a burst of 100 that its slots could
-serve, and with this rate all 100 (tests/decisions/test_turnaway.py).
+serve, and with this rate all 100 (tests/decisions/test_drain_rate.py).
 
 The time to retry is the time that this rate takes for the cost ahead, spread by
 `RETRY_AFTER_SPREAD` so that the retries are as spread as the wait is long.
--- a/tests/decisions/test_free_slots.py
+++ b/tests/decisions/test_free_slots.py
@@ -16,11 +16,11 @@
 from bramleybend.decisions.switches import Switches
 from bramleybend.direct.owner import SWITCHES
 from bramleybend.models import Ask, Service, ServiceKind, Tier
-from tests.decisions.engine_play import (
+from tests.decisions.engine_simulation import (
     COMPLETION_COST,
+    EngineSimulation,
     LoadBurst,
     RequestKind,
-    EngineSimulation,
     SizeDistribution,
 )
 
--- a/tests/decisions/test_standing_queue.py
+++ b/tests/decisions/test_standing_queue.py
@@ -9,10 +9,10 @@
 from bramleybend.decisions.waiting_queue import MinRunTime, WaitingQueue
 from bramleybend.direct.owner import SWITCHES
 from bramleybend.models import Ask, Tier
-from tests.decisions.engine_play import (
+from tests.decisions.engine_simulation import (
     PATIENCE_S,
-    LoadBurst,
     EngineSimulation,
+    LoadBurst,
     Tally,
 )
 from tests.decisions.test_free_slots import KINDS
