--- a/bramleybend/decisions/actions.py
+++ b/bramleybend/decisions/actions.py
@@ -49,7 +49,7 @@
     outcome: str
     refused: bool = False  # the runner rejected the request
     crashed: bool = False  # the runner crashed during the run
-    moved: bool = False
+    moved: bool = False  # another process answers at the runner's address
     prompt_tokens: int = 0
     cached_tokens: int = 0
     completion_tokens: int = 0
--- a/bramleybend/decisions/allotments.py
+++ b/bramleybend/decisions/allotments.py
@@ -92,8 +92,8 @@
     updated_at: float
     debt: float = 0
     beyond_debt: float = 0
-    used: float = 0  # by us
-    beyond: float = 0  # by us
+    used: float = 0  # by this VM
+    beyond: float = 0  # by this VM
 
 
 @dataclass
--- a/bramleybend/decisions/floor.py
+++ b/bramleybend/decisions/floor.py
@@ -133,7 +133,7 @@
     def __init__(self, times: FloorTimes = DEFAULT_TIMES) -> None:
         """Start without a permit."""
         self._times = times
-        self._number = 0
+        self._last_number = 0
         self._pending_shards: dict[Round, set[int]] = {}
         self._permit_ends: dict[tuple[str, Tier], float] = {}
 
@@ -152,20 +152,22 @@
         was reached first. From a stale view the round would ask an owner that
         has been replaced, so such a round ends as it begins.
         """
-        self._number += 1
+        self._last_number += 1
         permit_ends_at = now
         if view_age < self._times.fresh_s:
             permit_ends_at = now + self._times.hold_s - self._times.margin_s
-        opened = Round(self._number, service, tier, shards, permit_ends_at)
+        floor_round = Round(
+            self._last_number, service, tier, shards, permit_ends_at
+        )
         for pending in tuple(self._pending_shards):
             if now >= pending.ends:
                 self.abandon(pending)
-        self._pending_shards[opened] = set(shards)
-        return opened
+        self._pending_shards[floor_round] = set(shards)
+        return floor_round
 
     def reply(
         self,
-        opened: Round,
+        floor_round: Round,
         shard: int,
         now: float,
         *,
@@ -173,20 +175,22 @@
         lower_running: int,
     ) -> None:
         """Handle one owner's reply; an owner that can't agree ends the round."""
-        waiting = self._pending_shards.get(opened)
-        if waiting is None:
+        pending_shards = self._pending_shards.get(floor_round)
+        if pending_shards is None:
             return
-        if not settled or lower_running or now >= opened.ends:
-            self.abandon(opened)
+        if not settled or lower_running or now >= floor_round.ends:
+            self.abandon(floor_round)
             return
-        waiting.discard(shard)
-        if not waiting:
-            self.abandon(opened)
-            self._permit_ends[opened.service, opened.tier] = opened.ends
-
-    def abandon(self, opened: Round) -> None:
+        pending_shards.discard(shard)
+        if not pending_shards:
+            self.abandon(floor_round)
+            self._permit_ends[floor_round.service, floor_round.tier] = (
+                floor_round.ends
+            )
+
+    def abandon(self, floor_round: Round) -> None:
         """Close a round without a permit, as when an owner doesn't reply."""
-        self._pending_shards.pop(opened, None)
+        self._pending_shards.pop(floor_round, None)
 
     def permit(self, service: str, tier: Tier, now: float) -> bool:
         """Tell whether a request may be shed now; call right before shedding.
--- a/bramleybend/decisions/owner.py
+++ b/bramleybend/decisions/owner.py
@@ -68,14 +68,14 @@
             return [self._refuse(ask, reason, shed=True)]
         min_time = self._shard.pool.min_run_time(ask)
         self._shard.queue_for(ask).add(ask, moment, min_time)
-        return self._act(moment, new_request_id=ask.request_id)
+        return self._decide_or_defer(moment, new_request_id=ask.request_id)
 
     def adopt(self, ask: Ask, runner: str, now: float) -> list[Action]:
         """Take over a run of a previous owner that was lost."""
         moment = self._advance_clock(now)
         if ask.request_id not in self._shard.runs:
             self._shard.adopt(sanitize_ask(ask), runner, moment)
-        return self._act(moment)
+        return self._decide_or_defer(moment)
 
     def witness(self, ask: Ask, name: str, now: float) -> list[Action]:
         """Record a run that starts now under another owner's grant."""
@@ -83,14 +83,14 @@
         runner = self._shard.pool.get(name)
         if runner is not None and ask.request_id not in self._shard.runs:
             self._shard.start(sanitize_ask(ask), runner, moment)
-        return self._act(moment)
+        return self._decide_or_defer(moment)
 
     def withdraw(self, request_id: str, now: float) -> list[Action]:
         """Drop a request whose caller or gateway is gone."""
         moment = self._advance_clock(now)
         self._shard.dequeue(request_id)
         self._shard.finish(request_id)
-        return self._act(moment)
+        return self._decide_or_defer(moment)
 
     def first_token(
         self,
@@ -117,7 +117,7 @@
                 )
             prefill = max(prompt_tokens - cached_tokens, 0)
             apply_first_token(self._shard, run, prefill, moment)
-        return self._act(moment)
+        return self._decide_or_defer(moment)
 
     def ended(
         self,
@@ -131,18 +131,18 @@
         if run is not None:
             apply_report(self._shard, run, report, moment)
             self._shard.finish(request_id)
-        return self._act(moment)
+        return self._decide_or_defer(moment)
 
     def runners(
         self,
-        names: Sequence[RunnerInfo],
+        infos: Sequence[RunnerInfo],
         now: float,
     ) -> list[Action]:
         """Replace the list of the shard's runners."""
         moment = self._advance_clock(now)
         self._has_runner_list = True
-        self._shard.pool.update(names, self._shard.runs.values(), moment)
-        return self._act(moment)
+        self._shard.pool.update(infos, self._shard.runs.values(), moment)
+        return self._decide_or_defer(moment)
 
     def start_rates(
         self, per_s: Mapping[str, float], now: float
@@ -156,7 +156,7 @@
             runner.update_start_rate(per_s.get(runner.name), moment)
             for runner in self._shard.pool
         ]
-        return self._act(moment) if any(changed) else []
+        return self._decide_or_defer(moment) if any(changed) else []
 
     def cache_event(
         self,
@@ -170,7 +170,7 @@
         runner = self._shard.pool.get(runner_name)
         if runner is not None:
             runner.cache.handle_event(kind, prefix, moment)
-        return self._act(moment)
+        return self._decide_or_defer(moment)
 
     def tick(self, now: float) -> list[Action]:
         """Decide on everything that has become due."""
@@ -241,7 +241,7 @@
         self._now = max(self._now, now)
         return self._now
 
-    def _act(
+    def _decide_or_defer(
         self, now: float, new_request_id: str | None = None
     ) -> list[Action]:
         if not self._batched:
--- a/bramleybend/decisions/pool.py
+++ b/bramleybend/decisions/pool.py
@@ -80,7 +80,7 @@
 
     def pace_of(self, runner: Runner, mean: Pace) -> Pace:
         """Return the measured pace of a runner, else the mean of its peers."""
-        pace = runner.speed.pace if self._switches.speeds else None
+        pace = runner.pace_estimator.pace if self._switches.speeds else None
         return pace or mean
 
     def min_run_time(self, ask: Ask) -> MinRunTime:
@@ -105,9 +105,9 @@
     def mean_pace(self) -> Pace:
         """Return the mean of the measured paces, else the default pace."""
         paces = [
-            runner.speed.pace
+            runner.pace_estimator.pace
             for runner in self._runners.values()
-            if runner.speed.pace is not None
+            if runner.pace_estimator.pace is not None
         ]
         if not paces:
             return DEFAULT_PACE
--- a/bramleybend/decisions/preemption.py
+++ b/bramleybend/decisions/preemption.py
@@ -137,8 +137,7 @@
 def _frees_enough(
     run: Run, ask: Ask, snapshot: RunnerSnapshot, time_left_s: float
 ) -> bool:
-    # If a slot is free, only a prompt in prefill can be what blocks the
-    # request.
+    # While a slot is free, only a prompt in prefill can block the request.
     if snapshot.is_free and not run.backlog_tokens:
         return False
     freed_s = run.backlog_tokens / snapshot.pace.prefill_per_s
--- a/bramleybend/decisions/quarantine.py
+++ b/bramleybend/decisions/quarantine.py
@@ -103,9 +103,9 @@
     def merge(self, records: Iterable[CrashRecord], now: float) -> None:
         """Merge the records of another process."""
         for record in records:
-            own = self._record(record.fingerprint)
-            merged = _merge(own, record)
-            if merged != own:
+            own_record = self._record(record.fingerprint)
+            merged = _merge(own_record, record)
+            if merged != own_record:
                 self._store(merged, now)
 
     def _record(self, fingerprint: str) -> CrashRecord:
--- a/bramleybend/decisions/retries.py
+++ b/bramleybend/decisions/retries.py
@@ -71,8 +71,8 @@
         service: str,
         now: float,
     ) -> tuple[_Bucket, _Bucket]:
-        own = self._bucket(('workspace', workspace), now)
-        return own, self._bucket(('service', service), now)
+        workspace_bucket = self._bucket(('workspace', workspace), now)
+        return workspace_bucket, self._bucket(('service', service), now)
 
     def _bucket(self, key: tuple[str, str], now: float) -> _Bucket:
         bucket = self._buckets.setdefault(key, _Bucket(refilled_at=now))
--- a/bramleybend/decisions/routing.py
+++ b/bramleybend/decisions/routing.py
@@ -44,8 +44,8 @@
 
 
 def _less_loaded_first(views: list[ShardView], rng: Random) -> list[ShardView]:
-    pair = rng.sample(views, min(2, len(views)))
-    chosen = min(pair, key=_load)
+    sample = rng.sample(views, min(2, len(views)))
+    chosen = min(sample, key=_load)
     return [chosen] + [view for view in views if view is not chosen]
 
 
--- a/bramleybend/decisions/run_feedback.py
+++ b/bramleybend/decisions/run_feedback.py
@@ -44,13 +44,13 @@
     run.prefill_tokens = prefill_tokens
     runner = shard.pool.get(run.runner)
     if runner is not None:
-        # Concurrent prefills share the runner, so its pace is as many times the
-        # pace of one.
+        # Concurrent prefills share the runner, so its pace is the pace of one
+        # prefill times their number.
         prefills_now = len(runner.in_flight) - len(runner.streaming)
         concurrent_prefills = (run.prefills_at_start + max(prefills_now, 1)) / 2
         shard.end_prefill(run)
         runner.streaming.add(run.ask.request_id)
-        runner.speed.record_prefill(
+        runner.pace_estimator.record_prefill(
             prefill_tokens * concurrent_prefills, now - run.started_at
         )
         runner.limit.record_streams(
@@ -86,11 +86,11 @@
     work: float,
 ) -> None:
     if run.first_token_at is None:
-        runner.speed.record_run(work, report.seconds)
+        runner.pace_estimator.record_run(work, report.seconds)
         return
     prefill_s = run.first_token_at - run.started_at
     decode_work = run_work(0, 0, report.completion_tokens)
-    runner.speed.record_decode(decode_work, report.seconds - prefill_s)
+    runner.pace_estimator.record_decode(decode_work, report.seconds - prefill_s)
 
 
 def _is_plausible(seconds: float, elapsed_s: float) -> bool:
--- a/bramleybend/decisions/runs.py
+++ b/bramleybend/decisions/runs.py
@@ -37,7 +37,7 @@
     name: str
     limit: ConcurrencyLimit
     ramp: Ramp
-    speed: PaceEstimator
+    pace_estimator: PaceEstimator
     cache: CacheView
     leaving: bool = False
     in_flight: set[str] = field(default_factory=set)
--- a/bramleybend/decisions/shard.py
+++ b/bramleybend/decisions/shard.py
@@ -37,9 +37,8 @@
     victims: dict[str, str] = field(default_factory=dict)
     # End of the floor of each tier.
     floor_ends: dict[int, float] = field(default_factory=dict)
-    recent_starts: DecayingSum = field(
-        default_factory=_make_start_counter
-    )  # Recent starts of queued entries.
+    # Starts of queued entries, with decay.
+    recent_starts: DecayingSum = field(default_factory=_make_start_counter)
 
     def lowest_startable_tier(self, now: float) -> int:
         """Return the lowest tier that may start now; drops expired floors."""
--- a/bramleybend/decisions/tier_queue.py
+++ b/bramleybend/decisions/tier_queue.py
@@ -37,7 +37,7 @@
     arrived_at: float
     latest_start: float  # seconds; it expires then
     urgent_at: float  # seconds; its deadline is at risk from then on
-    rank: float
+    rank: float  # arrival plus ageing, seconds
     on_time_until: float = inf
     is_late: bool = False
 
@@ -79,7 +79,7 @@
         lateness: LatenessTracker,
     ) -> None:
         """Start empty."""
-        self.standing = lateness
+        self.lateness = lateness
         self._weights = weights
         self._fair = fair
         self._lanes: dict[str, SortedKeyList] = {}
--- a/bramleybend/decisions/waiting_queue.py
+++ b/bramleybend/decisions/waiting_queue.py
@@ -113,7 +113,7 @@
             tier_queue = self._tier_queue(entry.ask.tier)
             tier_queue.remove(entry)
             if not len(tier_queue):
-                tier_queue.standing.record_empty()
+                tier_queue.lateness.record_empty()
         return entry
 
     def demote_late(self, now: float) -> bool:
@@ -123,7 +123,7 @@
             ids = tuple(tier_queue.by_objective.irange(maximum=(now, LAST_ID)))
             for _, request_id in ids:
                 entry = self._entries[request_id]
-                tier_queue.standing.record_late(now)
+                tier_queue.lateness.record_late(now)
                 tier_queue.remove(entry)
                 moved = replace(entry, on_time_until=inf, is_late=True)
                 self._entries[request_id] = moved
@@ -163,7 +163,7 @@
         overdue: list[WaitingEntry] = []
         for tier_queue in self._tiers.values():
             if (
-                tier_queue.standing.is_standing(now)
+                tier_queue.lateness.is_standing(now)
                 and tier_queue.has_on_time()
             ):
                 overdue.extend(tier_queue.late_entries())
@@ -234,6 +234,6 @@
         if not self._orders_by_tier:
             tier = Tier.CRITICAL
         if tier not in self._tiers:
-            standing = LatenessTracker(self._standing_s)
-            self._tiers[tier] = TierQueue(self._weights, self._fair, standing)
+            lateness = LatenessTracker(self._standing_s)
+            self._tiers[tier] = TierQueue(self._weights, self._fair, lateness)
         return self._tiers[tier]
--- a/tests/decisions/test_choice.py
+++ b/tests/decisions/test_choice.py
@@ -161,8 +161,8 @@
     run_count = rng.randint(0, 4)
     runner.in_flight = {f'run-{number}' for number in range(run_count)}
     if rng.random() < 0.7:
-        runner.speed.record_prefill(3000, rng.choice([0.06, 0.2, 1.5]))
-        runner.speed.record_decode(200, rng.choice([0.1, 0.4, 2]))
+        runner.pace_estimator.record_prefill(3000, rng.choice([0.06, 0.2, 1.5]))
+        runner.pace_estimator.record_decode(200, rng.choice([0.1, 0.4, 2]))
     if rng.random() < 0.3:
         runner.failures.record(NOW - rng.random(), failed=True)
     runner.cache.record_sent(rng.sample(PREFIXES, rng.randint(0, 8)), NOW - 1)
--- a/tests/decisions/test_invariants.py
+++ b/tests/decisions/test_invariants.py
@@ -58,7 +58,7 @@
         until, tier = self.floor
         assert self.now >= until or ask.tier <= tier
         other_runs = [
-            other for other, place in self.running.items() if place == runner
+            other for other, name in self.running.items() if name == runner
         ]
         if ask.suspect:
             assert not other_runs
