--- a/bramleybend/decisions/expiry.py
+++ b/bramleybend/decisions/expiry.py
@@ -7,8 +7,9 @@
 
 A request refused for lack of capacity may be shed only once nothing of a lower
 tier runs (`floor`). So nothing lower starts from the refusal until the gateway
-has had time to ask the owners. Otherwise the next released slot would go to a
-lower tier, and the refused request would reach its deadline without a permit.
+has had time to request a shed permit. Otherwise the next released slot would go
+to a lower tier, and the refused request would reach its deadline without a
+permit.
 """
 
 from collections.abc import Sequence
--- a/bramleybend/decisions/hedging.py
+++ b/bramleybend/decisions/hedging.py
@@ -7,7 +7,7 @@
 
 A second run starts once the first has taken longer than `QUANTILE` of the last
 `WINDOW_CALLS` calls of its service and profile. Normally that is one call in
-twenty, so each of these may have a second run. When all runners are slow, this
+twenty, and each of them may have a second run. When all runners are slow, this
 would double the load at the worst moment, so second runs also need a budget,
 which grows by `BUDGET_PER_CALL` with each first run. With fewer than
 `MIN_CALLS` calls the quantile has no meaning and nothing is hedged.
--- a/bramleybend/decisions/ownership.py
+++ b/bramleybend/decisions/ownership.py
@@ -35,8 +35,8 @@
 
     Every VM has the same weight, so a small failure domain is not loaded beyond
     its VMs. The first fallback is in another domain if there is one: otherwise
-    the loss of a domain could take owner and fallback at once, and asks would
-    time out at each of them in turn.
+    the loss of a domain could take owner and fallback at once, and slot
+    requests would time out at each of them in turn.
     """
     ranked = sorted(
         members,
--- a/tests/decisions/test_invariants.py
+++ b/tests/decisions/test_invariants.py
@@ -51,7 +51,7 @@
 
     def handle_grant(self, ask: Ask, runner: str) -> None:
         if self.running.get(ask.request_id) == runner:
-            return  # a repeated ask gets the same grant
+            return  # a repeated slot request gets the same grant
         assert ask.request_id not in self.running
         assert ask.request_id not in self.finished
         assert runner not in self.leaving | ask.excluded
--- a/tests/decisions/test_owner.py
+++ b/tests/decisions/test_owner.py
@@ -39,7 +39,7 @@
 
 def make_policy(*runners: str) -> ShardPolicy:
     policy = make_shard_policy(SERVICE, Random(1))
-    # Listed long before the first ask, so that slow start is over.
+    # Listed long before the first slot request, so that slow start is over.
     policy.runners([RunnerInfo(name) for name in runners], -100)
     return policy
 
