--- a/bramleybend/decisions/concurrency_limit.py
+++ b/bramleybend/decisions/concurrency_limit.py
@@ -18,19 +18,19 @@
 
 ROUND_RUNS = 6  # completed runs between two changes
 SPARE_RUNS = 1  # runs beyond the peak of streams: one prompt in prefill
-MAX_STEP_DOWN = 0.8  # lower bound of a decrease in one round, of the limit
+MIN_ROUND_RATIO = 0.8  # smallest new limit after a round, of the old one
 REFUSAL_BACKOFF = 0.85
-MAX_GROWTH = 8
+MAX_GROWTH = 8  # largest limit, in times of the declared one
 
 
 class ConcurrencyLimit:
     """The concurrency limit of one runner."""
 
-    def __init__(self, start: int, *, learn: bool = True) -> None:
+    def __init__(self, declared: int, *, learn: bool = True) -> None:
         """Start with the declared limit."""
-        self._start = max(start, 1)
+        self._declared = max(declared, 1)
         self._learn = learn
-        self._limit = self._start
+        self._limit = self._declared
         self._completions = 0
         self._peak = 0
         self._was_full = False
@@ -70,8 +70,8 @@
 
     def _next_limit(self) -> int:
         if not self._peak:
-            return min(self._limit + 1, max(self._limit, self._start))
+            return min(self._limit + 1, max(self._limit, self._declared))
         if self._peak >= self._limit:
-            return min(self._limit + 1, self._start * MAX_GROWTH)
-        min_limit = ceil(self._limit * MAX_STEP_DOWN)
+            return min(self._limit + 1, self._declared * MAX_GROWTH)
+        min_limit = ceil(self._limit * MIN_ROUND_RATIO)
         return max(min(self._peak + SPARE_RUNS, self._limit), min_limit)
--- a/bramleybend/decisions/slow_start.py
+++ b/bramleybend/decisions/slow_start.py
@@ -34,8 +34,8 @@
             return 1
         if now < self._ramp_start:
             return 0
-        elapsed_s = (now - self._ramp_start) / RAMP_S
-        return INITIAL_SHARE + (1 - INITIAL_SHARE) * elapsed_s
+        progress = (now - self._ramp_start) / RAMP_S
+        return INITIAL_SHARE + (1 - INITIAL_SHARE) * progress
 
     def record_crash(self, started: float, now: float) -> None:
         """Stop starts for a while, then ramp up; longer at repeated crashes.
@@ -57,6 +57,6 @@
             return inf
         if now < self._ramp_start:
             return self._ramp_start
-        step = (int(limit * self.share(now)) + 1) / limit
-        progress = (step - INITIAL_SHARE) / (1 - INITIAL_SHARE)
+        next_share = (int(limit * self.share(now)) + 1) / limit
+        progress = (next_share - INITIAL_SHARE) / (1 - INITIAL_SHARE)
         return self._ramp_start + min(max(progress, 0), 1) * RAMP_S
--- a/tests/decisions/engine_simulation.py
+++ b/tests/decisions/engine_simulation.py
@@ -30,7 +30,7 @@
 SLOWDOWNS: Final = (0.55, 1, 2.8)  # factors on the step duration
 STEP_S: Final = 0.0031
 STEP_PER_RUN_S: Final = 0.0001
-# prompt tokens that are prefilled in one step
+# Prompt tokens that are prefilled in one step.
 PREFILL_CHUNK_TOKENS: Final = 2048
 PREFILL_PER_S: Final = 56_900
 EVENT_TOKENS: Final = 7
@@ -137,12 +137,12 @@
         self._runs: dict[str, Run] = {}
         self._wake_at = float(0)
         self.tallies: dict[RequestKind, Tally] = {}
-        # refusals with under half of the slots used
+        # Refusals with under half of the slots used.
         self.refusals_below_half_load = 0
         infos = [
             RunnerInfo(name, slots=SLOTS, warm=True) for name in self._engines
         ]
-        self._act(self._policy.runners(infos, 0))
+        self._handle_actions(self._policy.runners(infos, 0))
 
     def run(
         self, kinds: tuple[RequestKind, ...], burst: LoadBurst, end: float
@@ -188,9 +188,9 @@
         run.is_counted = self._now >= self._counts_from
         self.tallies[kind].sent += run.is_counted
         self._runs[ask.request_id] = run
-        self._act(self._policy.ask(ask, self._now))
+        self._handle_actions(self._policy.ask(ask, self._now))
 
-    def _act(self, actions: list[Action]) -> None:
+    def _handle_actions(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Grant):
                 self._send(self._runs[action.request_id], action.runner)
@@ -212,7 +212,7 @@
 
     def _tick(self) -> None:
         if self._now >= self._wake_at:
-            self._act(self._policy.tick(self._now))
+            self._handle_actions(self._policy.tick(self._now))
 
     def _send(self, run: Run, name: str) -> None:
         engine = self._engines[name]
@@ -262,7 +262,9 @@
         else:
             tally.late += run.is_counted
         name, tokens = run.ask.request_id, run.ask.prompt_tokens
-        self._act(self._policy.first_token(name, tokens, 0, self._now))
+        self._handle_actions(
+            self._policy.first_token(name, tokens, 0, self._now)
+        )
 
     def _end(self, run: Run) -> None:
         report = RunReport(
@@ -273,4 +275,4 @@
         )
         name = run.ask.request_id
         self._runs.pop(name)
-        self._act(self._policy.ended(name, report, self._now))
+        self._handle_actions(self._policy.ended(name, report, self._now))
--- a/tests/decisions/test_allotments.py
+++ b/tests/decisions/test_allotments.py
@@ -29,14 +29,14 @@
 
     def run(self, seconds: float) -> float:
         """Run the simulation; return the units that all VMs admitted."""
-        books = [self._make_book() for _ in range(self.vms)]
+        ledgers = [self._make_ledger() for _ in range(self.vms)]
         starts = [0] * self.vms
         next_heartbeat = float(0)
         units = self.asked_per_s * STEP_S / self.vms
         for step in range(int(seconds / STEP_S)):
             now = step * STEP_S
-            for book in books:
-                verdict = book.admit(
+            for ledger in ledgers:
+                decision = ledger.admit(
                     'w',
                     ALLOWANCE,
                     units,
@@ -44,19 +44,19 @@
                     1 / self.vms if self.is_partitioned else 1,
                     are_runners_idle=self.are_runners_idle,
                 )
-                if verdict.is_let_in:
+                if decision.is_let_in:
                     self.admitted.append((now, units))
             if now >= next_heartbeat and not self.is_partitioned:
                 next_heartbeat += HEARTBEAT_S
-                self._exchange_reports(books, starts, now)
+                self._exchange_reports(ledgers, starts, now)
             if self.restart_every_s and step:
                 restarts, rest = divmod(now, self.restart_every_s)
                 if rest < STEP_S:
                     number = int(restarts) % self.vms
-                    books[number] = self._make_book()
+                    ledgers[number] = self._make_ledger()
                     starts[number] = step
                     # A VM hears its peers before callers are sent to it.
-                    self._exchange_reports(books, starts, now)
+                    self._exchange_reports(ledgers, starts, now)
         return sum(amount for _, amount in self.admitted)
 
     def max_admitted_in(self, window_s: float) -> float:
@@ -71,25 +71,25 @@
         return max_total
 
     def _exchange_reports(
-        self, books: list[AllotmentBook], starts: list[int], now: float
+        self, ledgers: list[AllotmentBook], starts: list[int], now: float
     ) -> None:
-        for number, book in enumerate(books):
-            for other in books[:number] + books[number + 1 :]:
+        for number, ledger in enumerate(ledgers):
+            for other in ledgers[:number] + ledgers[number + 1 :]:
                 name = f'vm{number}/{starts[number]}'
-                other.heard(name, dict(book.spendings()), now)
+                other.heard(name, dict(ledger.spendings()), now)
 
-    def _make_book(self) -> AllotmentBook:
+    def _make_ledger(self) -> AllotmentBook:
         return AllotmentBook(TOLERANCE)
 
 
 def is_admitted(
-    book: AllotmentBook, units: float, now: float, share: float = 1
+    ledger: AllotmentBook, units: float, now: float, share: float = 1
 ) -> bool:
     """Tell whether a request of the busy workspace is admitted.
 
     The runners have no idle slots.
     """
-    return book.admit('w', ALLOWANCE, units, now, share).is_let_in
+    return ledger.admit('w', ALLOWANCE, units, now, share).is_let_in
 
 
 def test_a_workspace_within_its_allotment_is_never_refused() -> None:
@@ -174,31 +174,31 @@
 
 def test_work_on_idle_runners_does_not_use_the_allotment() -> None:
     """A workspace keeps its whole allotment for the next busy time."""
-    book = AllotmentBook(TOLERANCE)
-    assert is_admitted(book, 2000, 0)
-    assert book.admit('w', ALLOWANCE, 900, 0, are_runners_idle=True).is_beyond
-    assert is_admitted(book, 1000, 1)
-    assert not is_admitted(book, 1000, 1)
-    book.give_back('w', 900, is_beyond=True)
-    assert book.spendings()['w'].beyond == 0
+    ledger = AllotmentBook(TOLERANCE)
+    assert is_admitted(ledger, 2000, 0)
+    assert ledger.admit('w', ALLOWANCE, 900, 0, are_runners_idle=True).is_beyond
+    assert is_admitted(ledger, 1000, 1)
+    assert not is_admitted(ledger, 1000, 1)
+    ledger.give_back('w', 900, is_beyond=True)
+    assert ledger.spendings()['w'].beyond == 0
 
 
 def test_refusal_tells_when_to_retry() -> None:
     """The delay is the time until the bucket can hold the request."""
-    book = AllotmentBook()
-    assert is_admitted(book, 2500, 0)
-    assert book.admit('w', ALLOWANCE, 500, 0).retry_after_s == 0.6
-    assert not is_admitted(book, 500, 0.5)
-    assert is_admitted(book, 500, 0.601)
+    ledger = AllotmentBook()
+    assert is_admitted(ledger, 2500, 0)
+    assert ledger.admit('w', ALLOWANCE, 500, 0).retry_after_s == 0.6
+    assert not is_admitted(ledger, 500, 0.5)
+    assert is_admitted(ledger, 500, 0.601)
 
 
 def test_refusal_reports_the_known_debt() -> None:
     """Without the debt, refusals don't show whether the VMs' accounts differ."""
-    book = AllotmentBook()
-    assert is_admitted(book, 2500, 0)
-    book.heard('vm2/a', {'w': Spending()}, 0)
-    book.heard('vm2/a', {'w': Spending(used=1000)}, 0)
-    assert book.admit('w', ALLOWANCE, 500, 0.5).owed == 3000
+    ledger = AllotmentBook()
+    assert is_admitted(ledger, 2500, 0)
+    ledger.heard('vm2/a', {'w': Spending()}, 0)
+    ledger.heard('vm2/a', {'w': Spending(used=1000)}, 0)
+    assert ledger.admit('w', ALLOWANCE, 500, 0.5).owed == 3000
 
 
 def test_large_requests_of_a_busy_workspace_are_admitted_too() -> None:
@@ -207,13 +207,13 @@
     A workspace asks for six times its allotment. A bucket that had to hold a
     whole request would admit only small ones.
     """
-    book = AllotmentBook()
+    ledger = AllotmentBook()
     admitted = {20: 0, 1500: 0}
     asked = 400
     for number in range(asked):
         for units in admitted:
             moment = number * 0.25 + units * 0.0001
-            admitted[units] += is_admitted(book, units, moment)
+            admitted[units] += is_admitted(ledger, units, moment)
     assert admitted[1500] >= asked * 0.1
     total = 20 * admitted[20] + 1500 * admitted[1500]
     assert total <= ALLOWANCE.rate_per_s * asked * 0.25 + ALLOWANCE.burst + 1500
@@ -221,25 +221,25 @@
 
 def test_request_that_did_not_run_is_not_counted() -> None:
     """A refused request is refunded."""
-    book = AllotmentBook()
-    assert is_admitted(book, 2000, 0)
-    book.give_back('w', 2000)
-    assert is_admitted(book, 2000, 0)
-    assert book.spendings()['w'].used == 2000
+    ledger = AllotmentBook()
+    assert is_admitted(ledger, 2000, 0)
+    ledger.give_back('w', 2000)
+    assert is_admitted(ledger, 2000, 0)
+    assert ledger.spendings()['w'].used == 2000
 
 
 def test_restarted_peer_is_not_counted_twice() -> None:
     """A restarted peer's total begins at zero; only its increase counts."""
-    book = AllotmentBook()
-    is_admitted(book, 1, 0)
-    book.heard('vm2/a', {'w': Spending(used=5000)}, 0)
-    book.heard('vm2/a', {'w': Spending(used=5500)}, 0)
-    book.forget('vm2/a')
-    book.heard('vm2/b', {'w': Spending()}, 0)
-    book.heard('vm2/b', {'w': Spending(used=100)}, 0)
+    ledger = AllotmentBook()
+    is_admitted(ledger, 1, 0)
+    ledger.heard('vm2/a', {'w': Spending(used=5000)}, 0)
+    ledger.heard('vm2/a', {'w': Spending(used=5500)}, 0)
+    ledger.forget('vm2/a')
+    ledger.heard('vm2/b', {'w': Spending()}, 0)
+    ledger.heard('vm2/b', {'w': Spending(used=100)}, 0)
     # 2,000 less its own 1, and 500 and 100 of the peer.
-    assert is_admitted(book, 1350, 0)
-    assert not is_admitted(book, 100, 0)
+    assert is_admitted(ledger, 1350, 0)
+    assert not is_admitted(ledger, 100, 0)
 
 
 def test_peers_do_not_adopt_the_assumed_debt_of_a_starting_vm() -> None:
@@ -276,7 +276,7 @@
 
 def test_starting_vm_without_peers_admits_what_the_rate_repays() -> None:
     """Otherwise a single VM refuses all requests after its restart."""
-    book = make_allotment_book(TOLERANCE, 100, is_first_start=False)
-    assert not is_admitted(book, 10, 100)
-    assert not is_admitted(book, 2000, 100.4)
-    assert is_admitted(book, 2000, 102.5)
+    ledger = make_allotment_book(TOLERANCE, 100, is_first_start=False)
+    assert not is_admitted(ledger, 10, 100)
+    assert not is_admitted(ledger, 2000, 100.4)
+    assert is_admitted(ledger, 2000, 102.5)
--- a/tests/decisions/test_overload.py
+++ b/tests/decisions/test_overload.py
@@ -27,7 +27,7 @@
 RUN_S: Final = 0.1
 STEP_S: Final = 0.01
 DURATION_S: Final = 20.0
-# the longest patience, and the time to tell an overload from a burst
+# The longest patience, and the time that tells an overload from a burst.
 SETTLED_S: Final = 6.0
 OBJECTIVE_S: Final = 0.5
 PATIENCE_S: Final = 4.0
@@ -69,25 +69,25 @@
 
     def _run(self, rng: Random) -> None:
         info = RunnerInfo('r1', slots=1, warm=True)
-        self._act(self._policy.runners([info], 0), 0)
+        self._handle_actions(self._policy.runners([info], 0), 0)
         for step in range(int(DURATION_S / STEP_S)):
             now = step * STEP_S
             due = tuple(name for name, at in self._ends.items() if at <= now)
             for name in due:
                 self._ends.pop(name)
                 report = RunReport('done', prompt_tokens=10, seconds=RUN_S)
-                self._act(self._policy.ended(name, report, now), now)
+                self._handle_actions(self._policy.ended(name, report, now), now)
             for tier, per_s in ARRIVALS_PER_S.items():
                 if rng.random() < per_s * STEP_S:
                     name = f'{tier.name}-{step}'
                     self._asks[name] = (tier, now)
                     self.sent[tier] += now >= SETTLED_S
-                    self._act(
+                    self._handle_actions(
                         self._policy.ask(_make_ask(name, tier, now), now), now
                     )
-            self._act(self._policy.tick(now), now)
+            self._handle_actions(self._policy.tick(now), now)
 
-    def _act(self, actions: list[Action], now: float) -> None:
+    def _handle_actions(self, actions: list[Action], now: float) -> None:
         for action in actions:
             if not isinstance(action, Grant | Refuse):
                 continue
--- a/tests/decisions/test_quarantine.py
+++ b/tests/decisions/test_quarantine.py
@@ -8,26 +8,26 @@
 )
 
 
-def make_refusing_book() -> CrashBook:
-    book = CrashBook()
+def make_refusing_registry() -> CrashBook:
+    registry = CrashBook()
     for number in range(CONDEMNED):
-        book.crashed(f'engine-{number}', ['poison'], number)
-    return book
+        registry.crashed(f'engine-{number}', ['poison'], number)
+    return registry
 
 
 def test_all_in_flight_at_a_crash_is_suspect() -> None:
-    book = CrashBook()
-    book.crashed('engine-1', ['a', 'b'], 0)
-    assert book.verdict('a', 1) is Verdict.SUSPECT
-    assert book.verdict('b', 1) is Verdict.SUSPECT
-    assert book.verdict('c', 1) is Verdict.CLEAR
+    registry = CrashBook()
+    registry.crashed('engine-1', ['a', 'b'], 0)
+    assert registry.verdict('a', 1) is Verdict.SUSPECT
+    assert registry.verdict('b', 1) is Verdict.SUSPECT
+    assert registry.verdict('c', 1) is Verdict.CLEAR
 
 
 def test_finishing_clears_a_suspect() -> None:
-    book = CrashBook()
-    book.crashed('engine-1', ['a'], 0)
-    book.finished('a', 1)
-    assert book.verdict('a', 1) is Verdict.CLEAR
+    registry = CrashBook()
+    registry.crashed('engine-1', ['a'], 0)
+    registry.finished('a', 1)
+    assert registry.verdict('a', 1) is Verdict.CLEAR
 
 
 def test_crashes_on_enough_runners_refuse_for_good() -> None:
@@ -36,17 +36,17 @@
     After the third runner it is refused, and a late report that a copy of it
     ended normally does not clear it.
     """
-    book = make_refusing_book()
-    assert book.verdict('poison', 10) is Verdict.REFUSED
-    book.finished('poison', 11)
-    assert book.verdict('poison', 10**9) is Verdict.REFUSED
+    registry = make_refusing_registry()
+    assert registry.verdict('poison', 10) is Verdict.REFUSED
+    registry.finished('poison', 11)
+    assert registry.verdict('poison', 10**9) is Verdict.REFUSED
 
 
 def test_crashes_of_one_runner_refuse_nothing() -> None:
-    book = CrashBook()
+    registry = CrashBook()
     for moment in range(10):
-        book.crashed('engine-1', ['a'], moment)
-    assert book.verdict('a', 10) is Verdict.SUSPECT
+        registry.crashed('engine-1', ['a'], moment)
+    assert registry.verdict('a', 10) is Verdict.SUSPECT
 
 
 def test_records_merge_in_any_order() -> None:
@@ -65,13 +65,13 @@
 
 
 def test_suspicion_expires() -> None:
-    book = CrashBook()
-    book.crashed('engine-1', ['a'], 0)
-    assert book.verdict('a', 4000) is Verdict.CLEAR
+    registry = CrashBook()
+    registry.crashed('engine-1', ['a'], 0)
+    assert registry.verdict('a', 4000) is Verdict.CLEAR
 
 
 def test_memory_is_bounded_and_keeps_what_is_refused() -> None:
-    book = make_refusing_book()
-    book.crashed('engine-9', [f'f{n}' for n in range(MAX_RECORDS + 50)], 5)
-    assert len(book.export()) == MAX_RECORDS
-    assert book.verdict('poison', 6) is Verdict.REFUSED
+    registry = make_refusing_registry()
+    registry.crashed('engine-9', [f'f{n}' for n in range(MAX_RECORDS + 50)], 5)
+    assert len(registry.export()) == MAX_RECORDS
+    assert registry.verdict('poison', 6) is Verdict.REFUSED
--- a/tests/decisions/test_random_placement.py
+++ b/tests/decisions/test_random_placement.py
@@ -66,15 +66,17 @@
 
     def shares(self, start: float, end: float) -> dict[str, float]:
         """Return each runner's share of the starts, 1 being its fair share."""
-        got = Counter(name for at, name in self.starts if start <= at < end)
+        starts_by_runner = Counter(
+            name for at, name in self.starts if start <= at < end
+        )
         names = self._names if end <= JOINS_AT else [*self._names, 'new']
-        mean = sum(got.values()) / len(names)
-        return {name: got[name] / mean for name in names}
+        mean = sum(starts_by_runner.values()) / len(names)
+        return {name: starts_by_runner[name] / mean for name in names}
 
     def _run(self, per_s: float) -> None:
         vms = range(len(self._policies))
-        busy = max(int(len(vms) * BUSY_VM_SHARE), 1)
-        weights = [BUSY_VM_WEIGHT if vm < busy else 1 for vm in vms]
+        busy_vms = max(int(len(vms) * BUSY_VM_SHARE), 1)
+        weights = [BUSY_VM_WEIGHT if vm < busy_vms else 1 for vm in vms]
         self._update_runners(self._names, 0)
         has_joined = False
         now = self._rng.expovariate(per_s)
--- a/tests/decisions/test_standing_queue.py
+++ b/tests/decisions/test_standing_queue.py
@@ -18,7 +18,7 @@
 from tests.decisions.test_free_slots import KINDS
 from tests.decisions.test_owner import make_ask
 
-# of the rates of `KINDS`; the engines can serve 1.7 times these rates
+# Factor on the rates of `KINDS`; the engines can serve a factor of 1.7.
 LOAD_FACTOR: Final = 1.4
 BURST: Final = LoadBurst(3, 8, 2)
 SETTLED_S: Final = 1.0  # after a burst: the longest objective
