--- a/bramleybend/decisions/resends.py
+++ b/bramleybend/decisions/resends.py
@@ -1,12 +1,12 @@
-"""How often requests may be sent to a second runner, over all VMs.
+"""Budget of requests sent to a second runner, over all VMs.
 
 Load pattern: runners that fail many requests at once.
-Without it: each failure becomes another arrival at the runners that are left,
-and those fail next.
+Without it: each failure becomes another arrival at the remaining runners, which
+fail next.
 
-The budget of a service is shared by all VMs without a word between them: each
-has its part of the fixed allowance and the whole ratio of its own requests.
-A bucket that holds half of its part and refills the other half in a window
+All VMs share the budget of a service without communication: each VM has its
+part of the fixed allowance, and the whole ratio of its own requests. A bucket
+holds half of the VM's part and refills the other half within a window, so it
 spends no more than the part in any window of that length.
 """
 
@@ -15,17 +15,17 @@
 
 @dataclass(frozen=True)
 class ResendTerms:
-    """What the operators allow a service, over all VMs."""
+    """The limits that the operators set for a service, over all VMs."""
 
-    ratio: float  # resends for each request
-    extra: float  # resends beyond the ratio, in a window
+    ratio: float  # resends per request
+    extra: float  # resends beyond the ratio, per window
     window_s: float
 
 
 @dataclass
 class _Bucket:
     tokens: float
-    at: float
+    refilled_at: float
 
 
 @dataclass
@@ -36,28 +36,28 @@
     _buckets: dict[str, _Bucket] = field(default_factory=dict)
 
     def requested(self, service: str, vms: int, now: float) -> None:
-        """Count a request, which earns a part of a resend."""
+        """Count a request, which earns part of a resend."""
         bucket = self._bucket(service, vms, now)
-        held = self._held(vms)
-        bucket.tokens = min(bucket.tokens + self.terms.ratio, held + 1)
+        capacity = self._capacity(vms)
+        bucket.tokens = min(bucket.tokens + self.terms.ratio, capacity + 1)
 
     def spend(self, service: str, vms: int, now: float) -> bool:
-        """Take one resend, if there is one."""
+        """Spend one resend; tell whether the budget had one."""
         bucket = self._bucket(service, vms, now)
         if bucket.tokens < 1:
             return False
         bucket.tokens -= 1
         return True
 
-    def _held(self, vms: int) -> float:
+    def _capacity(self, vms: int) -> float:
         return self.terms.extra / max(vms, 1) / 2
 
     def _bucket(self, service: str, vms: int, now: float) -> _Bucket:
-        held = self._held(vms)
-        bucket = self._buckets.setdefault(service, _Bucket(held, now))
-        passed = max(now - bucket.at, 0)
-        bucket.at = max(now, bucket.at)
-        if bucket.tokens < held:
-            earned = passed * held / self.terms.window_s
-            bucket.tokens = min(bucket.tokens + earned, held)
+        capacity = self._capacity(vms)
+        bucket = self._buckets.setdefault(service, _Bucket(capacity, now))
+        elapsed_s = max(now - bucket.refilled_at, 0)
+        bucket.refilled_at = max(now, bucket.refilled_at)
+        if bucket.tokens < capacity:
+            earned = elapsed_s * capacity / self.terms.window_s
+            bucket.tokens = min(bucket.tokens + earned, capacity)
         return bucket
--- a/bramleybend/decisions/tier_queue.py
+++ b/bramleybend/decisions/tier_queue.py
@@ -1,14 +1,15 @@
 """The waiting requests of one tier.
 
-Load pattern: saturation, where some can still be on time and some can't.
-Without it: a late request of one workspace makes another's late, too.
-
-The workspace with the least cost served per weight is next (start-time fair
-queueing). Entries that can no longer be on time start after those of all
-workspaces that can: in a queue longer than the objective, order of arrival
-alone makes everybody late, whoever has just come included. Every
-`LATE_EVERY`th start goes to a late entry at risk, so that late ones are
-served, too. The ablation is `on_time_first`.
+Load pattern: saturation, where some requests can still be on time and others
+can't.
+Without it: a late request of one workspace makes a request of another late.
+
+The workspace with the least served cost per weight is next (start-time fair
+queueing). Entries that can no longer be on time start after the entries of all
+workspaces that still can: in a queue longer than the objective, order of
+arrival alone makes every request late, including new ones. Every
+`LATE_START_INTERVAL`th start goes to an urgent late entry, so that late entries
+are served, too. The ablation is `on_time_first`.
 """
 
 from collections import defaultdict
@@ -18,183 +19,197 @@
 
 from sortedcontainers import SortedKeyList, SortedList
 
-from bramleybend.decisions.overload import Standing
+from bramleybend.decisions.overload import LatenessTracker
 from bramleybend.decisions.prefixes import prefix_tokens
 from bramleybend.models import Ask
 
-LATE_EVERY = 6  # starts, of which one is left to late entries
-FIRST_LATE = (True, -inf, '')  # sorts before every late entry
-WINDOW = 12  # entries a free runner may choose its best prefix match from
+LATE_START_INTERVAL = 6  # starts, one of which goes to a late entry
+LATE_KEY_MIN = (True, -inf, '')  # lower bound of the late entries
+# Entries of a workspace among which the best prefix match is chosen.
+WINDOW_ENTRIES = 12
 
 
 @dataclass(frozen=True)
-class Waiting:
+class WaitingEntry:
     """One queued request."""
 
     ask: Ask
-    arrived: float
-    latest_start: float  # later it is surely too late
-    urgent_from: float  # later it is at risk
-    rank: float
+    arrived_at: float
+    latest_start: float  # seconds; it expires then
+    urgent_at: float  # seconds; its deadline is at risk from then on
+    rank: float  # arrival plus ageing, seconds
     on_time_until: float = inf
     is_late: bool = False
 
     @property
-    def least_prefill(self) -> int:
-        """Return the prompt tokens that no prefix covers."""
+    def min_prefill_tokens(self) -> int:
+        """Return the prompt tokens to compute after a full cache hit."""
         count = len(self.ask.prefixes)
         covered = prefix_tokens(count - 1) if count else 0
         return max(self.ask.prompt_tokens - covered, 0)
 
     @property
-    def order(self) -> tuple[bool, float, str]:
-        """Sort late ones last, then by rank; the id makes it total."""
+    def sort_key(self) -> tuple[bool, float, str]:
+        """Sort late entries last, then by rank; the ID makes the order total."""
         return (self.is_late, self.rank, self.ask.request_id)
 
     @property
-    def due(self) -> tuple[float, str]:
+    def expiry_key(self) -> tuple[float, str]:
         """Sort by latest start."""
         return (self.latest_start, self.ask.request_id)
 
     @property
-    def urgency(self) -> tuple[float, str]:
-        """Sort by the time from which it is at risk."""
-        return (self.urgent_from, self.ask.request_id)
+    def urgency_key(self) -> tuple[float, str]:
+        """Sort by the time from which the entry is urgent."""
+        return (self.urgent_at, self.ask.request_id)
 
     @property
-    def objective(self) -> tuple[float, str]:
-        """Sort by the time until which it can be on time."""
+    def objective_key(self) -> tuple[float, str]:
+        """Sort by the time until which the entry can be on time."""
         return (self.on_time_until, self.ask.request_id)
 
 
 class TierQueue:
-    """The entries of one tier, fair between workspaces."""
+    """The entries of one tier, in fair order of their workspaces."""
 
     def __init__(
-        self, weights: Mapping[str, float], fair: bool, standing: Standing
+        self,
+        weights: Mapping[str, float],
+        fair: bool,
+        lateness: LatenessTracker,
     ) -> None:
         """Start empty."""
-        self.standing = standing
+        self.lateness = lateness
         self._weights = weights
         self._fair = fair
         self._lanes: dict[str, SortedKeyList] = {}
-        self._served: dict[str, float] = {}
-        self._order = SortedList()
-        self._floor = float(0)
+        self._virtual_times: dict[str, float] = {}
+        self._lane_order = SortedList()
+        self._min_virtual_time = float(0)
         self._costs: defaultdict[str, float] = defaultdict(float)
-        self._since_late = 0  # starts since one of a late entry
+        # Starts since the last start of a late entry.
+        self._starts_since_late = 0
         self.cost = float(0)
-        self.expiry = SortedList()
-        self.urgent = SortedList()
-        self.objectives = SortedList()
+        self.by_expiry = SortedList()
+        self.by_urgency = SortedList()
+        self.by_objective = SortedList()
 
     def __len__(self) -> int:
-        """Count the entries."""
+        """Return the number of entries."""
         return sum(len(lane) for lane in self._lanes.values())
 
-    def add(self, entry: Waiting) -> None:
-        """Queue an entry in its workspace's lane."""
-        name = self._lane_name(entry.ask)
+    def add(self, entry: WaitingEntry) -> None:
+        """Add an entry to its workspace's lane."""
+        name = self._lane_of(entry.ask)
         if name not in self._lanes:
-            self._lanes[name] = SortedKeyList(key=_order_of)
-            # An idle workspace saves up no claim: it rejoins at the floor.
-            served = max(self._served.get(name, self._floor), self._floor)
-            self._served[name] = served
-            self._order.add((served, name))
+            self._lanes[name] = SortedKeyList(key=_sort_key_of)
+            # An idle workspace earns no credit: it resumes at the minimum
+            # virtual time.
+            served = max(
+                self._virtual_times.get(name, self._min_virtual_time),
+                self._min_virtual_time,
+            )
+            self._virtual_times[name] = served
+            self._lane_order.add((served, name))
         self._lanes[name].add(entry)
-        self.expiry.add(entry.due)
-        self.urgent.add(entry.urgency)
-        self.objectives.add(entry.objective)
+        self.by_expiry.add(entry.expiry_key)
+        self.by_urgency.add(entry.urgency_key)
+        self.by_objective.add(entry.objective_key)
         self._costs[name] += entry.ask.cost
         self.cost += entry.ask.cost
 
-    def remove(self, entry: Waiting) -> None:
-        """Take an entry out; its lane goes with the last one."""
-        name = self._lane_name(entry.ask)
+    def remove(self, entry: WaitingEntry) -> None:
+        """Remove an entry, and its lane if it was the last entry there."""
+        name = self._lane_of(entry.ask)
         lane = self._lanes[name]
         lane.remove(entry)
-        self.expiry.remove(entry.due)
-        self.urgent.remove(entry.urgency)
-        self.objectives.remove(entry.objective)
+        self.by_expiry.remove(entry.expiry_key)
+        self.by_urgency.remove(entry.urgency_key)
+        self.by_objective.remove(entry.objective_key)
         self._costs[name] -= entry.ask.cost
         self.cost -= entry.ask.cost
         if not lane:
             self._costs.pop(name)
             self._lanes.pop(name)
-            self._order.remove((self._served[name], name))
+            self._lane_order.remove((self._virtual_times[name], name))
 
     def charge(self, ask: Ask, cost: float) -> None:
         """Count cost as served to the request's workspace."""
-        name = self._lane_name(ask)
-        before = self._served.get(name, self._floor)
+        name = self._lane_of(ask)
+        before = self._virtual_times.get(name, self._min_virtual_time)
         after = max(before + cost / self._weight(name), 0)
         if name in self._lanes:
-            self._order.remove((before, name))
-            self._order.add((after, name))
-            self._served[name] = after
-        elif after > self._floor:
-            self._served[name] = after
+            self._lane_order.remove((before, name))
+            self._lane_order.add((after, name))
+            self._virtual_times[name] = after
+        elif after > self._min_virtual_time:
+            self._virtual_times[name] = after
         else:
-            self._served.pop(name, None)
-        if self._order:
-            self._floor = max(self._floor, self._order[0][0])
+            self._virtual_times.pop(name, None)
+        if self._lane_order:
+            self._min_virtual_time = max(
+                self._min_virtual_time, self._lane_order[0][0]
+            )
 
-    def count_start(self, entry: Waiting) -> None:
+    def record_start(self, entry: WaitingEntry) -> None:
         """Count a start towards the next turn of late entries."""
-        self._since_late = 0 if entry.is_late else self._since_late + 1
+        self._starts_since_late = (
+            0 if entry.is_late else self._starts_since_late + 1
+        )
 
-    def windows(self, now: float) -> Iterator[list[Waiting]]:
-        """Go over the next entries of each workspace, in turn.
+    def windows(self, now: float) -> Iterator[list[WaitingEntry]]:
+        """Yield windows of the next entries of each workspace, in turn.
 
-        Late ones come last, unless some are at risk and it is their turn.
+        Late entries come last, unless it is their turn and some of them are
+        urgent.
         """
-        if self._since_late < LATE_EVERY - 1:
+        if self._starts_since_late < LATE_START_INTERVAL - 1:
             yield from self._on_time_windows()
             yield from self._late_windows()
             return
         late = list(self._late_windows())
-        yield from (window for window in late if window[0].urgent_from <= now)
+        yield from (window for window in late if window[0].urgent_at <= now)
         yield from self._on_time_windows()
-        yield from (window for window in late if window[0].urgent_from > now)
+        yield from (window for window in late if window[0].urgent_at > now)
 
-    def late(self) -> list[Waiting]:
+    def late_entries(self) -> list[WaitingEntry]:
         """Return the entries that can't be on time any more."""
         return [
             entry
             for lane in self._lanes.values()
-            for entry in lane[lane.bisect_key_left(FIRST_LATE) :]
+            for entry in lane[lane.bisect_key_left(LATE_KEY_MIN) :]
         ]
 
     def has_on_time(self) -> bool:
-        """Tell whether an entry that waits can still be on time."""
+        """Tell whether a waiting entry can still be on time."""
         return any(not lane[0].is_late for lane in self._lanes.values())
 
     def count_ahead(self, ask: Ask) -> int:
-        """Return the workspace's own entries times those it takes turns with."""
-        own = len(self._lanes.get(self._lane_name(ask), ()))
+        """Return the workspace's own entries times the number of workspaces."""
+        own = len(self._lanes.get(self._lane_of(ask), ()))
         return min(own * max(len(self._lanes), 1), len(self))
 
     def cost_ahead(self, ask: Ask) -> float:
-        """Return the workspace's own cost times those it takes turns with."""
-        name = self._lane_name(ask)
+        """Return the workspace's own cost times the number of workspaces."""
+        name = self._lane_of(ask)
         turns = max(len(self._lanes), 1)
         return min(self._costs.get(name, 0) * turns, self.cost)
 
-    def _on_time_windows(self) -> Iterator[list[Waiting]]:
-        for _, name in self._order:
-            window = self._lanes[name].islice(0, WINDOW)
+    def _on_time_windows(self) -> Iterator[list[WaitingEntry]]:
+        for _, name in self._lane_order:
+            window = self._lanes[name].islice(0, WINDOW_ENTRIES)
             on_time = [entry for entry in window if not entry.is_late]
             if on_time:
                 yield on_time
 
-    def _late_windows(self) -> Iterator[list[Waiting]]:
-        for _, name in self._order:
+    def _late_windows(self) -> Iterator[list[WaitingEntry]]:
+        for _, name in self._lane_order:
             lane = self._lanes[name]
-            first = lane.bisect_key_left(FIRST_LATE)
+            first = lane.bisect_key_left(LATE_KEY_MIN)
             if first < len(lane):
-                yield list(lane.islice(first, first + WINDOW))
+                yield list(lane.islice(first, first + WINDOW_ENTRIES))
 
-    def _lane_name(self, ask: Ask) -> str:
+    def _lane_of(self, ask: Ask) -> str:
         return ask.workspace if self._fair else ''
 
     def _weight(self, name: str) -> float:
@@ -202,5 +217,5 @@
         return weight if weight > 0 else 1
 
 
-def _order_of(entry: Waiting) -> tuple[bool, float, str]:
-    return entry.order
+def _sort_key_of(entry: WaitingEntry) -> tuple[bool, float, str]:
+    return entry.sort_key
--- a/tests/decisions/test_patterns.py
+++ b/tests/decisions/test_patterns.py
@@ -1,7 +1,7 @@
-"""What callers get under the load patterns, against the queueing fake.
+"""Results for callers under the load patterns, on simulated engines.
 
-Each plays one pattern over 50 engines and 6 entry VMs in virtual time; the
-seed makes it the same run every time.
+Each test simulates one pattern over 50 engines and 6 entry VMs in virtual time;
+the seed makes the run deterministic.
 """
 
 from functools import cache
@@ -19,9 +19,9 @@
 
 @cache
 def scores_of(
-    pattern: str, deployment: str = 'parwaz', off: str = ''
+    pattern: str, deployment: str = 'parwaz', disabled: str = ''
 ) -> Scores:
-    switches = Switches(**({off: False} if off else {}))
+    switches = Switches(**({disabled: False} if disabled else {}))
     return play(
         'bramleybend',
         DEPLOYMENTS[deployment],
@@ -33,21 +33,21 @@
 
 
 @pytest.mark.parametrize('deployment', list(DEPLOYMENTS))
-def test_burst_costs_the_lower_tiers_only(deployment: str) -> None:
-    """From second 10 to 18 three times the capacity is asked for.
+def test_burst_affects_lower_tiers_only(deployment: str) -> None:
+    """From second 10 to 18, requests arrive at three times the capacity.
 
-    Callers of the top tier notice nothing; what can't be done in time is
-    refused from the lower tiers.
+    The top tier is not affected; requests of lower tiers that can't end in time
+    are refused.
     """
     scores = scores_of('burst', deployment)
     assert scores.goodput(Tier.CRITICAL) >= 0.99
     assert scores.goodput(Tier.CRITICAL) >= scores.goodput(Tier.NORMAL)
 
 
-def test_few_callers_that_take_most_do_not_harm_the_others() -> None:
-    """One workspace sends 80 % of 1.3 times the capacity.
+def test_one_heavy_workspace_does_not_harm_the_others() -> None:
+    """One workspace sends 80 % of a load of 1.3 times the capacity.
 
-    The other four get what they ask for, up to an equal share.
+    The other four get their requests served up to an equal share.
     """
     assert scores_of('skew').fairness() >= 0.97
 
@@ -61,10 +61,10 @@
     assert scores.goodput(Tier.CRITICAL) >= 0.99
 
 
-def test_slow_upstream_takes_little_down_with_it() -> None:
+def test_slow_upstream_affects_few_requests() -> None:
     """Six of 50 engines become ten times slower at second 10.
 
-    What runs there is late; what comes after goes elsewhere.
+    Their runs are late; later requests go to other engines.
     """
     scores = scores_of('slow upstream')
     assert scores.goodput(Tier.CRITICAL) >= 0.98
@@ -72,9 +72,9 @@
 
 
 def test_crash_loses_only_what_ran_there() -> None:
-    """13 of 50 engines die at second 12, the VM list learns it 2 s later.
+    """13 of 50 engines crash at second 12; the VM list shows it 2 s later.
 
-    Runs in flight there fail; new ones are not sent there again and again.
+    Their runs in flight fail; new runs are not sent there repeatedly.
     """
     scores = scores_of('crash')
     assert scores.goodput(Tier.CRITICAL) >= 0.98
@@ -83,6 +83,6 @@
 
 def test_saturation_without_tiers_would_fail_bookings() -> None:
     with_tiers = scores_of('saturation').goodput(Tier.CRITICAL)
-    without = scores_of('saturation', off='tiers').goodput(Tier.CRITICAL)
+    without = scores_of('saturation', disabled='tiers').goodput(Tier.CRITICAL)
     assert with_tiers >= 0.99
     assert without < 0.99
--- a/tests/decisions/test_quarantine.py
+++ b/tests/decisions/test_quarantine.py
@@ -1,52 +1,52 @@
-"""Content that crashes runners is isolated, and innocent content is not."""
+"""Isolation of content that crashes runners, but not of other content."""
 
 from bramleybend.decisions.quarantine import (
     CONDEMNED,
-    KEPT_RECORDS,
+    MAX_RECORDS,
     CrashBook,
     Verdict,
 )
 
 
-def condemned_book() -> CrashBook:
-    book = CrashBook()
+def make_refusing_registry() -> CrashBook:
+    registry = CrashBook()
     for number in range(CONDEMNED):
-        book.crashed(f'engine-{number}', ['poison'], number)
-    return book
+        registry.crashed(f'engine-{number}', ['poison'], number)
+    return registry
 
 
 def test_all_in_flight_at_a_crash_is_suspect() -> None:
-    book = CrashBook()
-    book.crashed('engine-1', ['a', 'b'], 0)
-    assert book.verdict('a', 1) is Verdict.SUSPECT
-    assert book.verdict('b', 1) is Verdict.SUSPECT
-    assert book.verdict('c', 1) is Verdict.CLEAR
+    registry = CrashBook()
+    registry.crashed('engine-1', ['a', 'b'], 0)
+    assert registry.verdict('a', 1) is Verdict.SUSPECT
+    assert registry.verdict('b', 1) is Verdict.SUSPECT
+    assert registry.verdict('c', 1) is Verdict.CLEAR
 
 
 def test_finishing_clears_a_suspect() -> None:
-    book = CrashBook()
-    book.crashed('engine-1', ['a'], 0)
-    book.finished('a', 1)
-    assert book.verdict('a', 1) is Verdict.CLEAR
+    registry = CrashBook()
+    registry.crashed('engine-1', ['a'], 0)
+    registry.finished('a', 1)
+    assert registry.verdict('a', 1) is Verdict.CLEAR
 
 
 def test_crashes_on_enough_runners_refuse_for_good() -> None:
-    """One request kills runner after runner, its caller sends it again.
+    """One request crashes runner after runner, as its caller sends it again.
 
     After the third runner it is refused, and a late report that a copy of it
-    finished somewhere does not let it back in.
+    ended normally does not clear it.
     """
-    book = condemned_book()
-    assert book.verdict('poison', 10) is Verdict.REFUSED
-    book.finished('poison', 11)
-    assert book.verdict('poison', 10**9) is Verdict.REFUSED
+    registry = make_refusing_registry()
+    assert registry.verdict('poison', 10) is Verdict.REFUSED
+    registry.finished('poison', 11)
+    assert registry.verdict('poison', 10**9) is Verdict.REFUSED
 
 
-def test_one_faulty_runner_condemns_nothing() -> None:
-    book = CrashBook()
+def test_crashes_of_one_runner_refuse_nothing() -> None:
+    registry = CrashBook()
     for moment in range(10):
-        book.crashed('engine-1', ['a'], moment)
-    assert book.verdict('a', 10) is Verdict.SUSPECT
+        registry.crashed('engine-1', ['a'], moment)
+    assert registry.verdict('a', 10) is Verdict.SUSPECT
 
 
 def test_records_merge_in_any_order() -> None:
@@ -64,14 +64,14 @@
     assert first.verdict('b', 2) is Verdict.CLEAR
 
 
-def test_old_suspicion_ends() -> None:
-    book = CrashBook()
-    book.crashed('engine-1', ['a'], 0)
-    assert book.verdict('a', 4000) is Verdict.CLEAR
+def test_suspicion_expires() -> None:
+    registry = CrashBook()
+    registry.crashed('engine-1', ['a'], 0)
+    assert registry.verdict('a', 4000) is Verdict.CLEAR
 
 
 def test_memory_is_bounded_and_keeps_what_is_refused() -> None:
-    book = condemned_book()
-    book.crashed('engine-9', [f'f{n}' for n in range(KEPT_RECORDS + 50)], 5)
-    assert len(book.export()) == KEPT_RECORDS
-    assert book.verdict('poison', 6) is Verdict.REFUSED
+    registry = make_refusing_registry()
+    registry.crashed('engine-9', [f'f{n}' for n in range(MAX_RECORDS + 50)], 5)
+    assert len(registry.export()) == MAX_RECORDS
+    assert registry.verdict('poison', 6) is Verdict.REFUSED
