--- a/bramleybend/clients/__init__.py
+++ b/bramleybend/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the platform: log service, VM list, runners."""
+"""Clients of the platform's services: log service, VM list, runners."""
--- a/bramleybend/clients/channel.py
+++ b/bramleybend/clients/channel.py
@@ -1,11 +1,11 @@
-"""Kept connections to one peer, each serving one request at a time.
+"""Persistent HTTP connections to a peer, one request at a time on each.
 
 Load pattern: many short exchanges with few peers, where a new connection
-costs a round trip, and a slot at the peer.
-Without care: a peer's late or second answer stands where the next answer is
-expected, and a caller gets another caller's bytes. So a connection is used
-again only if the last exchange ended whole on both sides, the peer said
-nothing since, and its idle timeout is not near.
+costs a round trip and a slot at the peer.
+Failure: a peer sends a late or second response, which is read as the response
+to the next request, so a caller gets another caller's bytes. A connection is
+therefore reused only if both sides completed the last exchange, the peer has
+sent nothing since, and its idle timeout is not about to expire.
 """
 
 import asyncio
@@ -30,32 +30,32 @@
 
 HeaderList: TypeAlias = Sequence[tuple[bytes, bytes]]
 
-# Within a failure domain a connection stands in 1 ms, across them in 2; a
-# dropped opening packet is sent again after a second, too late to wait for.
+# Connecting takes 1 ms within a failure domain and 2 ms to another. TCP
+# repeats a lost SYN after a second, which is too late to wait for.
 CONNECT_TIMEOUT_S: Final = 0.4
-# A peer whose kernel acknowledges nothing for so long is cut off or gone. It
-# is longer than a few lost packets in a row take to be sent again.
+# A peer whose kernel acknowledges nothing for this long is unreachable or
+# down. Retransmitting a few packets lost in a row takes less time.
 UNACKED_TIMEOUT_MS: Final = 1500
 KEEPALIVE_AFTER_S: Final = 1
 KEEPALIVE_PROBES: Final = 3
-# Without a stated idle timeout, a connection is trusted this long.
+# Idle timeout assumed for a peer that states none.
 UNSTATED_IDLE_S: Final = 4.0
-# A stated timeout runs at the peer; ours ends sooner by a round trip and the
-# time a busy peer takes to read.
+# Part of the peer's idle timeout for which a connection is reused. The rest
+# covers a round trip and the time a busy peer takes to read the request.
 IDLE_MARGIN: Final = 0.7
 _TIMEOUT_FORM: Final = re.compile(rb'timeout\s*=\s*(\d+)')
 
 
 @dataclass(frozen=True)
 class Head:
-    """Status and headers of an answer, names in lower case."""
+    """Status and headers of a response; header names are in lower case."""
 
     status: int
     headers: HeaderList
 
     @property
     def framing(self) -> Framing:
-        """Tell what marks the end of the body."""
+        """How the end of the body is determined."""
         return framing_of({key.decode('latin-1') for key, _ in self.headers})
 
     def get(self, name: str) -> str | None:
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True)
 class Outgoing:
-    """A whole request, ready to send."""
+    """A complete request, ready to send."""
 
     method: bytes
     target: bytes
@@ -78,12 +78,12 @@
 
 
 class Channel(H11Protocol):
-    """One connection that we opened."""
+    """A client connection; `connect` opens one."""
 
     def __init__(
         self, clock: Clock, bounds: MessageBounds = USUAL_BOUNDS
     ) -> None:
-        """Start idle; `connect` makes one."""
+        """Start idle and without a transport."""
         super().__init__(h11.Connection(h11.CLIENT))
         self._clock = clock
         self._bounds = bounds
@@ -95,7 +95,7 @@
         self.uses = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set the timeouts that show a peer which is cut off."""
+        """Set the socket timeouts that detect an unreachable peer."""
         super().connection_made(transport)
         sock = transport.get_extra_info('socket')
         options = (
@@ -109,27 +109,27 @@
             sock.setsockopt(level, option, number)
 
     def data_received(self, data: bytes) -> None:
-        """Drop the connection at bytes that nobody asked for."""
+        """Abort an idle connection whose peer sends unrequested bytes."""
         if not self._busy:
             self.abort()
             return
         super().data_received(data)
 
     def eof_received(self) -> bool:
-        """Close an idle connection together with its peer."""
+        """Close an idle connection when its peer closes it."""
         super().eof_received()
         return self._busy
 
     @property
     def usable(self) -> bool:
-        """Whether another request may be sent on it."""
+        """Whether another request may be sent on the connection."""
         if self._busy or self.broken or self.transport.is_closing():
             return False
         idle_s = self._clock.monotonic() - self._used_at
         return idle_s < self._idle_s * IDLE_MARGIN
 
     async def send(self, outgoing: Outgoing) -> None:
-        """Write the whole request; the answer may come before its end."""
+        """Write the whole request; the peer may respond before its end."""
         self._busy = True
         self.uses += 1
         self.received = 0
@@ -143,8 +143,9 @@
             target=outgoing.target,
             headers=[*outgoing.headers, *framing],
         )
-        # In one write: a peer that answers early still gets the whole body,
-        # or none of the next request on this connection would be read right.
+        # Written at once, so that a peer which responds early still gets the
+        # whole body. It would read the next request on this connection as the
+        # missing part otherwise.
         parts = [self.http.send(self._sent)]
         if outgoing.body:
             parts.append(self.http.send(h11.Data(data=outgoing.body)))
@@ -154,9 +155,10 @@
         self.transport.write(b''.join(part for part in parts if part))
 
     async def head(self) -> Head:
-        """Read status and headers of the next answer.
+        """Read status and headers of the next final response.
 
-        Raises `MessageTooLongError` if informational heads don't end.
+        Raises `MessageTooLongError` if informational (1xx) responses exceed
+        the bounds, and `EOFError` if the peer closes the connection.
         """
         event = await self.next_event()
         while isinstance(event, h11.InformationalResponse):
@@ -171,9 +173,10 @@
         return head
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body; raises if its framing shows that it was cut.
+        """Yield the parts of the body.
 
-        Raises `MessageTooLongError` beyond the bounds.
+        Raises `MessageTooLongError` beyond the bounds, and another error if
+        the framing shows that the body is truncated.
         """
         event = await self.next_event()
         while isinstance(event, h11.Data):
@@ -186,9 +189,9 @@
     async def body(
         self, most: float, on_growth: Callable[[int], None] | None = None
     ) -> bytes:
-        """Read the body whole, up to so many bytes.
+        """Read the whole body; raises `MessageTooLongError` over `max_bytes`.
 
-        `on_growth` is called with the bytes so far.
+        `on_growth` is called after each part with the bytes read so far.
         """
         parts: list[bytes] = []
         size = 0
@@ -202,14 +205,15 @@
         return b''.join(parts)
 
     def check_received(self) -> None:
-        """Raise if what came in this exchange is mostly no content."""
+        """Raise if the peer sent too many bytes that are not content."""
         self._meter.note_received(self.received)
 
     def expect_another(self) -> None:
-        """Read on for the true answer after one that was not ours.
+        """Prepare to read another response to the request already sent.
 
-        A peer may send an answer of an earlier request late. Its request was
-        read before ours, so the next answer on the connection can be ours.
+        Used after a response that belongs to an earlier request, which the
+        peer sent late. The peer reads requests in order, so its next response
+        on this connection can belong to the current request.
         """
         assert self._sent is not None
         trailing, closed = self.http.trailing_data
@@ -226,7 +230,10 @@
             self.http.receive_data(b'')
 
     def release(self) -> bool:
-        """End an exchange; tells whether the connection stays open."""
+        """End an exchange; return whether the connection can be reused.
+
+        Aborts the connection if it can't.
+        """
         if not (self._is_open() and self._is_between_exchanges()):
             self.abort()
             return False
@@ -239,7 +246,7 @@
         return self.broken is None and not self.transport.is_closing()
 
     def _is_between_exchanges(self) -> bool:
-        """Tell whether both sides ended theirs and said nothing more."""
+        """Tell whether both messages are complete and no bytes are pending."""
         states = {self.http.our_state, self.http.their_state}
         unsent = self.transport.get_write_buffer_size()
         return states == {h11.DONE} and not (
@@ -254,7 +261,7 @@
     timeout_s: float = CONNECT_TIMEOUT_S,
     bounds: MessageBounds = USUAL_BOUNDS,
 ) -> Channel:
-    """Open a channel; an `OSError` here means that nothing was sent."""
+    """Open a connection; an `OSError` means that nothing was sent."""
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(timeout_s):
--- a/bramleybend/clients/engine_orders.py
+++ b/bramleybend/clients/engine_orders.py
@@ -1,4 +1,7 @@
-"""Asks engines what they hold and orders them to hold something else."""
+"""Client of engines: reads their state and load, and sends them orders.
+
+Orders load a model or adapter, or change an engine's role.
+"""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -25,7 +28,7 @@
 
 
 class StateBody(BaseModel):
-    """`GET /v1/state`."""
+    """Response to `GET /v1/state`."""
 
     model: str
     version: str
@@ -35,7 +38,7 @@
 
 
 class LoadBody(BaseModel):
-    """`GET /v1/load`."""
+    """Response to `GET /v1/load`."""
 
     running: int
     waiting: int
@@ -44,20 +47,20 @@
 
 @dataclass(frozen=True)
 class ReportedWork:
-    """How much an engine ran, and how long ago it looked."""
+    """Number of an engine's runs, and the age of that count."""
 
     runs: int
     age_s: float
 
 
 class EngineOrders(Protocol):
-    """What an issuer asks of engines."""
+    """Interface of an issuer of orders to engines."""
 
     async def state(self, vm: Vm) -> Result[EngineState, Problem]:
-        """Return what the engine holds now."""
+        """Return the model, adapters and role that the engine now has."""
 
     async def work(self, vm: Vm) -> Result[ReportedWork, Problem]:
-        """Return how much it runs; the report is late."""
+        """Return the number of its runs, as of a moment ago."""
 
     async def send(
         self,
@@ -65,19 +68,19 @@
         fence: int,
         order: Order,
     ) -> Result[None, Problem]:
-        """Give one order.
+        """Send one order.
 
-        `CONFLICT`: the engine has had an order with a higher fence.
-        `RUNNER_REFUSED`: it won't carry it out. Any other kind: it may have
-        taken the order or not; read its state.
+        `CONFLICT`: the engine has received an order with a higher fence.
+        `RUNNER_REFUSED`: the engine rejects the order. After any other error,
+        the engine may have accepted it; read its state to find out.
         """
 
 
 class HttpEngineOrders:
-    """Orders over HTTP; holds no state between calls."""
+    """Sends orders over HTTP; keeps no state between calls."""
 
     async def state(self, vm: Vm) -> Result[EngineState, Problem]:
-        """Return what the engine holds now."""
+        """Return the model, adapters and role that the engine now has."""
         answer = await _api(vm).call('GET', '/v1/state')
         return (
             answer.and_then(lambda reply: _parsed(vm, reply, StateBody))
@@ -92,7 +95,7 @@
         )
 
     async def work(self, vm: Vm) -> Result[ReportedWork, Problem]:
-        """Return how much it runs; the report is late."""
+        """Return the number of its runs, as of a moment ago."""
         answer = await _api(vm).call('GET', '/v1/load')
         return (
             answer.and_then(lambda reply: _parsed(vm, reply, LoadBody))
@@ -109,7 +112,7 @@
         fence: int,
         order: Order,
     ) -> Result[None, Problem]:
-        """Give one order; see `EngineOrders.send` for the kinds of problem."""
+        """Send one order; see `EngineClient.send` for the errors."""
         answer = await _api(vm).call(
             'POST',
             '/v1/orders',
@@ -119,7 +122,7 @@
 
 
 def order_fields(order: Order) -> Mapping[str, str]:
-    """Return an order's kind and arguments as engines read them."""
+    """Return an order's kind and arguments in the engines' JSON format."""
     match order:
         case LoadModel(name, version):
             return {'kind': 'load_model', 'name': name, 'version': version}
--- a/bramleybend/clients/h11_protocol.py
+++ b/bramleybend/clients/h11_protocol.py
@@ -1,8 +1,8 @@
-"""One HTTP/1.1 connection over an asyncio transport, framed by h11.
+"""An HTTP/1.1 connection as an asyncio protocol, parsed by h11.
 
-A transport tells at once when its peer has left or when bytes come that
-nobody asked for. A task that reads a stream would notice only at its next
-read, so both directions of the raw path are built on this.
+asyncio calls a protocol as soon as the peer disconnects or sends unrequested
+bytes. A task that reads a stream would notice only at its next read, so the
+connections of callers and to runners both build on this protocol.
 """
 
 import asyncio
@@ -13,59 +13,61 @@
 
 import h11
 
-# Unread bytes at which reading stops, so that a fast sender before a slow
-# reader costs no memory; far over one event or request of usual size.
+# Reading pauses above this many unread bytes, so that a sender which is
+# faster than the reader costs no memory. It is far above the usual size of an
+# event or request.
 HIGH_WATER: Final = 65_536
-READ_BYTES: Final = 65_536  # at once
-MOST_DISCARDED: Final = 4_194_304  # bytes that nobody reads
-# Events between two turns of the event loop: bytes that came together may
-# hold thousands, and all other connections wait for them.
+READ_BYTES: Final = 65_536  # per read
+MOST_DISCARDED: Final = 4_194_304
+# Events returned before other tasks of the event loop get a turn. Bytes that
+# arrive together may hold thousands of events, which would delay all other
+# connections.
 EVENTS_A_TURN: Final = 64
-NO_LINGER: Final = struct.pack('ii', 1, 0)  # on, for no time
+NO_LINGER: Final = struct.pack('ii', 1, 0)  # l_onoff, l_linger in seconds
 
 logger = logging.getLogger(__name__)
 
 
 class H11Protocol(asyncio.BufferedProtocol):
-    """Feeds a connection's bytes to h11 and hands out its events."""
+    """Passes a connection's bytes to h11 and returns the parsed events."""
 
-    # Each read is copied out before the next one, so all can share it.
+    # Shared by all connections, as each read is copied before the next one.
     _buffer: Final = bytearray(READ_BYTES)
 
     def __init__(self, http: h11.Connection) -> None:
         """Start without a transport."""
         self.http = http
         self.broken: Exception | None = None
-        self.peer_ended = False  # the peer writes no more
+        self.peer_ended = False  # the peer sends no more bytes
         self._transport: asyncio.Transport | None = None
         self._news = asyncio.Event()
         self._room = asyncio.Event()
         self._room.set()
         self._unread = 0
-        self._events = 0  # since the last turn of the event loop
+        self._events = 0  # since other tasks last ran
         self.received = 0  # bytes
-        self.discarding = False  # nobody reads what still comes
+        self.discarding = False  # received bytes are not parsed
 
     @property
     def transport(self) -> asyncio.Transport:
-        """The transport; there is one once the connection stands."""
+        """The transport, which exists once the connection is open."""
         assert self._transport is not None
         return self._transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take over an open connection."""
+        """Use the transport of a connection that was just opened."""
         self._transport = cast(asyncio.Transport, transport)
 
     def get_buffer(self, sizehint: int) -> bytearray:  # noqa: WPS615
-        """Return where the next bytes are put."""
+        """Return the buffer for the next read."""
         return self._buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Take in bytes that were put into the buffer."""
+        """Process the first `nbytes` bytes of the buffer."""
         self.data_received(bytes(memoryview(self._buffer)[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
-        """Keep what came until it is read."""
+        """Buffer received bytes until `next_event` parses them."""
         self.received += len(data)
         if self.discarding:
             if self.received > MOST_DISCARDED:
@@ -78,29 +80,29 @@
         self._news.set()
 
     def eof_received(self) -> bool:
-        """Note that the peer writes no more; keep our half open."""
+        """Record that the peer sends no more; keep our side open."""
         self.peer_ended = True
         self.http.receive_data(b'')
         self._news.set()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Wake whoever waits for the peer."""
+        """Wake the tasks that wait to read or write."""
         self.broken = exc or ConnectionResetError('the connection is closed')
         self.peer_ended = not isinstance(exc, TimeoutError)
         self._news.set()
         self._room.set()
 
     def pause_writing(self) -> None:
-        """Note that the peer reads more slowly than we write."""
+        """Make `write` wait, as the peer reads more slowly than we write."""
         self._room.clear()
 
     def resume_writing(self) -> None:
-        """Let writers go on."""
+        """Let waiting calls of `write` continue."""
         self._room.set()
 
     async def next_event(self) -> object:
-        """Return h11's next event, waiting for bytes as needed."""
+        """Return h11's next event, waiting for bytes if necessary."""
         event = self.http.next_event()
         while event is h11.NEED_DATA:
             self._events = 0
@@ -114,10 +116,10 @@
         return event
 
     def check_received(self) -> None:
-        """Raise if what came is no message; all of it has been read."""
+        """Raise if the peer sent too much; called when all is parsed."""
 
     async def more_data(self) -> None:
-        """Wait until bytes or the end of the connection have come."""
+        """Wait until bytes arrive or the connection ends."""
         self._unread = 0
         if self.broken is not None:
             raise self.broken
@@ -126,7 +128,7 @@
         await self._news.wait()
 
     async def write(self, payload: bytes) -> None:
-        """Write, and wait while the peer doesn't keep up."""
+        """Write, then wait while the transport's write buffer is full."""
         if self.broken is not None:
             raise self.broken
         self.transport.write(payload)
@@ -134,16 +136,17 @@
             await self._room.wait()
 
     def close(self) -> None:
-        """Close in order; what was written is still sent."""
+        """Close gracefully: bytes already written are still sent."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Reset the connection; what its peer has not read yet is dropped.
+        """Reset the connection and drop bytes that are not yet delivered.
 
-        Closed in order, the kernel would still deliver a request that was
-        written, and the peer would run it for nobody; and a peer that reads
-        to the end of the connection would take half an answer for a whole one.
+        After a graceful close, the kernel would still deliver a request, and
+        the peer would run it although nobody reads the response. A peer that
+        reads until the connection ends would also accept a truncated response
+        as complete.
         """
         if self._transport is None:
             return
@@ -151,5 +154,5 @@
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
         except OSError as exc:
-            logger.debug('a connection is closed in order: %s', exc)
+            logger.debug('cannot set SO_LINGER, closing gracefully: %s', exc)
         self._transport.abort()
--- a/bramleybend/clients/http.py
+++ b/bramleybend/clients/http.py
@@ -1,8 +1,8 @@
-"""One HTTP exchange over a connection of its own, by h11.
+"""HTTP client that uses a new connection for each exchange, based on h11.
 
-The caller of an exchange must know whether a failed request may have had an
-effect. So connecting, sending and reading are separate steps: a failure to
-connect wrote nothing, any later one may have been acted on.
+Connecting, sending and reading are separate steps, so that a failure tells
+whether the request may have had an effect: a failure to connect sent nothing;
+after any later failure, the peer may have processed the request.
 """
 
 import asyncio
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class HttpResponse:
-    """A whole answer: status, headers in lower case, body."""
+    """A response: status, headers by name in lower case, and body."""
 
     status: int
     headers: Mapping[str, str]
@@ -47,19 +47,19 @@
 
     @property
     def framing(self) -> Framing:
-        """Tell what marks the end of the body."""
+        """How the end of the body is determined."""
         return framing_of(self.headers)
 
 
 class Exchange:
-    """Sends one request and reads its answer; owns its connection."""
+    """Sends one request and reads its response; owns the connection."""
 
     def __init__(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Take over an open connection."""
+        """Use an open connection."""
         self._reader = reader
         self._writer = writer
         self._http = h11.Connection(h11.CLIENT)
@@ -93,7 +93,11 @@
         await self._writer.drain()
 
     async def head(self) -> HttpResponse:
-        """Read status and headers; the body is left to `chunks`."""
+        """Read status and headers; `chunks` reads the body.
+
+        The result's body is empty. Raises `EOFError` if the peer closes the
+        connection first.
+        """
         event = await self._next_event()
         while isinstance(event, h11.InformationalResponse):
             self._meter.add_filler(head_bytes(event))
@@ -107,7 +111,7 @@
         return HttpResponse(event.status_code, headers, b'')
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body; raises if its framing shows that it was cut."""
+        """Yield the parts of the body; raises if it is truncated."""
         event = await self._next_event()
         while isinstance(event, h11.Data):
             self._meter.add_content(len(event.data))
@@ -117,7 +121,7 @@
             raise EOFError('the connection ended within an answer')
 
     def close(self) -> None:
-        """Drop the connection, whatever state it is in."""
+        """Close the connection in any state of the exchange."""
         self._writer.close()
 
     async def _next_event(self) -> object:
@@ -132,7 +136,7 @@
 
 
 async def connect(host: str, port: int) -> Exchange:
-    """Open a connection; an `OSError` here means nothing was sent."""
+    """Open a connection; an `OSError` means that nothing was sent."""
     try:
         async with patience(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, port)
@@ -142,10 +146,10 @@
 
 
 class HttpApi:
-    """A JSON interface at a base URL, each call within a time limit."""
+    """Client of a JSON API on one host, with a timeout for each call."""
 
     def __init__(self, url: str, timeout_s: float) -> None:
-        """Name the interface; nothing is opened yet."""
+        """Set host and port from `url`; each call opens a connection."""
         parts = urlsplit(url)
         self._host = parts.hostname or ''
         self._port = parts.port or DEFAULT_PORT
@@ -160,11 +164,13 @@
         *,
         is_patient: bool = False,
     ) -> Result[HttpResponse, Problem]:
-        """Send and read whole.
+        """Send a request, with `payload` as JSON, and read the response.
 
-        `PEER_UNAVAILABLE` wrote nothing; `TIMEOUT` may have been acted on.
-        With `is_patient`, an answer that came while this process stood still
-        is taken; it may be as old as the pause, so not for news.
+        After `PEER_UNAVAILABLE` nothing was sent; after `TIMEOUT`, the peer
+        may have processed the request. `extra_s` extends the timeout.
+        With `is_stall_tolerant`, a response that arrived while this process
+        was suspended is accepted even if the timeout has passed. It may be as
+        old as the suspension, so calls that need current data don't set this.
         """
         try:
             exchange = await connect(self._host, self._port)
@@ -208,7 +214,10 @@
 
 
 async def read_whole(exchange: Exchange) -> HttpResponse:
-    """Read head and body, up to `MAX_BODY`."""
+    """Read status, headers and body.
+
+    Raises `ProblemError` if the body is larger than `MAX_BODY` bytes.
+    """
     head = await exchange.head()
     parts: list[bytes] = []
     size = 0
@@ -227,7 +236,7 @@
 
 
 async def close_writer(writer: asyncio.StreamWriter) -> None:
-    """Close a connection that may be broken already."""
+    """Close a connection; errors of one that is broken are ignored."""
     writer.close()
     with suppress(OSError):
         await writer.wait_closed()
--- a/bramleybend/clients/http_log.py
+++ b/bramleybend/clients/http_log.py
@@ -1,4 +1,4 @@
-"""The log service over HTTP, as docs/PLATFORM.md describes it."""
+"""HTTP client of the log service that docs/PLATFORM.md describes."""
 
 from collections.abc import Sequence
 from datetime import timedelta
@@ -23,20 +23,20 @@
 
 
 class AppendedBody(BaseModel):
-    """Where an append landed."""
+    """The response to an append; the offset is its first record's."""
 
     offset: int
 
 
 class RecordBody(BaseModel):
-    """One record as the log sends it."""
+    """One record in a response of the log service."""
 
     offset: int
     data: str
 
 
 class ReadBody(BaseModel):
-    """One read as the log sends it."""
+    """The response to a read."""
 
     first_offset: int
     next_offset: int
@@ -44,10 +44,10 @@
 
 
 class HttpLogService:
-    """Appends and reads; holds no state between calls."""
+    """Appends and reads records; keeps no state between calls."""
 
     def __init__(self, api: HttpApi) -> None:
-        """Take the interface that carries the calls."""
+        """Use this API client for the calls."""
         self._api = api
 
     async def append(
@@ -55,7 +55,7 @@
         stream: str,
         records: Sequence[str],
     ) -> Result[int, Problem]:
-        """Append; see `LogService.append` for the kinds of problem."""
+        """Append records; see `LogService.append` for the errors."""
         answer = await self._api.call(
             'POST',
             f'/streams/{stream}/records',
@@ -75,7 +75,7 @@
         limit: int = READ_LIMIT,
         wait: timedelta = NO_WAIT,
     ) -> Result[LogBatch, Problem]:
-        """Read from `start` on, waiting up to `wait` for a record."""
+        """Read records from `start` on, waiting up to `wait` for one."""
         wait_ms = int(wait.total_seconds() * MILLISECONDS)
         target = (
             f'/streams/{stream}/records'
@@ -94,7 +94,7 @@
 
 
 def make_http_log(url: str) -> LogService:
-    """Build the client for the log at `url`."""
+    """Make a client of the log service at `url`."""
     return HttpLogService(HttpApi(url, LOG_TIMEOUT_S))
 
 
--- a/bramleybend/clients/http_vm_list.py
+++ b/bramleybend/clients/http_vm_list.py
@@ -1,4 +1,4 @@
-"""The VM list over HTTP, as docs/PLATFORM.md describes it."""
+"""HTTP client of the VM list that docs/PLATFORM.md describes."""
 
 from http import HTTPStatus
 from ipaddress import IPv4Address
@@ -17,7 +17,7 @@
 
 
 class VmBody(BaseModel):
-    """One VM as the list sends it."""
+    """One VM in a response of the list."""
 
     name: str = Field(min_length=1)
     address: IPv4Address
@@ -28,20 +28,20 @@
 
 
 class ListBody(BaseModel):
-    """The whole list."""
+    """The response to a fetch."""
 
     vms: list[VmBody]
 
 
 class HttpVmList:
-    """Fetches the list; holds no state between calls."""
+    """Fetches the list; keeps no state between calls."""
 
     def __init__(self, api: HttpApi) -> None:
-        """Take the interface that carries the calls."""
+        """Use this API client for the calls."""
         self._api = api
 
     async def fetch(self) -> Result[tuple[Vm, ...], Problem]:
-        """Return the list as the platform last knew it."""
+        """Return the list as the platform last updated it."""
         answer = await self._api.call('GET', '/vms')
         match answer:
             case Err(problem):
@@ -51,7 +51,7 @@
 
 
 def make_http_vm_list(url: str) -> VmList:
-    """Build the client for the list at `url`."""
+    """Make a client of the VM list at `url`."""
     return HttpVmList(HttpApi(url, LIST_TIMEOUT_S))
 
 
--- a/bramleybend/clients/log_service.py
+++ b/bramleybend/clients/log_service.py
@@ -1,4 +1,4 @@
-"""What the system asks of the platform's log service."""
+"""Interface of the platform's log service, and its records."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -24,11 +24,11 @@
 
 @dataclass(frozen=True)
 class LogBatch:
-    """What one read returned.
+    """The result of one read.
 
-    Records below `first_offset` are forgotten; `next_offset` is the offset
-    that the stream's next append gets, so a batch that ends just below it
-    reaches the tail.
+    Records before `first_offset` are no longer retained. `next_offset` is the
+    offset of the stream's next append, so a batch whose last record is just
+    before it reaches the end of the stream.
     """
 
     first_offset: int
@@ -37,17 +37,20 @@
 
 
 class LogService(Protocol):
-    """An append-only log with offsets; down, slow or forgetful at any time."""
+    """An append-only log of records, with an offset for each.
+
+    It may be unavailable or slow at any time, and may drop old records.
+    """
 
     async def append(
         self,
         stream: str,
         records: Sequence[str],
     ) -> Result[int, Problem]:
-        """Append records next to each other; return the first one's offset.
+        """Append records at consecutive offsets; return the first offset.
 
-        `LOG_UNAVAILABLE` and `LOG_REFUSED` mean that nothing was appended;
-        `LOG_REPLY_LOST` means that it may or may not have been.
+        After `LOG_UNAVAILABLE` and `LOG_REFUSED`, nothing was appended; after
+        `LOG_REPLY_LOST`, the records may have been appended.
         """
 
     async def read(
@@ -57,4 +60,7 @@
         limit: int = READ_LIMIT,
         wait: timedelta = NO_WAIT,
     ) -> Result[LogBatch, Problem]:
-        """Return records from `start` on, waiting up to `wait` for one."""
+        """Return up to `limit` records from offset `start` on.
+
+        Waits up to `wait` for one to be appended.
+        """
--- a/bramleybend/clients/message_bounds.py
+++ b/bramleybend/clients/message_bounds.py
@@ -1,13 +1,14 @@
-"""How much one peer may send for one message.
+"""Limits on the bytes that a peer may send for one HTTP message.
 
-Failure: a peer sends bytes that are no answer, without end: informational
-heads, comments, chunk extensions, a body without a length. Read to their end,
-they fill memory and take the processor from all other callers.
+Failure: a peer never stops sending bytes that are not part of a response,
+such as informational (1xx) responses, comments, chunk extensions or a body
+without a length. Reading all of them exhausts memory and takes CPU time from
+all other callers.
 
-Content is bounded by `message_bytes`. Filler, which is what carries none of
-it, is bounded by `filler_bytes` beyond as much as there is content, since
-framing and comments grow with it. Each part counts as `PART_BYTES` more than it
-has, as it costs processor time whatever its length.
+Content is limited to `message_bytes`. All other bytes are filler. As framing
+and comments grow with the content, filler may exceed it by `filler_bytes`.
+Each part counts as `PART_OVERHEAD_BYTES` more than its length, because it
+costs CPU time however short it is.
 """
 
 from dataclasses import dataclass
@@ -22,12 +23,12 @@
 
 
 class MessageTooLongError(EOFError):
-    """A message was read no further, as it may have no end."""
+    """A message exceeds its bounds; the rest of it was not read."""
 
 
 @dataclass(frozen=True)
 class MessageBounds:
-    """The most that is read of one message, in bytes."""
+    """Maximum bytes to read of one message."""
 
     message_bytes: float = ANSWER_BYTES
     event_bytes: int = EVENT_BYTES  # of one event of a stream
@@ -38,22 +39,25 @@
 
 
 def head_bytes(head: h11.InformationalResponse) -> int:
-    """Count the bytes of a head's fields."""
+    """Return the bytes of an informational response's headers."""
     return sum(len(name) + len(text) for name, text in head.headers)
 
 
 class MessageMeter:
-    """Counts the bytes of one message."""
+    """Counts the bytes of one message and enforces its bounds."""
 
     def __init__(self, bounds: MessageBounds) -> None:
-        """Start before its first byte."""
+        """Start before the message's first byte."""
         self._bounds = bounds
         self._content = 0
         self._filler = 0
-        self._cost = 0  # of the content
+        self._cost = 0  # content and its parts' overhead
 
     def add_content(self, size: int) -> None:
-        """Count a part of the content; raises `MessageTooLongError`."""
+        """Count a part of the content.
+
+        Raises `MessageTooLongError` beyond the bound.
+        """
         self._content += size
         self._cost += size + PART_BYTES
         most = self._bounds.message_bytes
@@ -61,14 +65,18 @@
             raise MessageTooLongError(f'the message is over {most} bytes')
 
     def add_filler(self, size: int) -> None:
-        """Count a part that carries none; raises `MessageTooLongError`."""
+        """Count a part without content, such as a comment.
+
+        Raises `MessageTooLongError` beyond the bound.
+        """
         self._filler += size + PART_BYTES
         self._check_filler(self._filler - self._cost)
 
     def note_received(self, size: int) -> None:
-        """Compare with all bytes that came; raises `MessageTooLongError`.
+        """Check the framing, given all bytes received for the message.
 
-        What is no content is framing.
+        Bytes that are not content are framing. Raises `MessageTooLongError`
+        if they exceed the content by more than the bound on filler.
         """
         self._check_filler(size - 2 * self._content)
 
--- a/bramleybend/clients/runner.py
+++ b/bramleybend/clients/runner.py
@@ -1,8 +1,9 @@
-"""Runs one request on a runner: an engine or a plain service.
+"""Client of runners: sends, resumes and cancels runs.
 
-Each run carries a run id of our own. An engine that has admitted an id
-refuses it a second time, and resumes its stream from any event, so a broken
-connection never needs a second dispatch.
+A runner is an engine or a plain service. This system gives each run an id. An
+engine refuses an id that it has already admitted, and can resume the stream of
+a run from any event, so a run is not dispatched again after its connection
+breaks.
 """
 
 import asyncio
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True)
 class Usage:
-    """What an engine says a run cost, in tokens."""
+    """Token counts of a run, as its engine reports them."""
 
     prompt_tokens: int = 0
     cached_tokens: int = 0
@@ -53,7 +54,7 @@
 
 @dataclass(frozen=True)
 class RunnerAddress:
-    """Where a run goes and how it is spoken to."""
+    """Address of a runner, and its kind, which determines the protocol."""
 
     host: str
     port: int
@@ -62,7 +63,7 @@
 
 @dataclass(frozen=True)
 class RunBody:
-    """What is sent: the caller's bytes under our run id."""
+    """A run's id and the body of its caller's request."""
 
     run_id: str
     body: bytes
@@ -73,12 +74,15 @@
     kind: ServiceKind,
     run: RunBody,
 ) -> None:
-    """Send a run; from the first byte on it counts as dispatched."""
+    """Send a run, which counts as dispatched from its first byte on.
+
+    Errors of the connection are raised by the next read of the exchange.
+    """
     target = '/v1/completions' if kind is ServiceKind.ENGINE else '/call'
     headers = ((RUN_ID, run.run_id), ('Content-Type', 'application/json'))
     with suppress(*BROKEN):
-        # Part of the request may have been read, so a broken send is no
-        # proof that nothing ran; the next read of the exchange fails.
+        # The runner may have read enough of the request to run it, so a
+        # failed send doesn't prove that nothing ran.
         await exchange.send('POST', target, headers, run.body)
 
 
@@ -87,14 +91,17 @@
     run_id: str,
     start: int,
 ) -> Exchange:
-    """Ask an engine for a run's events from `start` on."""
+    """Request a run's events from number `start` on from its engine."""
     exchange = await connect(address.host, address.port)
     await exchange.send('GET', f'/v1/runs/{run_id}/events?from={start}')
     return exchange
 
 
 async def cancel_run(address: RunnerAddress, run_id: str) -> bool:
-    """Stop a run; true once the engine has said that it is over."""
+    """Cancel a run; return whether its engine confirmed that it ended.
+
+    Only engines can cancel runs.
+    """
     if address.kind is not ServiceKind.ENGINE:
         return False
     with suppress(*BROKEN):
@@ -110,16 +117,16 @@
 
 
 def was_refused(head: HttpResponse, kind: ServiceKind) -> bool:
-    """Whether the runner says that nothing ran."""
+    """Tell whether a response states that the request was not run."""
     if head.status not in REFUSALS:
         return False
     return kind is ServiceKind.ENGINE or NOT_RUN_MARK in head.headers
 
 
 async def events_of(exchange: Exchange) -> AsyncIterator[bytes]:
-    """Yield whole server-sent events; a torn last one is never yielded.
+    """Yield complete server-sent events, without a truncated last one.
 
-    Raises `MessageTooLongError` where an event, or the stream, has no end.
+    Raises `MessageTooLongError` if an event or the stream is too long.
     """
     meter = MessageMeter(USUAL_BOUNDS)
     pending = bytearray()
@@ -137,7 +144,7 @@
 
 
 def is_json(body: bytes) -> bool:
-    """Tell whether a body is one whole JSON text."""
+    """Tell whether a body is a complete JSON document."""
     try:
         json.loads(body)
     except ValueError:
@@ -146,7 +153,7 @@
 
 
 def usage_in(payload: bytes) -> Usage | None:
-    """Return the usage that an event or a body carries, if any."""
+    """Return the token counts in an event or body; `None` if absent."""
     if b'"usage"' not in payload:
         return None
     try:
--- a/bramleybend/clients/vm_list.py
+++ b/bramleybend/clients/vm_list.py
@@ -1,4 +1,4 @@
-"""What the system asks of the platform's VM list."""
+"""Interface of the platform's VM list."""
 
 from typing import Final, Protocol
 
@@ -11,7 +11,10 @@
 
 
 class VmList(Protocol):
-    """Live and leaving VMs, entry VMs included; it lags."""
+    """Lists running and leaving VMs, including entry VMs.
+
+    The list lags behind the actual state of the VMs.
+    """
 
     async def fetch(self) -> Result[tuple[Vm, ...], Problem]:
-        """Return the list as the platform last knew it."""
+        """Return the list as the platform last updated it."""
--- a/bramleybend/platform/__init__.py
+++ b/bramleybend/platform/__init__.py
@@ -1,4 +1,5 @@
-"""Translation between the users' platform and the product's own types.
+"""Adapters between the platform's interfaces and this system's own types.
 
-Nothing here decides anything. Nothing outside knows the platform's names.
+They only translate; scheduling decisions are made elsewhere. Code outside this
+package uses none of the platform's names for headers, fields and topics.
 """
--- a/bramleybend/platform/deflate.py
+++ b/bramleybend/platform/deflate.py
@@ -1,7 +1,7 @@
-"""Bodies and records that are deflated on their way.
+"""Compresses bodies and records with zlib.
 
-Routes and runners' entries are alike: 1,400 routes take 23 kB in place of 344,
-in 3 ms.
+Routes resemble each other, and so do runners' entries: 1,400 routes shrink
+from 344 to 23 kB, in 3 ms.
 """
 
 import zlib
@@ -10,25 +10,25 @@
 ACCEPT_ENCODING: Final = b'Accept-Encoding'
 CONTENT_ENCODING: Final = b'Content-Encoding'
 DEFLATE: Final = b'deflate'
-# Higher levels save a tenth of the bytes for twice the time.
+# Higher levels save another tenth of the bytes but take twice the time.
 LEVEL: Final = 1
 MOST_INFLATED: Final = 33_554_432  # bytes, 32 MiB
 
 
 class InflateError(EOFError):
-    """A deflated body is cut, spoilt, or too large."""
+    """A deflated body is truncated, corrupt or too large."""
 
 
 def deflate(body: bytes) -> bytes:
-    """Return a body in fewer bytes."""
+    """Return the compressed body, in zlib format."""
     return zlib.compress(body, LEVEL)
 
 
 def inflate(body: bytes, most: int = MOST_INFLATED) -> bytes:
-    """Return a body as it was before it was deflated.
+    """Return the decompressed body.
 
-    A few bytes may stand for gigabytes, so it is inflated no further than
-    `most` bytes.
+    A few compressed bytes may expand to gigabytes, so decompression stops
+    with an `InflateError` beyond `max_bytes` bytes of output.
     """
     inflater = zlib.decompressobj()
     try:
--- a/bramleybend/platform/directory.py
+++ b/bramleybend/platform/directory.py
@@ -1,4 +1,4 @@
-"""Answers callers that ask where to connect, and the platform's own checks."""
+"""Serves address resolution, the readiness check and metrics over HTTP."""
 
 import json
 from collections.abc import Callable, Sequence
@@ -12,13 +12,14 @@
 RESOLVE: Final = '/resolve'
 READY: Final = '/readyz'
 METRICS: Final = '/metrics'
-# Short, so that callers soon leave a VM that stops; each answer is cheap.
+# Short, so that callers soon stop using a VM that shuts down; a response
+# costs little.
 LIFETIME_S: Final = 1
 MOST_ADDRESSES: Final = 64
 
 
 class Directory:
-    """Serves both small interfaces."""
+    """Handles requests for addresses, readiness and metrics."""
 
     def __init__(
         self,
@@ -27,18 +28,18 @@
         metrics: Callable[[], bytes],
         rng: Random,
     ) -> None:
-        """Answer by what the process knows."""
+        """Respond with what these callbacks of the process return."""
         self._fronts = fronts
         self._is_ready = is_ready
         self._metrics = metrics
         self._rng = rng
 
     async def handle(self, req: RawRequest, responder: Responder) -> None:
-        """Answer one call."""
+        """Respond to one request."""
         await responder.reply(self.answer(req.path))
 
     def answer(self, path: str) -> Reply:
-        """Return the answer to a call of a path."""
+        """Return the response to a request for a path."""
         if path == READY:
             return self._ready()
         if path == RESOLVE:
@@ -59,8 +60,8 @@
         fronts = self._fronts()
         if not fronts:
             return own_reply(HTTPStatus.SERVICE_UNAVAILABLE, 'no VM is ready')
-        # Callers read no more than so many: the first of all in order would
-        # take all callers, and the VMs of the last domain none.
+        # Callers read only so many addresses. In a fixed order, the first
+        # VMs would get all callers and the last failure domain none.
         chosen = self._rng.sample(fronts, min(len(fronts), MOST_ADDRESSES))
         body = {'addresses': chosen, 'ttlS': LIFETIME_S}
         headers = [(b'Content-Type', b'application/json')]
--- a/bramleybend/platform/follow.py
+++ b/bramleybend/platform/follow.py
@@ -1,4 +1,4 @@
-"""The two logs of the store that every VM follows, and what they hold."""
+"""Settings of the two store logs that every VM follows: manifest, runners."""
 
 from typing import Final
 
@@ -15,34 +15,35 @@
     RUNNER_TOPIC,
 )
 
-# A read of the manifest's log waits for news and comes back only with it. A
-# connection that fell silent is noticed when the read fails to come back, so
-# its wait and a call's timeout stay under the two seconds that a change has
-# to be in force, beside the three after which silence excuses nothing.
+# A read of the manifest's log is a long poll that returns at the next change.
+# A dead connection is noticed only when such a read times out, so its wait
+# and the timeout of a call must together stay below three seconds: a change
+# must take effect within two seconds, or three if a connection fails.
 MANIFEST_WAIT_S: Final = 1.5
 MANIFEST_EVERY_S: Final = 0.05
 MANIFEST_STALE_S: Final = 2.2
 MANIFEST_FEED: Final = FeedTerms(
     MANIFEST_TOPIC, MANIFEST_WAIT_S, MANIFEST_EVERY_S, MANIFEST_STALE_S
 )
-# The runners write about every second each, so a read that waits would come
-# back for each heartbeat; the log is polled. A runner that leaves gets
-# nothing new within two seconds: a poll, a heartbeat and a call's time.
+# Each runner writes a heartbeat about once a second, so a long poll would
+# return at every heartbeat; this log is polled at an interval instead. A
+# runner that is leaving must get no new requests after two seconds, which
+# have to cover an interval, a heartbeat and the duration of a call.
 RUNNER_EVERY_S: Final = 0.7
 RUNNER_STALE_S: Final = 1.45
 RUNNER_FEED: Final = FeedTerms(RUNNER_TOPIC, 0, RUNNER_EVERY_S, RUNNER_STALE_S)
 
 
 class ManifestPages:
-    """Puts each new manifest in force on this VM."""
+    """Applies each new manifest on this VM."""
 
     def __init__(self, book: Book, events: EventLog) -> None:
-        """Apply to a book."""
+        """Apply manifests to this book."""
         self._book = book
         self._events = events
 
     def take(self, page: Page) -> None:
-        """Apply a page."""
+        """Apply the manifests among a page's records."""
         for record in page.records:
             if record.key == MANIFEST_KEY and not record.gone:
                 self._apply(record)
--- a/bramleybend/platform/headers.py
+++ b/bramleybend/platform/headers.py
@@ -1,4 +1,4 @@
-"""Reads and writes the platform's headers for the raw path."""
+"""Parses and builds the platform's HTTP headers for proxied requests."""
 
 from typing import Final
 
@@ -34,10 +34,10 @@
 
 
 class PlatformDialect:
-    """The headers as the platform's pages name them."""
+    """Headers as the platform's documentation defines them."""
 
     def request_facts(self, headers: HeaderList) -> RequestFacts:
-        """Return what a caller says of its request."""
+        """Return what the headers state about a caller's request."""
         prompt, most_output = _token_counts(_text(headers, TOKEN_COUNTS))
         patience_ms = _number(_text(headers, PATIENCE_MS))
         hint = _number(_text(headers, LENGTH_HINT))
@@ -56,7 +56,7 @@
     def runner_headers(
         self, headers: HeaderList, onward: Onward
     ) -> list[tuple[bytes, bytes]]:
-        """Return the headers that a runner gets, without framing."""
+        """Return the headers to send to a runner, without framing."""
         dropped = _DROPPED | hop_headers(headers)
         kept = [
             (key, text) for key, text in headers if key.lower() not in dropped
@@ -73,9 +73,9 @@
         return kept + [(key.encode(), text.encode()) for key, text in ours]
 
     def answer_facts(self, head: Head) -> AnswerFacts:
-        """Return what a runner says of its answer."""
+        """Return what the headers state about a runner's response."""
         said = head.get(NOT_EXECUTED) is not None
-        # Another runner answers in place of the one that was asked.
+        # A runner other than the one addressed received the request.
         is_misdirected = head.status == MISDIRECTED
         return AnswerFacts(
             head.get(ATTEMPT_ID) or '',
@@ -86,7 +86,7 @@
         )
 
     def caller_headers(self, head: Head) -> list[tuple[bytes, bytes]]:
-        """Return the headers that a caller gets, without framing."""
+        """Return the headers to send to a caller, without framing."""
         dropped = hop_headers(head.headers)
         return [
             (key, text)
@@ -95,16 +95,16 @@
         ]
 
     def is_whole(self, head: Head) -> bool:
-        """Tell whether the body can be what the runner meant.
+        """Tell whether the body can be the one that the runner sent.
 
-        Callers ask for bodies without any encoding, so an encoded one was
-        changed on its way.
+        Callers request bodies without a content encoding, so an encoded body
+        was altered in transit.
         """
         return head.get(ENCODING) is None
 
 
 def make_dialect() -> Dialect:
-    """Make the dialect of the platform."""
+    """Make the implementation of the platform's headers."""
     return PlatformDialect()
 
 
@@ -127,7 +127,7 @@
 
 
 def _token_counts(text: str) -> tuple[int, int]:
-    """Return prompt tokens and the most output tokens; 0 where not told."""
+    """Parse prompt tokens and maximum output tokens; 0 if not stated."""
     parts = [_number(part) or 0 for part in text.split(',')]
     prompt, output, *_ = [*parts, 0, 0]
     return int(prompt), int(output)
--- a/bramleybend/platform/kept_pages.py
+++ b/bramleybend/platform/kept_pages.py
@@ -1,8 +1,9 @@
-"""Pages of the store's logs, kept in a keyed log of our own.
+"""Snapshots of the store's logs, saved in a keyed topic of this system.
 
-They are deflated: a manifest of 1,400 routes (284 kB) fits no record of the
-store otherwise. VMs that started then put in force what had been kept before
-the routes were added, 24 s and more after all others had left it behind.
+Snapshots are deflated, as a manifest of 1,400 routes (284 kB) is otherwise
+too large for a record of the store. Without compression, the snapshot from
+before the routes were added stayed in the topic, and VMs that started applied
+it 24 s or more after all other VMs had replaced that version.
 """
 
 from typing import Final
@@ -16,22 +17,22 @@
 from bramleybend.platform.records import UNREADABLE, pack_page, unpack_page
 from bramleybend.platform.store import StoreClient
 
-# A record of the store holds 262,144 bytes, its key included. Deflated,
-# 1,400 routes take 23 kB and 5,000 runners 132.
+# A record of the store holds 262,144 bytes, including its key. Deflated,
+# 1,400 routes take 23 kB and 5,000 runners take 132 kB.
 MOST_BYTES: Final = 261_000
 SPOILT: Final = (*UNREADABLE, InflateError)
 
 
 class KeptPages:
-    """Keeps one page a log, under the log's name."""
+    """Saves and loads one snapshot per log, with the log's name as key."""
 
     def __init__(self, store: StoreClient) -> None:
-        """Keep them in this store."""
+        """Save the snapshots in this store."""
         self._store = store
         self._dropped: set[str] = set()
 
     async def keep(self, name: str, page: Page) -> Result[None, Problem]:
-        """Keep a log's newest records in place of those kept before."""
+        """Save a log's newest records, replacing its previous snapshot."""
         content = deflate(pack_page(page))
         if len(content) > MOST_BYTES:
             await self._drop(name)
@@ -45,7 +46,7 @@
         return await self._store.put(KEPT_TOPIC, name, content)
 
     async def kept(self, name: str) -> Result[Page | None, Problem]:
-        """Return what was kept of a log."""
+        """Return the snapshot of a log; `None` if there is none."""
         answer = await self._store.newest(KEPT_TOPIC)
         if isinstance(answer, Err):
             return answer
@@ -55,11 +56,11 @@
         return Ok(None)
 
     async def _drop(self, name: str) -> None:
-        """Drop what was kept before of a log that has grown too large.
+        """Delete the snapshot of a log that has grown too large to save.
 
-        A VM that starts would put in force what all others have left long
-        ago; without it, it waits for the log, and refuses till then. Where
-        the store doesn't take it, the next try to keep the page drops it.
+        A VM that starts would apply the outdated snapshot. Without one, it
+        waits for the log and rejects requests until it has read it. If the
+        store refuses the deletion, the next attempt to save repeats it.
         """
         if name in self._dropped:
             return
--- a/bramleybend/platform/manifest.py
+++ b/bramleybend/platform/manifest.py
@@ -1,4 +1,4 @@
-"""Decodes the operators' manifest into the product's own types."""
+"""Decodes the manifest that operators publish into this system's types."""
 
 from collections import defaultdict
 from collections.abc import Mapping
@@ -31,11 +31,12 @@
 MILLISECONDS: Final = 1000
 UNBOUNDED: Final = 1_000_000
 TOKEN_UNIT: Final = 'tokens'
-# The platform's callers leave a silent stream, also before its first event,
-# after the longest of these.
+# The platform's callers abandon a stream that sends no event, be it the first
+# or a later one, for the longest of three times: this minimum, the route's
+# target latency times the first factor, its gap target times the second.
 LEAST_EVENT_PATIENCE_S: Final = 2.0
 OBJECTIVES_BORNE: Final = 4
-PAUSES_BORNE: Final = 8  # longest pauses that are still on time
+PAUSES_BORNE: Final = 8
 
 _decoder: Final = msgspec.json.Decoder(WireManifest)
 
@@ -49,7 +50,7 @@
 
 
 def decode_manifest(text: bytes) -> Result[Manifest, Problem]:
-    """Return the manifest whole, or why none of it can be used."""
+    """Return the manifest, or a problem if any part of it is invalid."""
     try:
         wire = _decoder.decode(text)
     except msgspec.MsgspecError as exc:
@@ -110,7 +111,7 @@
 
 
 def _event_patience_s(wire: WireRoute) -> float:
-    """Return for how long callers of a stream bear its silence."""
+    """Return how long callers wait for a stream's next event."""
     if wire.kind != 'streaming':
         return inf
     return max(
@@ -121,7 +122,7 @@
 
 
 def tier_of(rank: int) -> Tier:
-    """Map the platform's rank, where 0 is the highest, to a tier."""
+    """Map a priority of the platform, where 0 is the highest, to a tier."""
     return Tier(min(max(rank + Tier.CRITICAL, Tier.CRITICAL), Tier.BULK))
 
 
--- a/bramleybend/platform/manifest_wire.py
+++ b/bramleybend/platform/manifest_wire.py
@@ -1,17 +1,17 @@
-"""The manifest as it stands on the wire."""
+"""Schema of the manifest as the platform's store holds it, in JSON."""
 
 import msgspec
 
 
 class WireSplit(msgspec.Struct):
-    """A part of a route that is split."""
+    """One service of a route that splits its traffic, and its weight."""
 
     service: str
     weight: float = 1
 
 
 class WireRoute(msgspec.Struct, rename='camel'):
-    """A route."""
+    """A route from a host and path prefix to one or more services."""
 
     host: str
     path_prefix: str
@@ -21,7 +21,7 @@
     service: str = ''
     traffic_split: list[WireSplit] = []
     target_latency_ms: float = 0
-    gap_target_ms: float = 0  # of a stream: the longest pause on time
+    gap_target_ms: float = 0  # of a stream: longest pause on target
     priority: int = 0
     max_attempts: int = 1
     public: bool = False
@@ -29,13 +29,13 @@
 
 
 class WireEngine(msgspec.Struct):
-    """What is told of engines."""
+    """Properties of a service whose runners are engines."""
 
     stride: int = 1  # tokens in one event of a stream
 
 
 class WireService(msgspec.Struct, rename='camel'):
-    """A service."""
+    """A service that routes refer to by name."""
 
     name: str
     max_conns: int = 0
@@ -43,7 +43,7 @@
 
 
 class WireLimits(msgspec.Struct, rename='camel'):
-    """Bounds on what callers send; 0 where not told."""
+    """Limits on callers' requests; 0 stands for the default."""
 
     max_header_bytes: int = 0
     max_body_bytes: int = 0
@@ -52,7 +52,7 @@
 
 
 class WireTenant(msgspec.Struct, rename='camel'):
-    """A workspace with its keys."""
+    """A workspace with its API keys and its allotment."""
 
     name: str
     api_keys: list[str] = []
@@ -64,7 +64,7 @@
 
 
 class WireManifest(msgspec.Struct):
-    """All of it."""
+    """The whole manifest."""
 
     version: int
     routes: list[WireRoute] = []
--- a/bramleybend/platform/mirror.py
+++ b/bramleybend/platform/mirror.py
@@ -1,12 +1,13 @@
-"""Serves this VM's copy of the store's logs to the other VMs.
+"""Serves this VM's copy of the store's logs to other VMs over HTTP.
 
-It answers the calls that the store answers, so the same client reads both.
+Implements the read calls of the store, so one client reads both.
 
-Load pattern: one change of many routes, and a whole failure domain on links of
-5 Mbit/s that reads it from the VM that has it first.
-Without compression: 26 VMs want 9 MB over that VM's link, 14 s; callers of the
-added routes get 404 meanwhile. Routes are alike, so deflated they take a
-fifteenth (344 to 23 kB for 1,400 routes, in 3 ms) and all are through in 1 s.
+Load pattern: many routes change at once, and all VMs of a failure domain, on
+links of 5 Mbit/s, read the change from the first VM that has it.
+Without compression, 26 VMs fetch 9 MB over that VM's link, which takes 14 s;
+meanwhile they answer requests for the added routes with 404. Routes resemble
+each other, so deflate shrinks them to a fifteenth (1,400 routes from 344 to
+23 kB, in 3 ms), and all VMs have the change within 1 s.
 """
 
 from collections.abc import Mapping
@@ -25,13 +26,13 @@
 from bramleybend.platform.records import pack_page
 
 NEWEST: Final = '/log-newest'
-# Smaller answers fit one packet anyhow.
+# Smaller bodies fit into one packet without compression.
 LEAST_DEFLATED: Final = 1_400  # bytes
 
 
 @dataclass(frozen=True)
 class _Deflated:
-    """An answer as it was last sent, for the VMs that ask the same."""
+    """The last deflated response, reused for other VMs' same request."""
 
     target: bytes
     end: int | None
@@ -39,15 +40,15 @@
 
 
 class Mirror:
-    """The handler of the other VMs' reads."""
+    """Handles read requests from other VMs."""
 
     def __init__(self, copies: Mapping[str, FeedCopy]) -> None:
-        """Serve copies, by the name of their log."""
+        """Serve these copies; the keys are the names of the logs."""
         self._copies = copies
         self._deflated: dict[str, _Deflated] = {}  # by log
 
     async def handle(self, req: RawRequest, responder: Responder) -> None:
-        """Answer one read."""
+        """Respond to one read request, deflated if the client accepts it."""
         reply = self.answer(req)
         accepted = header(req.headers, b'accept-encoding')
         if DEFLATE in accepted and len(reply.body) >= LEAST_DEFLATED:
@@ -55,7 +56,7 @@
         await responder.reply(reply)
 
     def answer(self, req: RawRequest) -> Reply:
-        """Return the answer to one read."""
+        """Return the response to one read request, not deflated."""
         query = _query(req)
         copy = self._copies.get(_topic(query))
         if copy is None:
--- a/bramleybend/platform/names.py
+++ b/bramleybend/platform/names.py
@@ -1,4 +1,4 @@
-"""Names of headers and fields on the platform's wire."""
+"""Names of the platform's HTTP headers, and of topics in its store."""
 
 from typing import Final
 
@@ -14,8 +14,8 @@
 AUTHORIZATION: Final = 'authorization'
 KEY_SCHEME: Final = 'token '
 
-# Set by the system alone: sent by a caller, they would reserve or read
-# another request's memory at an engine.
+# Only the system itself may set these. From a caller, they could reserve an
+# engine's memory or read the memory of another request there.
 ENGINE_HEADERS: Final = frozenset(
     (
         'x-bramleybend-hold',
@@ -33,4 +33,4 @@
 MANIFEST_TOPIC: Final = 'keyed.op'
 MANIFEST_KEY: Final = 'config'
 RUNNER_TOPIC: Final = 'keyed.servers'
-KEPT_TOPIC: Final = 'keyed.bramleybend-last-known'  # our own
+KEPT_TOPIC: Final = 'keyed.bramleybend-last-known'  # this system's own
--- a/bramleybend/platform/program.py
+++ b/bramleybend/platform/program.py
@@ -1,4 +1,4 @@
-"""Joins the entry VM's program to the platform."""
+"""Process of an entry VM, connected to the platform's interfaces."""
 
 from importlib import import_module
 from random import Random
@@ -25,10 +25,10 @@
 
 
 class PlatformProcess:
-    """The entry VM's program with the platform's interfaces around it."""
+    """Runs an entry process, its feeds from the store and its listeners."""
 
     def __init__(self, cfg: EntrySettings, clock: Clock) -> None:
-        """Put both together."""
+        """Create the parts; `start` opens the ports."""
         self._cfg = cfg
         self._clock = clock
         self._rng = Random()
@@ -41,7 +41,7 @@
         self._doors = self._make_doors()
 
     async def start(self) -> None:
-        """Listen on all ports and follow the store."""
+        """Listen on all ports and start following the store."""
         for door, host, port in self._doors:
             await door.start(host, port)
         for feed in self.feeds:
@@ -50,12 +50,12 @@
         await self.entry.start()
 
     async def stop(self) -> None:
-        """Stop serving callers first, then the rest."""
+        """Wait for requests in flight to end, then close everything."""
         await self.entry.drain()
         await self.kill()
 
     async def kill(self) -> None:
-        """Close everything as it stands."""
+        """Close everything without waiting for requests in flight."""
         await self.entry.close()
         for door, _, _ in self._doors:
             await door.stop()
@@ -73,7 +73,7 @@
         return LastKnown(logs, keeper, book, self.entry.events)
 
     def _metrics(self) -> bytes:
-        # Imported at the first scrape; `meters` tells why.
+        # Imported at the first scrape only; see `bramleybend.direct.meters`.
         module = import_module('bramleybend.direct.exposition')
         return bytes(module.exposition(self.entry.meters))
 
@@ -103,7 +103,7 @@
         )
 
     def _mirror_at(self, address: str) -> StoreClient:
-        """Return the client of another VM's copy."""
+        """Return the client that reads another VM's copy of the store."""
         client = self._mirrors.get(address)
         if client is None:
             port = self._cfg.peer_port
@@ -132,5 +132,5 @@
 
 
 def make_platform_process(cfg: EntrySettings, clock: Clock) -> PlatformProcess:
-    """Make the program that `bramleybend-entry` runs."""
+    """Make the process that the command `bramleybend-entry` runs."""
     return PlatformProcess(cfg, clock)
--- a/bramleybend/platform/records.py
+++ b/bramleybend/platform/records.py
@@ -1,17 +1,21 @@
-"""The store's binary form of records, read and written."""
+"""Encodes and decodes records in the store's binary format."""
 
 import struct
 from typing import Final
 
 from bramleybend.direct.feed_copy import KeyedRecord, Page
 
-LENGTH: Final = struct.Struct('>I')  # before each record
-ENDS: Final = struct.Struct('>QQ')  # the end, and the first offset kept
+LENGTH: Final = struct.Struct('>I')  # precedes each record
+# The offset after the newest record, and the oldest offset retained.
+ENDS: Final = struct.Struct('>QQ')
 UNREADABLE: Final = (struct.error, UnicodeDecodeError)
 
 
 def unpack_page(body: bytes, start: int) -> Page:
-    """Read the answer to a read from an offset."""
+    """Decode the response to a read from offset `start`.
+
+    Raises an error of `UNPACK_ERRORS` if the body is malformed.
+    """
     end, first = ENDS.unpack_from(body)
     at = ENDS.size
     offset = max(start, first)
@@ -22,13 +26,14 @@
         records.append(_unpack_keyed(offset, body[at : at + size]))
         at += size
         offset += 1
-    # An answer may hold less than all there is; the next read goes on.
+    # A response may hold only a part of the records; the next read continues
+    # behind the last one received.
     read_to = offset if records else max(end, start)
     return Page(tuple(records), read_to, whole=False)
 
 
 def pack_page(page: Page) -> bytes:
-    """Write records as the store does."""
+    """Encode records as the store's response to a read."""
     start = page.records[0].offset if page.records else page.end
     parts = [ENDS.pack(page.end, start)]
     for record in page.records:
@@ -37,7 +42,7 @@
 
 
 def pack_record(key: str, content: bytes) -> bytes:
-    """Write one keyed record with its length."""
+    """Encode one keyed record, preceded by its length."""
     name = key.encode()
     record = bytes((len(name),)) + name + content
     return LENGTH.pack(len(record)) + record
--- a/bramleybend/platform/runner_entry.py
+++ b/bramleybend/platform/runner_entry.py
@@ -1,4 +1,4 @@
-"""Decodes what a runner wrote of itself into the product's own type."""
+"""Decodes the entry that a runner writes about itself into the store."""
 
 from ipaddress import ip_address
 from types import MappingProxyType
@@ -23,8 +23,8 @@
     state: str
     slots: int
     zone: str = ''
-    # Unix milliseconds of the start; a new one under an old key is a new
-    # process that knows nothing of what the old one held.
+    # Start of the process, in Unix milliseconds. A new value under the same
+    # key means a new process, without the requests and memory of the old one.
     born: int = 0
 
 
@@ -32,7 +32,7 @@
 
 
 def decode_runner(name: str, text: bytes) -> Result[RunnerEntry, Problem]:
-    """Return the entry, or why it names no runner that can be used."""
+    """Return the entry, or a problem if it describes no usable runner."""
     try:
         return Ok(_entry(name, _decoder.decode(text)))
     except (msgspec.MsgspecError, ValueError, KeyError) as exc:
--- a/bramleybend/platform/store.py
+++ b/bramleybend/platform/store.py
@@ -1,8 +1,8 @@
-"""The one client of the platform's metadata store.
+"""HTTP client of the platform's metadata store and of other VMs' copies.
 
-A keyed topic is a log in which the newest record of each key is kept for
-ever. It is followed by its offsets: what came after the last offset read, or
-the newest of each key where older records are gone.
+A keyed topic is a log that retains the newest record of each key. A reader
+asks for the records from an offset on. If the log no longer holds that
+offset, the reader gets the newest record of each key instead.
 """
 
 import asyncio
@@ -40,15 +40,18 @@
     unpack_page,
 )
 
-# The store answers in 4 ms, and in 60 times that on a slow day. An answer that
-# has begun may pause as long, whatever it takes in all: with one second for
-# the whole, a VM whose link of 5 Mbit/s is half taken by its callers never
-# had a manifest of 3,000 routes, and answered 404 for as long as it lived.
+# Limits the wait for a response to begin and each pause within it. The store
+# usually responds in 4 ms, and in 60 times that when it is slow. One second
+# for the whole response was too short: a VM whose callers used half of its
+# 5 Mbit/s link could never read a manifest of 3,000 routes, so it answered
+# 404 for as long as it ran.
 SILENCE_TIMEOUT_S: Final = 1.0
-# Ends an answer that trickles: 5 Mbit/s carry 6 MB meanwhile.
+# Limits a response body that keeps arriving, but too slowly. A link of
+# 5 Mbit/s carries 6 MB in this time.
 WHOLE_TIMEOUT_S: Final = 10.0
-# Another VM that trickles is left for the store while a change can still be in
-# force in time: two seconds are promised, and the store takes its part.
+# Limits a response body sent by another VM. Changes must take effect within
+# two seconds, so a reader gives up on a slow VM early enough to read the
+# change from the store in the remaining time.
 MIRROR_TIMEOUT_S: Final = 1.5
 STORE_BOUNDS: Final = MessageBounds(message_bytes=MOST_INFLATED)
 LOST: Final = (OSError, EOFError, h11.ProtocolError)
@@ -70,7 +73,7 @@
 
 
 class StoreClient:
-    """Reads and writes the store over kept connections."""
+    """Reads and writes keyed topics over pooled connections."""
 
     def __init__(
         self,
@@ -80,9 +83,9 @@
         headers: HeaderList = (),
         whole_timeout_s: float = WHOLE_TIMEOUT_S,
     ) -> None:
-        """Name the store; nothing is opened yet.
+        """Set the store's address; connections are opened on demand.
 
-        An answer that has begun may take `whole_timeout_s` in all.
+        `body_timeout_s` limits the time from a response's head to its end.
         """
         self.address = address
         self._whole_timeout_s = whole_timeout_s
@@ -96,8 +99,9 @@
     async def newest(self, topic: str) -> Result[Page, Problem]:
         """Return the newest record of each key.
 
-        Pages are no snapshot, so `end` is the first page's: what changed
-        meanwhile is read again from there.
+        The store may change between two of its pages, so the result's `end`
+        is that of the first page: reading on from there returns all changes
+        made since.
         """
         first = await self._newest_page(topic, '')
         if isinstance(first, Err):
@@ -119,7 +123,11 @@
         start: int,
         wait_s: float,
     ) -> Result[Page, Problem]:
-        """Return what came at or after an offset, waiting for it a while."""
+        """Return the records from an offset on.
+
+        Waits up to `wait_s` seconds for one to be appended. Returns the
+        newest record of each key if older records are no longer retained.
+        """
         query = {'topic': topic, 'part': '0', 'from': str(start)}
         if wait_s:
             query['waitMs'] = str(int(wait_s * 1000))
@@ -137,14 +145,14 @@
     async def put(
         self, topic: str, key: str, content: bytes
     ) -> Result[None, Problem]:
-        """Write a key's newest record; an error may have taken effect."""
+        """Append a record; after an error, it may have been appended."""
         query = {'topic': topic, 'part': '0'}
         body = pack_record(key, content)
         answer = await self._call('/log-append', query, body=body)
         return answer.map(_nothing)
 
     def close(self) -> None:
-        """Drop the kept connections."""
+        """Abort the idle connections."""
         for channel in self._idle:
             channel.abort()
         self._idle.clear()
@@ -219,7 +227,7 @@
         if kept:
             self._idle.append(channel)
             return
-        # A channel whose answer failed to come may be silent for good.
+        # After a failed exchange, the peer may never send another byte.
         with suppress(OSError):
             channel.abort()
 
@@ -240,13 +248,13 @@
 
 
 def make_mirror_client(address: str, port: int, clock: Clock) -> StoreClient:
-    """Make the client of another VM's copy, which deflates what it sends."""
+    """Make a client that reads another VM's copy, in deflated responses."""
     headers = [(ACCEPT_ENCODING, DEFLATE)]
     return StoreClient(address, port, clock, headers, MIRROR_TIMEOUT_S)
 
 
 def _prolong(limit: asyncio.Timeout, ends_at: float, size: int) -> None:
-    """Allow the next part of an answer its time."""
+    """Restart the read timeout, up to the end of the body timeout."""
     limit.reschedule(min(_loop_time() + SILENCE_TIMEOUT_S, ends_at))
 
 
@@ -267,4 +275,4 @@
 
 
 def _nothing(_: object) -> None:
-    """Drop an answer that tells no more than that it came."""
+    """Discard a response whose body carries no information."""
--- a/bramleybend/wire/__init__.py
+++ b/bramleybend/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between our own processes (generated code is committed)."""
+"""gRPC messages between this system's processes; generated code included."""
--- a/bramleybend/wire/channels.py
+++ b/bramleybend/wire/channels.py
@@ -1,4 +1,4 @@
-"""gRPC channels to peers, and the options both ends share."""
+"""gRPC channels to peers, and the options of channels and servers."""
 
 import asyncio
 from collections import OrderedDict
@@ -7,19 +7,20 @@
 from grpc import aio
 
 PROTOCOL: Final = 1
-# More than the owners of 75 shards and the homes that forward to each other;
-# an idle channel costs a socket and its pings.
+# Enough for the owners of 75 shards and for the homes that forward requests to
+# each other. An idle channel costs a socket and its pings.
 MAX_CHANNELS: Final = 256
-CLOSE_GRACE_S: Final = 60.0  # for calls under way on a channel put away
-MAX_MESSAGE: Final = 33_554_432  # bytes; any document of terms fits
+CLOSE_GRACE_S: Final = 60.0  # for calls in flight on an evicted channel
+MAX_MESSAGE: Final = 33_554_432  # enough for any document of terms
 
-# A cut link gives no error by itself: a stream would stay open for minutes
-# and a gateway would wait on an owner it can't reach. Pings close it after
-# at most the sum of the two times.
+# A lost link causes no error by itself: a stream would stay open for minutes,
+# and a gateway would wait for an owner that it can't reach. Keepalive pings
+# close the connection after at most the sum of these two times.
 KEEPALIVE_TIME_MS: Final = 2000
 KEEPALIVE_TIMEOUT_MS: Final = 1500
-# gRPC gives up a connection whose peer is silent for this long, and every call
-# that waits for it. A peer that a busy machine doesn't run is no lost one.
+# gRPC abandons an attempt to connect after this time, with every call that
+# waits for it. The time allows for a peer whose process a busy machine
+# schedules late.
 CONNECT_TIMEOUT_MS: Final = 3000
 
 CHANNEL_OPTIONS: Final = (
@@ -31,8 +32,8 @@
     ('grpc.initial_reconnect_backoff_ms', 100),
     ('grpc.min_reconnect_backoff_ms', CONNECT_TIMEOUT_MS),
     ('grpc.max_reconnect_backoff_ms', 1000),
-    # Without this, channels of one process share a subchannel and its
-    # backoff, so one refused connect delays unrelated calls.
+    # Without this, the channels of a process to one address share a
+    # subchannel and its backoff, so a refused connection delays other calls.
     ('grpc.use_local_subchannel_pool', 1),
     ('grpc.enable_http_proxy', 0),
 )
@@ -49,15 +50,15 @@
 
 
 class Channels:
-    """Open channels by endpoint; the least used ones are closed."""
+    """Open channels by endpoint; evicts the least recently used ones."""
 
     def __init__(self) -> None:
-        """Start with none open."""
+        """Start without an open channel."""
         self._open: OrderedDict[str, aio.Channel] = OrderedDict()
         self._closing: set[asyncio.Task[None]] = set()
 
     def get(self, endpoint: str) -> aio.Channel:
-        """Return the channel to `ip:port`, opening it if need be."""
+        """Return the channel to `ip:port`, which is opened if necessary."""
         channel = self._open.pop(endpoint, None)
         if channel is None:
             channel = aio.insecure_channel(endpoint, options=CHANNEL_OPTIONS)
@@ -67,7 +68,7 @@
         return channel
 
     async def close(self) -> None:
-        """Close every channel; calls under way end."""
+        """Close all channels and end their calls in flight."""
         for task in tuple(self._closing):
             task.cancel()
         for channel in self._open.values():
--- a/bramleybend/wire/check.py
+++ b/bramleybend/wire/check.py
@@ -1,4 +1,4 @@
-"""Refuses peers that speak another version of the wire messages."""
+"""Rejects peers that use another version of the protocol."""
 
 from typing import Any, TypeAlias
 
@@ -14,9 +14,9 @@
     header: Header,
     context: Context,
 ) -> None:
-    """End the call with a remedy if the sender's protocol is not ours."""
-    # A message of another version may lack fields whose default means
-    # something else, such as a tier of 0, so it is never acted on.
+    """Abort the call if the sender uses another version of the protocol."""
+    # A message of another version may lack a field whose default has a
+    # meaning of its own, such as tier 0, so no part of it may be used.
     if header.protocol != PROTOCOL:
         await context.abort(
             grpc.StatusCode.FAILED_PRECONDITION,
--- a/bramleybend/wire/headers.py
+++ b/bramleybend/wire/headers.py
@@ -1,8 +1,8 @@
-"""Headers of messages: who speaks, and when in causal order.
+"""Headers of gRPC messages: the sender and its hybrid logical clock.
 
-A header carries the sender's hybrid stamp, and its receiver moves past it. So
-on the time line a grant stands after the ask it answers, also when the wall
-clocks of the two VMs differ.
+The receiver advances its own clock past the sender's timestamp. A timeline
+thus shows a grant after the request for the slot, even if the wall clocks of
+the two VMs differ.
 """
 
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class Headers:
-    """Writes one process's headers and learns from those it gets."""
+    """Makes headers of a process's messages; processes received headers."""
 
     def __init__(
         self,
@@ -23,13 +23,13 @@
         events: EventLog,
         terms_version: Callable[[], int],
     ) -> None:
-        """Speak for one process."""
+        """Use the identity, clock and terms version of one process."""
         self._identity = identity
         self._events = events
         self._terms_version = terms_version
 
     def make(self) -> Header:
-        """Return a header for a message that is sent now."""
+        """Return a header for a message to send now."""
         return Header(
             protocol=PROTOCOL,
             vm=self._identity.vm,
@@ -39,12 +39,12 @@
         )
 
     def observe(self, header: Header) -> None:
-        """Move this process's stamps past the sender's."""
+        """Advance this process's clock past the sender's timestamp."""
         seen = parse_stamp(header.hlc)
         if seen is not None:
             self._events.hybrid.observe(seen)
 
     async def accept(self, header: Header, context: Context) -> None:
-        """Take a request's header in; ends the call of another protocol."""
+        """Process a request's header; abort on a protocol mismatch."""
         await refuse_other_protocol(header, context)
         self.observe(header)
--- a/tests/platform/__init__.py
+++ b/tests/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The translation between the platform and the product."""
+"""Tests of the adapters to the platform's interfaces."""
--- a/tests/platform/test_deflate.py
+++ b/tests/platform/test_deflate.py
@@ -1,4 +1,4 @@
-"""Deflated bodies between VMs: whole or refused."""
+"""Inflating returns the original body or raises."""
 
 from random import Random
 
@@ -10,12 +10,15 @@
 
 
 def test_what_was_deflated_is_read_as_it_was() -> None:
-    """Bytes alike, up to the size allowed."""
+    """Inflating returns the original bytes if they fit the limit."""
     assert inflate(deflate(BODY), len(BODY)) == BODY
 
 
 def test_a_cut_or_spoilt_body_is_never_taken_for_whole() -> None:
-    """A VM that dies while it sends must not put half a manifest in force."""
+    """Guards against applying a truncated or corrupt manifest.
+
+    A VM that crashes while it sends a body leaves it truncated.
+    """
     rng = Random(5)
     deflated = deflate(BODY)
     for _ in range(200):
@@ -32,6 +35,6 @@
 
 
 def test_a_few_bytes_do_not_fill_the_memory() -> None:
-    """A body that would inflate beyond what is allowed is refused."""
+    """Guards against a small body that expands to gigabytes."""
     with pytest.raises(InflateError):
         inflate(deflate(bytes(10_000_000)), 1_000_000)
--- a/tests/platform/test_words.py
+++ b/tests/platform/test_words.py
@@ -1,4 +1,4 @@
-"""The platform's words stay in the one folder that translates them."""
+"""Only the package `bramleybend.platform` uses the platform's names."""
 
 import re
 from pathlib import Path
@@ -13,7 +13,7 @@
 
 
 def test_nothing_outside_the_folder_knows_the_platforms_names() -> None:
-    """Each match is named with its file and line."""
+    """Guards against a dependence on the platform's interface elsewhere."""
     found = [
         f'{path.relative_to(PACKAGE)}:{number}: {line.strip()}'
         for path in sorted(PACKAGE.rglob('*.py'))
--- a/tests/test_endless_messages.py
+++ b/tests/test_endless_messages.py
@@ -1,4 +1,4 @@
-"""Peers of our own interface, and callers, whose bytes have no end."""
+"""Endless messages from peers and callers are rejected at a bounded cost."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -48,7 +48,7 @@
 
 @asynccontextmanager
 async def fed(first: bytes, then: bytes) -> AsyncIterator[asyncio.StreamReader]:
-    """Yield a reader to which these bytes come without end."""
+    """Yield a reader that gets `first` once, then `then` without end."""
     reader = asyncio.StreamReader()
 
     async def feed() -> None:
@@ -63,7 +63,7 @@
 
 
 def writer() -> Mock:
-    """Return a writer to nowhere."""
+    """Return a stream writer that discards what is written."""
     made = Mock(drain=AsyncMock(), wait_closed=AsyncMock())
     made.get_extra_info.return_value = ('127.0.0.1', 80)
     return made
@@ -73,7 +73,10 @@
 async def test_an_answer_without_end_on_our_own_interface_is_left(
     case: str,
 ) -> None:
-    """A log, a list or a runner that sends for ever would hold a task."""
+    """Guards against a log, VM list or runner that never stops sending.
+
+    The task that reads its response would never end.
+    """
     first, then = {**HEADS, **FRAMING, 'body': BODY}[case]
     before = thread_time()
     async with fed(first, then) as reader:
@@ -88,7 +91,10 @@
 async def test_events_without_end_on_our_own_interface_are_left(
     case: str,
 ) -> None:
-    """Searched from its start at each part, an event costs their square."""
+    """Guards against CPU time that grows with the square of an event's size.
+
+    It does if each part that arrives has the event searched from its start.
+    """
     first, then = EVENTS[case]
     before = thread_time()
     async with fed(FRAMED + chunk(first or then), chunk(then)) as reader:
@@ -97,13 +103,13 @@
         await exchange.head()
         with pytest.raises(MessageTooLongError):
             async for _ in events_of(exchange):
-                """Read on."""
+                """Discard the event."""
     assert thread_time() - before <= PROCESSOR_S
 
 
 @pytest.mark.parametrize('case', REQUESTS)
 async def test_a_request_without_end_is_refused(case: str) -> None:
-    """A caller that sends for ever would take the processor from others."""
+    """Guards against a caller that takes the CPU time of all others."""
     first, then = REQUESTS[case]
     answered = AsyncMock()
     before = thread_time()
@@ -120,7 +126,7 @@
 
 @pytest.mark.parametrize('case', REQUESTS)
 async def test_a_raw_request_without_end_is_refused(case: str) -> None:
-    """A caller that sends for ever would take the processor from others."""
+    """Guards against a caller that takes the CPU time of all others."""
     first, then = REQUESTS[case]
     key = f'Authorization: Token {KEY}\r\n'.encode()
     async with playing() as world:
@@ -134,7 +140,7 @@
 
 
 async def _send_on(out: asyncio.StreamWriter, then: bytes) -> None:
-    """Send until the other side closes."""
+    """Send `then` again and again until the peer closes the connection."""
     try:
         while True:
             out.write(then)
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -1,4 +1,4 @@
-"""Time limits of a process that stood still."""
+"""Timeouts of a process that was suspended or stalled."""
 
 import asyncio
 import socket
@@ -20,7 +20,7 @@
 
 @contextmanager
 def _peer(answer_after_s: float) -> Iterator[str]:
-    """Answer one request from a thread, which no stall of the loop holds up."""
+    """Respond to one request from a thread, unaffected by a stalled loop."""
 
     def _serve() -> None:
         conn, _ = listener.accept()
@@ -37,7 +37,10 @@
 
 
 async def _call_over_a_stall(*, is_patient: bool) -> bool:
-    """Call a peer that answers while the loop stands still."""
+    """Call a peer that responds while the event loop is stalled.
+
+    Return whether the response was accepted.
+    """
     with _peer(0.1) as url:
         call = HttpApi(url, LIMIT_S).call('GET', '/', is_patient=is_patient)
         calling = asyncio.create_task(call)
@@ -49,19 +52,22 @@
 async def test_an_answer_that_came_while_the_process_stood_still_is_read() -> (
     None
 ):
-    """Guards against taking an own pause for an outage of the log."""
+    """Guards against treating a stall of this process as an outage."""
     assert await _call_over_a_stall(is_patient=True)
 
 
 async def test_news_from_before_a_pause_is_not_taken_for_fresh() -> None:
-    """Guards against a VM that sleeps over a change and trusts old terms."""
+    """Guards against a VM that uses outdated terms after a suspension.
+
+    The terms may have changed while it was suspended.
+    """
     assert not await _call_over_a_stall(is_patient=False)
 
 
 async def test_a_connection_made_while_the_process_stood_still_is_used() -> (
     None
 ):
-    """Guards against taking an own pause for a peer that is gone."""
+    """Guards against treating a stall of this process as a lost peer."""
     with socket.create_server(('127.0.0.1', 0)) as listener:
         host, port = listener.getsockname()
         connecting = asyncio.create_task(connect(host, port))
@@ -78,7 +84,7 @@
 
 
 async def test_a_body_that_takes_too_long_is_ended_in_time() -> None:
-    """Guards against a connect to a dead host that takes for ever."""
+    """Guards against a connection attempt to a dead host that never ends."""
     began = time.monotonic()
     with pytest.raises(TimeoutError):
         async with patience(LIMIT_S):
@@ -87,14 +93,14 @@
 
 
 async def test_a_body_that_ends_in_time_is_left_alone() -> None:
-    """Guards against a limit that goes on counting behind its body."""
+    """Guards against a timeout that fires after its body has ended."""
     async with patience(0.1):
         await asyncio.sleep(0)
     await asyncio.sleep(0.2)
 
 
 async def test_a_cancelled_body_is_cancelled_not_late() -> None:
-    """Guards against a caller's leaving being taken for a silent peer."""
+    """Guards against reporting a caller's cancellation as a timeout."""
 
     async def _wait() -> None:
         async with patience(LIMIT_S):
