--- a/bramleybend/clients/channel.py
+++ b/bramleybend/clients/channel.py
@@ -36,14 +36,14 @@
 # A peer whose kernel acknowledges nothing for this long is unreachable or
 # down. Retransmitting a few packets lost in a row takes less time.
 UNACKED_TIMEOUT_MS: Final = 1500
-KEEPALIVE_AFTER_S: Final = 1
+KEEPALIVE_INTERVAL_S: Final = 1
 KEEPALIVE_PROBES: Final = 3
 # Idle timeout assumed for a peer that states none.
-UNSTATED_IDLE_S: Final = 4.0
+DEFAULT_IDLE_TIMEOUT_S: Final = 4.0
 # Part of the peer's idle timeout for which a connection is reused. The rest
 # covers a round trip and the time a busy peer takes to read the request.
-IDLE_MARGIN: Final = 0.7
-_TIMEOUT_FORM: Final = re.compile(rb'timeout\s*=\s*(\d+)')
+USABLE_IDLE_SHARE: Final = 0.7
+_KEEP_ALIVE_TIMEOUT: Final = re.compile(rb'timeout\s*=\s*(\d+)')
 
 
 @dataclass(frozen=True)
@@ -88,10 +88,10 @@
         self._clock = clock
         self._bounds = bounds
         self._meter = MessageMeter(bounds)
-        self._busy = False
-        self._used_at = clock.monotonic()
-        self._idle_s = UNSTATED_IDLE_S
-        self._sent: h11.Request | None = None
+        self._is_busy = False
+        self._last_used_at = clock.monotonic()
+        self._idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S
+        self._sent_request: h11.Request | None = None
         self.uses = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -101,16 +101,16 @@
         options = (
             (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
             (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_TIMEOUT_MS),
-            (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_AFTER_S),
-            (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_AFTER_S),
+            (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S),
+            (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
             (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
         )
-        for level, option, number in options:
-            sock.setsockopt(level, option, number)
+        for level, option, setting in options:
+            sock.setsockopt(level, option, setting)
 
     def data_received(self, data: bytes) -> None:
         """Abort an idle connection whose peer sends unrequested bytes."""
-        if not self._busy:
+        if not self._is_busy:
             self.abort()
             return
         super().data_received(data)
@@ -118,19 +118,19 @@
     def eof_received(self) -> bool:
         """Close an idle connection when its peer closes it."""
         super().eof_received()
-        return self._busy
+        return self._is_busy
 
     @property
     def usable(self) -> bool:
         """Whether another request may be sent on the connection."""
-        if self._busy or self.broken or self.transport.is_closing():
+        if self._is_busy or self.broken or self.transport.is_closing():
             return False
-        idle_s = self._clock.monotonic() - self._used_at
-        return idle_s < self._idle_s * IDLE_MARGIN
+        idle_s = self._clock.monotonic() - self._last_used_at
+        return idle_s < self._idle_timeout_s * USABLE_IDLE_SHARE
 
     async def send(self, outgoing: Outgoing) -> None:
         """Write the whole request; the peer may respond before its end."""
-        self._busy = True
+        self._is_busy = True
         self.uses += 1
         self.received = 0
         self._meter = MessageMeter(self._bounds)
@@ -138,7 +138,7 @@
         framing = [(b'Content-Length', length)]
         if not outgoing.body and outgoing.method in {b'GET', b'HEAD'}:
             framing = []
-        self._sent = h11.Request(
+        self._sent_request = h11.Request(
             method=outgoing.method,
             target=outgoing.target,
             headers=[*outgoing.headers, *framing],
@@ -146,7 +146,7 @@
         # Written at once, so that a peer which responds early still gets the
         # whole body. It would read the next request on this connection as the
         # missing part otherwise.
-        parts = [self.http.send(self._sent)]
+        parts = [self.http.send(self._sent_request)]
         if outgoing.body:
             parts.append(self.http.send(h11.Data(data=outgoing.body)))
         parts.append(self.http.send(h11.EndOfMessage()))
@@ -167,16 +167,18 @@
         if not isinstance(event, h11.Response):
             raise EOFError('the connection ended before an answer')
         head = Head(event.status_code, list(event.headers))
-        stated = _TIMEOUT_FORM.search((head.get('keep-alive') or '').encode())
-        if stated:
-            self._idle_s = float(stated.group(1))
+        timeout_match = _KEEP_ALIVE_TIMEOUT.search(
+            (head.get('keep-alive') or '').encode()
+        )
+        if timeout_match:
+            self._idle_timeout_s = float(timeout_match.group(1))
         return head
 
     async def chunks(self) -> AsyncIterator[bytes]:
         """Yield the parts of the body.
 
-        Raises `MessageTooLongError` beyond the bounds, and another error if
-        the framing shows that the body is truncated.
+        Raises `MessageTooLongError` beyond the bounds, and `EOFError` or
+        `h11.RemoteProtocolError` if the body is truncated.
         """
         event = await self.next_event()
         while isinstance(event, h11.Data):
@@ -187,7 +189,7 @@
             raise EOFError('the connection ended within an answer')
 
     async def body(
-        self, most: float, on_growth: Callable[[int], None] | None = None
+        self, max_bytes: float, on_growth: Callable[[int], None] | None = None
     ) -> bytes:
         """Read the whole body; raises `MessageTooLongError` over `max_bytes`.
 
@@ -200,8 +202,10 @@
             size += len(chunk)
             if on_growth is not None:
                 on_growth(size)
-            if size > most:
-                raise MessageTooLongError(f'the answer is over {most} bytes')
+            if size > max_bytes:
+                raise MessageTooLongError(
+                    f'the answer is over {max_bytes} bytes'
+                )
         return b''.join(parts)
 
     def check_received(self) -> None:
@@ -215,14 +219,16 @@
         peer sent late. The peer reads requests in order, so its next response
         on this connection can belong to the current request.
         """
-        assert self._sent is not None
+        assert self._sent_request is not None
         trailing, closed = self.http.trailing_data
         self.http = h11.Connection(h11.CLIENT)
-        self.http.send(self._sent)
+        self.http.send(self._sent_request)
         if self.http.our_state is h11.SEND_BODY:
-            sent = dict(self._sent.headers).get(b'content-length', b'0')
-            if int(sent):
-                self.http.send(h11.Data(data=bytes(int(sent))))
+            body_length = dict(self._sent_request.headers).get(
+                b'content-length', b'0'
+            )
+            if int(body_length):
+                self.http.send(h11.Data(data=bytes(int(body_length))))
             self.http.send(h11.EndOfMessage())
         if trailing:
             self.http.receive_data(trailing)
@@ -234,18 +240,18 @@
 
         Aborts the connection if it can't.
         """
-        if not (self._is_open() and self._is_between_exchanges()):
+        if not (self._is_open() and self._is_exchange_complete()):
             self.abort()
             return False
         self.http.start_next_cycle()
-        self._busy = False
-        self._used_at = self._clock.monotonic()
+        self._is_busy = False
+        self._last_used_at = self._clock.monotonic()
         return True
 
     def _is_open(self) -> bool:
         return self.broken is None and not self.transport.is_closing()
 
-    def _is_between_exchanges(self) -> bool:
+    def _is_exchange_complete(self) -> bool:
         """Tell whether both messages are complete and no bytes are pending."""
         states = {self.http.our_state, self.http.their_state}
         unsent = self.transport.get_write_buffer_size()
--- a/bramleybend/clients/engine_orders.py
+++ b/bramleybend/clients/engine_orders.py
@@ -46,20 +46,20 @@
 
 
 @dataclass(frozen=True)
-class ReportedWork:
+class EngineLoad:
     """Number of an engine's runs, and the age of that count."""
 
     runs: int
     age_s: float
 
 
-class EngineOrders(Protocol):
+class EngineClient(Protocol):
     """Interface of an issuer of orders to engines."""
 
     async def state(self, vm: Vm) -> Result[EngineState, Problem]:
         """Return the model, adapters and role that the engine now has."""
 
-    async def work(self, vm: Vm) -> Result[ReportedWork, Problem]:
+    async def work(self, vm: Vm) -> Result[EngineLoad, Problem]:
         """Return the number of its runs, as of a moment ago."""
 
     async def send(
@@ -76,14 +76,16 @@
         """
 
 
-class HttpEngineOrders:
+class HttpEngineClient:
     """Sends orders over HTTP; keeps no state between calls."""
 
     async def state(self, vm: Vm) -> Result[EngineState, Problem]:
         """Return the model, adapters and role that the engine now has."""
-        answer = await _api(vm).call('GET', '/v1/state')
+        call_result = await _engine_api(vm).call('GET', '/v1/state')
         return (
-            answer.and_then(lambda reply: _parsed(vm, reply, StateBody))
+            call_result.and_then(
+                lambda reply: _parse_report(vm, reply, StateBody)
+            )
         ).map(
             lambda body: EngineState(
                 body.model,
@@ -94,13 +96,15 @@
             ),
         )
 
-    async def work(self, vm: Vm) -> Result[ReportedWork, Problem]:
+    async def work(self, vm: Vm) -> Result[EngineLoad, Problem]:
         """Return the number of its runs, as of a moment ago."""
-        answer = await _api(vm).call('GET', '/v1/load')
+        call_result = await _engine_api(vm).call('GET', '/v1/load')
         return (
-            answer.and_then(lambda reply: _parsed(vm, reply, LoadBody))
+            call_result.and_then(
+                lambda reply: _parse_report(vm, reply, LoadBody)
+            )
         ).map(
-            lambda body: ReportedWork(
+            lambda body: EngineLoad(
                 body.running + body.waiting,
                 body.age_ms / MILLISECONDS,
             ),
@@ -113,12 +117,12 @@
         order: Order,
     ) -> Result[None, Problem]:
         """Send one order; see `EngineClient.send` for the errors."""
-        answer = await _api(vm).call(
+        call_result = await _engine_api(vm).call(
             'POST',
             '/v1/orders',
             {'fence': fence, **order_fields(order)},
         )
-        return answer.and_then(lambda reply: _accepted(vm, reply))
+        return call_result.and_then(lambda reply: _check_accepted(vm, reply))
 
 
 def order_fields(order: Order) -> Mapping[str, str]:
@@ -132,24 +136,24 @@
             return {'kind': 'set_role', 'role': role.value}
 
 
-def _api(vm: Vm) -> HttpApi:
+def _engine_api(vm: Vm) -> HttpApi:
     return HttpApi(f'http://{vm.endpoint}', ENGINE_TIMEOUT_S)
 
 
-def _parsed(
+def _parse_report(
     vm: Vm,
     response: HttpResponse,
     body: type[Body],
 ) -> Result[Body, Problem]:
     if response.status != HTTPStatus.OK:
-        return Err(_broken(vm, f'answered {response.status}'))
+        return Err(_broken_problem(vm, f'answered {response.status}'))
     try:
         return Ok(body.model_validate_json(response.body))
     except ValidationError:
-        return Err(_broken(vm, 'sent a report with other fields'))
+        return Err(_broken_problem(vm, 'sent a report with other fields'))
 
 
-def _accepted(vm: Vm, response: HttpResponse) -> Result[None, Problem]:
+def _check_accepted(vm: Vm, response: HttpResponse) -> Result[None, Problem]:
     match response.status:
         case HTTPStatus.OK:
             return Ok(None)
@@ -169,12 +173,12 @@
                 'publish a model, version, adapters and role that it knows',
             ),
         )
-    return Err(_broken(vm, f'answered an order with {response.status}'))
+    return Err(_broken_problem(vm, f'answered an order with {response.status}'))
 
 
-def _broken(vm: Vm, fact: str) -> Problem:
+def _broken_problem(vm: Vm, description: str) -> Problem:
     return Problem(
         ErrorKind.RUNNER_BROKEN,
-        f'{vm.name} {fact}',
+        f'{vm.name} {description}',
         'check that the engine answers as docs/PLATFORM.md says',
     )
--- a/bramleybend/clients/h11_protocol.py
+++ b/bramleybend/clients/h11_protocol.py
@@ -16,14 +16,15 @@
 # Reading pauses above this many unread bytes, so that a sender which is
 # faster than the reader costs no memory. It is far above the usual size of an
 # event or request.
-HIGH_WATER: Final = 65_536
-READ_BYTES: Final = 65_536  # per read
-MOST_DISCARDED: Final = 4_194_304
+HIGH_WATER_BYTES: Final = 65_536
+READ_BUFFER_BYTES: Final = 65_536  # per read
+# Received bytes after which a connection that discards them stops reading.
+MAX_DISCARDED_BYTES: Final = 4_194_304
 # Events returned before other tasks of the event loop get a turn. Bytes that
 # arrive together may hold thousands of events, which would delay all other
 # connections.
-EVENTS_A_TURN: Final = 64
-NO_LINGER: Final = struct.pack('ii', 1, 0)  # l_onoff, l_linger in seconds
+MAX_EVENTS_PER_TURN: Final = 64
+RESET_ON_CLOSE: Final = struct.pack('ii', 1, 0)  # l_onoff, l_linger in seconds
 
 logger = logging.getLogger(__name__)
 
@@ -32,7 +33,7 @@
     """Passes a connection's bytes to h11 and returns the parsed events."""
 
     # Shared by all connections, as each read is copied before the next one.
-    _buffer: Final = bytearray(READ_BYTES)
+    _buffer: Final = bytearray(READ_BUFFER_BYTES)
 
     def __init__(self, http: h11.Connection) -> None:
         """Start without a transport."""
@@ -40,11 +41,11 @@
         self.broken: Exception | None = None
         self.peer_ended = False  # the peer sends no more bytes
         self._transport: asyncio.Transport | None = None
-        self._news = asyncio.Event()
-        self._room = asyncio.Event()
-        self._room.set()
-        self._unread = 0
-        self._events = 0  # since other tasks last ran
+        self._data_available = asyncio.Event()
+        self._can_write = asyncio.Event()
+        self._can_write.set()
+        self._unread_bytes = 0
+        self._events_in_turn = 0  # since other tasks last ran
         self.received = 0  # bytes
         self.discarding = False  # received bytes are not parsed
 
@@ -70,48 +71,48 @@
         """Buffer received bytes until `next_event` parses them."""
         self.received += len(data)
         if self.discarding:
-            if self.received > MOST_DISCARDED:
+            if self.received > MAX_DISCARDED_BYTES:
                 self.transport.pause_reading()
             return
         self.http.receive_data(data)
-        self._unread += len(data)
-        if self._unread > HIGH_WATER:
+        self._unread_bytes += len(data)
+        if self._unread_bytes > HIGH_WATER_BYTES:
             self.transport.pause_reading()
-        self._news.set()
+        self._data_available.set()
 
     def eof_received(self) -> bool:
         """Record that the peer sends no more; keep our side open."""
         self.peer_ended = True
         self.http.receive_data(b'')
-        self._news.set()
+        self._data_available.set()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Wake the tasks that wait to read or write."""
         self.broken = exc or ConnectionResetError('the connection is closed')
         self.peer_ended = not isinstance(exc, TimeoutError)
-        self._news.set()
-        self._room.set()
+        self._data_available.set()
+        self._can_write.set()
 
     def pause_writing(self) -> None:
         """Make `write` wait, as the peer reads more slowly than we write."""
-        self._room.clear()
+        self._can_write.clear()
 
     def resume_writing(self) -> None:
         """Let waiting calls of `write` continue."""
-        self._room.set()
+        self._can_write.set()
 
     async def next_event(self) -> object:
         """Return h11's next event, waiting for bytes if necessary."""
         event = self.http.next_event()
         while event is h11.NEED_DATA:
-            self._events = 0
+            self._events_in_turn = 0
             self.check_received()
             await self.more_data()
             event = self.http.next_event()
-        self._events += 1
-        if self._events >= EVENTS_A_TURN:
-            self._events = 0
+        self._events_in_turn += 1
+        if self._events_in_turn >= MAX_EVENTS_PER_TURN:
+            self._events_in_turn = 0
             await asyncio.sleep(0)
         return event
 
@@ -120,20 +121,20 @@
 
     async def more_data(self) -> None:
         """Wait until bytes arrive or the connection ends."""
-        self._unread = 0
+        self._unread_bytes = 0
         if self.broken is not None:
             raise self.broken
         self.transport.resume_reading()
-        self._news.clear()
-        await self._news.wait()
+        self._data_available.clear()
+        await self._data_available.wait()
 
     async def write(self, payload: bytes) -> None:
         """Write, then wait while the transport's write buffer is full."""
         if self.broken is not None:
             raise self.broken
         self.transport.write(payload)
-        if not self._room.is_set():
-            await self._room.wait()
+        if not self._can_write.is_set():
+            await self._can_write.wait()
 
     def close(self) -> None:
         """Close gracefully: bytes already written are still sent."""
@@ -152,7 +153,7 @@
             return
         sock = self._transport.get_extra_info('socket')
         try:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         except OSError as exc:
             logger.debug('cannot set SO_LINGER, closing gracefully: %s', exc)
         self._transport.abort()
--- a/bramleybend/clients/http.py
+++ b/bramleybend/clients/http.py
@@ -29,10 +29,10 @@
 DEFAULT_PORT: Final = 80
 CONNECT_TIMEOUT_S: Final = 1.0
 MAX_BODY: Final = 2**24  # bytes
-ANSWER_BOUNDS: Final = MessageBounds(message_bytes=MAX_BODY)
+RESPONSE_BOUNDS: Final = MessageBounds(message_bytes=MAX_BODY)
 # `TimeoutError` is an `OSError`.
-BROKEN: Final = (OSError, h11.ProtocolError, EOFError)
-CALL_FAILURES: Final = (*BROKEN, ProblemError)
+EXCHANGE_ERRORS: Final = (OSError, h11.ProtocolError, EOFError)
+CALL_ERRORS: Final = (*EXCHANGE_ERRORS, ProblemError)
 
 Headers: TypeAlias = Sequence[tuple[str, str]]
 
@@ -63,8 +63,8 @@
         self._reader = reader
         self._writer = writer
         self._http = h11.Connection(h11.CLIENT)
-        self._meter = MessageMeter(ANSWER_BOUNDS)
-        self._received = 0
+        self._meter = MessageMeter(RESPONSE_BOUNDS)
+        self._received_bytes = 0
 
     async def send(
         self,
@@ -127,10 +127,10 @@
     async def _next_event(self) -> object:
         event = self._http.next_event()
         while event is h11.NEED_DATA:
-            self._meter.note_received(self._received)
-            came = await self._reader.read(READ_SIZE)
-            self._received += len(came)
-            self._http.receive_data(came)
+            self._meter.note_received(self._received_bytes)
+            received = await self._reader.read(READ_SIZE)
+            self._received_bytes += len(received)
+            self._http.receive_data(received)
             event = self._http.next_event()
         return event
 
@@ -160,9 +160,9 @@
         method: str,
         target: str,
         payload: object = None,
-        extra_s: float = 0,
+        extra_timeout_s: float = 0,
         *,
-        is_patient: bool = False,
+        is_stall_tolerant: bool = False,
     ) -> Result[HttpResponse, Problem]:
         """Send a request, with `payload` as JSON, and read the response.
 
@@ -175,18 +175,22 @@
         try:
             exchange = await connect(self._host, self._port)
         except OSError as exc:
-            return Err(self._problem(ErrorKind.PEER_UNAVAILABLE, exc))
+            return Err(self._make_problem(ErrorKind.PEER_UNAVAILABLE, exc))
         body = b'' if payload is None else json.dumps(payload).encode()
         try:
-            asking = _asked(exchange, method, target, body)
-            limit_s = self._timeout_s + extra_s
-            return Ok(await _limited(limit_s, asking, is_patient=is_patient))
-        except CALL_FAILURES as exc:
-            return Err(self._problem(ErrorKind.TIMEOUT, exc))
+            exchanging = _send_and_read(exchange, method, target, body)
+            timeout_s = self._timeout_s + extra_timeout_s
+            return Ok(
+                await _with_timeout(
+                    timeout_s, exchanging, is_stall_tolerant=is_stall_tolerant
+                )
+            )
+        except CALL_ERRORS as exc:
+            return Err(self._make_problem(ErrorKind.TIMEOUT, exc))
         finally:
             exchange.close()
 
-    def _problem(self, kind: ErrorKind, exc: Exception) -> Problem:
+    def _make_problem(self, kind: ErrorKind, exc: Exception) -> Problem:
         return Problem(
             kind,
             f'{self._host}:{self._port} failed: {str(exc) or type(exc).__name__}',
@@ -194,23 +198,23 @@
         )
 
 
-async def _asked(
+async def _send_and_read(
     exchange: Exchange, method: str, target: str, body: bytes
 ) -> HttpResponse:
     await exchange.send(method, target, (), body)
     return await read_whole(exchange)
 
 
-async def _limited(
-    limit_s: float,
-    asking: Coroutine[Any, Any, HttpResponse],
+async def _with_timeout(
+    timeout_s: float,
+    exchanging: Coroutine[Any, Any, HttpResponse],
     *,
-    is_patient: bool,
+    is_stall_tolerant: bool,
 ) -> HttpResponse:
-    if is_patient:
-        return await within(limit_s, asking)
-    async with asyncio.timeout(limit_s):
-        return await asking
+    if is_stall_tolerant:
+        return await within(timeout_s, exchanging)
+    async with asyncio.timeout(timeout_s):
+        return await exchanging
 
 
 async def read_whole(exchange: Exchange) -> HttpResponse:
--- a/bramleybend/clients/http_log.py
+++ b/bramleybend/clients/http_log.py
@@ -56,17 +56,17 @@
         records: Sequence[str],
     ) -> Result[int, Problem]:
         """Append records; see `LogService.append` for the errors."""
-        answer = await self._api.call(
+        call_result = await self._api.call(
             'POST',
             f'/streams/{stream}/records',
             {'records': list(records)},
-            is_patient=True,
+            is_stall_tolerant=True,
         )
-        match answer:
+        match call_result:
             case Err(problem):
                 return Err(_append_problem(problem))
             case Ok(response):
-                return _appended(response)
+                return _parse_append(response)
 
     async def read(
         self,
@@ -81,16 +81,16 @@
             f'/streams/{stream}/records'
             f'?from={start}&limit={limit}&wait_ms={wait_ms}'
         )
-        answer = await self._api.call(
+        call_result = await self._api.call(
             'GET',
             target,
-            extra_s=wait.total_seconds(),
+            extra_timeout_s=wait.total_seconds(),
         )
-        match answer:
+        match call_result:
             case Err(problem):
-                return Err(_unavailable(problem.detail))
+                return Err(_unavailable_problem(problem.detail))
             case Ok(response):
-                return _batch(response)
+                return _parse_batch(response)
 
 
 def make_http_log(url: str) -> LogService:
@@ -98,7 +98,7 @@
     return HttpLogService(HttpApi(url, LOG_TIMEOUT_S))
 
 
-def _unavailable(detail: str) -> Problem:
+def _unavailable_problem(detail: str) -> Problem:
     return Problem(
         ErrorKind.LOG_UNAVAILABLE,
         f'the log service is unavailable: {detail}',
@@ -108,7 +108,7 @@
 
 def _append_problem(problem: Problem) -> Problem:
     if problem.kind is ErrorKind.PEER_UNAVAILABLE:
-        return _unavailable(problem.detail)
+        return _unavailable_problem(problem.detail)
     return Problem(
         ErrorKind.LOG_REPLY_LOST,
         f'the log did not say whether it appended: {problem.detail}',
@@ -116,10 +116,10 @@
     )
 
 
-def _appended(response: HttpResponse) -> Result[int, Problem]:
+def _parse_append(response: HttpResponse) -> Result[int, Problem]:
     match response.status:
         case HTTPStatus.OK:
-            return _parsed_offset(response.body)
+            return _parse_offset(response.body)
         case HTTPStatus.REQUEST_ENTITY_TOO_LARGE:
             return Err(
                 Problem(
@@ -129,7 +129,7 @@
                 ),
             )
         case HTTPStatus.SERVICE_UNAVAILABLE:
-            return Err(_unavailable('it answered 503'))
+            return Err(_unavailable_problem('it answered 503'))
     return Err(
         Problem(
             ErrorKind.LOG_REPLY_LOST,
@@ -139,7 +139,7 @@
     )
 
 
-def _parsed_offset(body: bytes) -> Result[int, Problem]:
+def _parse_offset(body: bytes) -> Result[int, Problem]:
     try:
         return Ok(AppendedBody.model_validate_json(body).offset)
     except ValidationError:
@@ -152,13 +152,13 @@
         )
 
 
-def _batch(response: HttpResponse) -> Result[LogBatch, Problem]:
+def _parse_batch(response: HttpResponse) -> Result[LogBatch, Problem]:
     if response.status != HTTPStatus.OK:
-        return Err(_unavailable(f'it answered {response.status}'))
+        return Err(_unavailable_problem(f'it answered {response.status}'))
     try:
         body = ReadBody.model_validate_json(response.body)
     except ValidationError:
-        return Err(_unavailable('its answer is not a batch of records'))
+        return Err(_unavailable_problem('its answer is not a batch of records'))
     records = tuple(
         LogRecord(record.offset, record.data) for record in body.records
     )
--- a/bramleybend/clients/http_vm_list.py
+++ b/bramleybend/clients/http_vm_list.py
@@ -27,7 +27,7 @@
     state: RunnerState
 
 
-class ListBody(BaseModel):
+class VmListBody(BaseModel):
     """The response to a fetch."""
 
     vms: list[VmBody]
@@ -42,12 +42,12 @@
 
     async def fetch(self) -> Result[tuple[Vm, ...], Problem]:
         """Return the list as the platform last updated it."""
-        answer = await self._api.call('GET', '/vms')
-        match answer:
+        call_result = await self._api.call('GET', '/vms')
+        match call_result:
             case Err(problem):
-                return Err(_unavailable(problem.detail))
+                return Err(_unavailable_problem(problem.detail))
             case Ok(response):
-                return _parsed(response)
+                return _parse_list(response)
 
 
 def make_http_vm_list(url: str) -> VmList:
@@ -55,7 +55,7 @@
     return HttpVmList(HttpApi(url, LIST_TIMEOUT_S))
 
 
-def _unavailable(detail: str) -> Problem:
+def _unavailable_problem(detail: str) -> Problem:
     return Problem(
         ErrorKind.LIST_UNAVAILABLE,
         f'the VM list is unavailable: {detail}',
@@ -63,22 +63,24 @@
     )
 
 
-def _parsed(response: HttpResponse) -> Result[tuple[Vm, ...], Problem]:
+def _parse_list(response: HttpResponse) -> Result[tuple[Vm, ...], Problem]:
     if response.status != HTTPStatus.OK:
-        return Err(_unavailable(f'it answered {response.status}'))
+        return Err(_unavailable_problem(f'it answered {response.status}'))
     try:
-        body = ListBody.model_validate_json(response.body)
+        body = VmListBody.model_validate_json(response.body)
     except ValidationError as exc:
-        return Err(_unavailable(f'{exc.error_count()} fields are not valid'))
-    return Ok(tuple(_vm(line) for line in body.vms))
+        return Err(
+            _unavailable_problem(f'{exc.error_count()} fields are not valid')
+        )
+    return Ok(tuple(_make_vm(entry) for entry in body.vms))
 
 
-def _vm(line: VmBody) -> Vm:
+def _make_vm(entry: VmBody) -> Vm:
     return Vm(
-        line.name,
-        str(line.address),
-        line.port,
-        line.service,
-        line.domain,
-        line.state,
+        entry.name,
+        str(entry.address),
+        entry.port,
+        entry.service,
+        entry.domain,
+        entry.state,
     )
--- a/bramleybend/clients/message_bounds.py
+++ b/bramleybend/clients/message_bounds.py
@@ -19,7 +19,7 @@
 ANSWER_BYTES: Final = 8_388_608
 EVENT_BYTES: Final = 1_048_576
 FILLER_BYTES: Final = 65_536
-PART_BYTES: Final = 128
+PART_OVERHEAD_BYTES: Final = 128
 
 
 class MessageTooLongError(EOFError):
@@ -49,28 +49,28 @@
     def __init__(self, bounds: MessageBounds) -> None:
         """Start before the message's first byte."""
         self._bounds = bounds
-        self._content = 0
-        self._filler = 0
-        self._cost = 0  # content and its parts' overhead
+        self._content_bytes = 0
+        self._filler_bytes = 0
+        self._content_cost = 0  # content and its parts' overhead
 
     def add_content(self, size: int) -> None:
         """Count a part of the content.
 
         Raises `MessageTooLongError` beyond the bound.
         """
-        self._content += size
-        self._cost += size + PART_BYTES
-        most = self._bounds.message_bytes
-        if self._cost > most:
-            raise MessageTooLongError(f'the message is over {most} bytes')
+        self._content_bytes += size
+        self._content_cost += size + PART_OVERHEAD_BYTES
+        max_bytes = self._bounds.message_bytes
+        if self._content_cost > max_bytes:
+            raise MessageTooLongError(f'the message is over {max_bytes} bytes')
 
     def add_filler(self, size: int) -> None:
         """Count a part without content, such as a comment.
 
         Raises `MessageTooLongError` beyond the bound.
         """
-        self._filler += size + PART_BYTES
-        self._check_filler(self._filler - self._cost)
+        self._filler_bytes += size + PART_OVERHEAD_BYTES
+        self._check_filler(self._filler_bytes - self._content_cost)
 
     def note_received(self, size: int) -> None:
         """Check the framing, given all bytes received for the message.
@@ -78,11 +78,11 @@
         Bytes that are not content are framing. Raises `MessageTooLongError`
         if they exceed the content by more than the bound on filler.
         """
-        self._check_filler(size - 2 * self._content)
+        self._check_filler(size - 2 * self._content_bytes)
 
-    def _check_filler(self, beyond: int) -> None:
-        most = self._bounds.filler_bytes
-        if beyond > most:
+    def _check_filler(self, excess: int) -> None:
+        max_bytes = self._bounds.filler_bytes
+        if excess > max_bytes:
             raise MessageTooLongError(
-                f'over {most} bytes of the message carry nothing'
+                f'over {max_bytes} bytes of the message carry nothing'
             )
--- a/bramleybend/clients/runner.py
+++ b/bramleybend/clients/runner.py
@@ -15,7 +15,7 @@
 from typing import Final
 
 from bramleybend.clients.http import (
-    BROKEN,
+    EXCHANGE_ERRORS,
     Exchange,
     HttpResponse,
     connect,
@@ -29,13 +29,13 @@
 )
 from bramleybend.models import ServiceKind
 
-RUN_ID: Final = 'X-Run-Id'
-NOT_RUN_MARK: Final = 'x-not-run'
+RUN_ID_HEADER: Final = 'X-Run-Id'
+NOT_RUN_HEADER: Final = 'x-not-run'
 DONE_EVENT: Final = b'data: [DONE]'
 DATA_FIELD: Final = b'data: '
 EVENT_END: Final = b'\n\n'
 CANCEL_TIMEOUT_S: Final = 2.0
-REFUSALS: Final = frozenset(
+REFUSAL_STATUSES: Final = frozenset(
     (
         HTTPStatus.TOO_MANY_REQUESTS,
         HTTPStatus.SERVICE_UNAVAILABLE,
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True)
-class RunBody:
+class RunRequest:
     """A run's id and the body of its caller's request."""
 
     run_id: str
@@ -72,15 +72,18 @@
 async def send_run(
     exchange: Exchange,
     kind: ServiceKind,
-    run: RunBody,
+    run: RunRequest,
 ) -> None:
     """Send a run, which counts as dispatched from its first byte on.
 
     Errors of the connection are raised by the next read of the exchange.
     """
     target = '/v1/completions' if kind is ServiceKind.ENGINE else '/call'
-    headers = ((RUN_ID, run.run_id), ('Content-Type', 'application/json'))
-    with suppress(*BROKEN):
+    headers = (
+        (RUN_ID_HEADER, run.run_id),
+        ('Content-Type', 'application/json'),
+    )
+    with suppress(*EXCHANGE_ERRORS):
         # The runner may have read enough of the request to run it, so a
         # failed send doesn't prove that nothing ran.
         await exchange.send('POST', target, headers, run.body)
@@ -104,7 +107,7 @@
     """
     if address.kind is not ServiceKind.ENGINE:
         return False
-    with suppress(*BROKEN):
+    with suppress(*EXCHANGE_ERRORS):
         async with asyncio.timeout(CANCEL_TIMEOUT_S):
             exchange = await connect(address.host, address.port)
             try:
@@ -118,12 +121,12 @@
 
 def was_refused(head: HttpResponse, kind: ServiceKind) -> bool:
     """Tell whether a response states that the request was not run."""
-    if head.status not in REFUSALS:
+    if head.status not in REFUSAL_STATUSES:
         return False
-    return kind is ServiceKind.ENGINE or NOT_RUN_MARK in head.headers
+    return kind is ServiceKind.ENGINE or NOT_RUN_HEADER in head.headers
 
 
-async def events_of(exchange: Exchange) -> AsyncIterator[bytes]:
+async def iter_events(exchange: Exchange) -> AsyncIterator[bytes]:
     """Yield complete server-sent events, without a truncated last one.
 
     Raises `MessageTooLongError` if an event or the stream is too long.
@@ -131,12 +134,12 @@
     meter = MessageMeter(USUAL_BOUNDS)
     pending = bytearray()
     async for chunk in exchange.chunks():
-        searched = max(len(pending) - 1, 0)
+        search_start = max(len(pending) - 1, 0)
         pending += chunk
-        if pending.find(EVENT_END, searched) >= 0:
-            *whole, rest = bytes(pending).split(EVENT_END)
-            pending = bytearray(rest)
-            for event in whole:
+        if pending.find(EVENT_END, search_start) >= 0:
+            *events, remainder = bytes(pending).split(EVENT_END)
+            pending = bytearray(remainder)
+            for event in events:
                 meter.add_content(len(event))
                 yield event
         if len(pending) > EVENT_BYTES:
@@ -152,7 +155,7 @@
     return True
 
 
-def usage_in(payload: bytes) -> Usage | None:
+def parse_usage(payload: bytes) -> Usage | None:
     """Return the token counts in an event or body; `None` if absent."""
     if b'"usage"' not in payload:
         return None
--- a/bramleybend/gateway/attempt.py
+++ b/bramleybend/gateway/attempt.py
@@ -12,19 +12,24 @@
 from typing import Final
 
 from bramleybend.clients.framing import Framing
-from bramleybend.clients.http import BROKEN, Exchange, HttpResponse, connect
+from bramleybend.clients.http import (
+    EXCHANGE_ERRORS,
+    Exchange,
+    HttpResponse,
+    connect,
+)
 from bramleybend.clients.runner import (
     DONE_EVENT,
     EVENT_END,
-    RunBody,
+    RunRequest,
     RunnerAddress,
     Usage,
     cancel_run,
-    events_of,
+    iter_events,
     is_json,
     resume_run,
     send_run,
-    usage_in,
+    parse_usage,
     was_refused,
 )
 from bramleybend.gateway.run import Run
@@ -102,7 +107,7 @@
             await send_run(
                 exchange,
                 self._address.kind,
-                RunBody(self._run_id, self._run.req.body),
+                RunRequest(self._run_id, self._run.req.body),
             )
             return await self._read_answer(exchange)
         finally:
@@ -115,7 +120,7 @@
     async def _read_answer(self, exchange: Exchange) -> AttemptEnd:
         try:
             head = await exchange.head()
-        except BROKEN:
+        except EXCHANGE_ERRORS:
             return await self._handle_no_response()
         if was_refused(head, self._address.kind):
             self.was_sent = False
@@ -139,10 +144,10 @@
         try:
             async for chunk in exchange.chunks():
                 parts.append(chunk)
-        except BROKEN:
+        except EXCHANGE_ERRORS:
             return await self._make_broken_end(EndKind.TORN)
         body = b''.join(parts)
-        self._usage = usage_in(body) or Usage()
+        self._usage = parse_usage(body) or Usage()
         if head.status >= HTTPStatus.BAD_REQUEST:
             return AttemptEnd(EndKind.ANSWERED, self._usage, head.status)
         if head.framing is Framing.CONNECTION and not is_json(body):
@@ -189,25 +194,25 @@
                 self._runner_crashed |= head.status == HTTPStatus.NOT_FOUND
                 return None
             return await self._read_events(exchange)
-        except BROKEN:
+        except EXCHANGE_ERRORS:
             return None
         finally:
             exchange.close()
 
     async def _read_events(self, exchange: Exchange) -> AttemptEnd | None:
         try:
-            async for event in events_of(exchange):
+            async for event in iter_events(exchange):
                 self._received_events += 1
                 if event == DONE_EVENT:
                     return AttemptEnd(EndKind.WHOLE, self._usage)
                 if not await self._add_event(event):
                     return AttemptEnd(EndKind.TOO_LARGE, self._usage)
-        except BROKEN:
+        except EXCHANGE_ERRORS:
             return None
         return None
 
     async def _add_event(self, event: bytes) -> bool:
-        usage = usage_in(event)
+        usage = parse_usage(event)
         if usage is not None:
             self._usage = usage
         is_first = not self._run.has_answer_data
--- a/bramleybend/gateway/http_server.py
+++ b/bramleybend/gateway/http_server.py
@@ -5,12 +5,12 @@
 from contextlib import contextmanager, suppress
 from typing import Final
 
-from bramleybend.clients.http import BROKEN, close_writer
+from bramleybend.clients.http import EXCHANGE_ERRORS, close_writer
 from bramleybend.gateway.caller_connection import CallerConnection
 from bramleybend.gateway.http_messages import Handler
 from bramleybend.gateway.run import IncompleteAnswerError
 
-CALLER_GONE_ERRORS: Final = (*BROKEN, IncompleteAnswerError)
+CALLER_GONE_ERRORS: Final = (*EXCHANGE_ERRORS, IncompleteAnswerError)
 # Longer than one iteration of the event loop, which accepts all connections in
 # the listen queue.
 ACCEPT_WAIT_S: Final = 0.05
--- a/bramleybend/platform/deflate.py
+++ b/bramleybend/platform/deflate.py
@@ -11,8 +11,8 @@
 CONTENT_ENCODING: Final = b'Content-Encoding'
 DEFLATE: Final = b'deflate'
 # Higher levels save another tenth of the bytes but take twice the time.
-LEVEL: Final = 1
-MOST_INFLATED: Final = 33_554_432  # bytes, 32 MiB
+COMPRESSION_LEVEL: Final = 1
+MAX_INFLATED_BYTES: Final = 33_554_432  # bytes, 32 MiB
 
 
 class InflateError(EOFError):
@@ -21,20 +21,20 @@
 
 def deflate(body: bytes) -> bytes:
     """Return the compressed body, in zlib format."""
-    return zlib.compress(body, LEVEL)
+    return zlib.compress(body, COMPRESSION_LEVEL)
 
 
-def inflate(body: bytes, most: int = MOST_INFLATED) -> bytes:
+def inflate(body: bytes, max_bytes: int = MAX_INFLATED_BYTES) -> bytes:
     """Return the decompressed body.
 
     A few compressed bytes may expand to gigabytes, so decompression stops
     with an `InflateError` beyond `max_bytes` bytes of output.
     """
-    inflater = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        whole = inflater.decompress(body, most)
+        inflated = decompressor.decompress(body, max_bytes)
     except zlib.error as exc:
         raise InflateError(f'a deflated body cannot be read: {exc}') from exc
-    if not inflater.eof:
-        raise InflateError(f'a deflated body is cut, or over {most} bytes')
-    return whole
+    if not decompressor.eof:
+        raise InflateError(f'a deflated body is cut, or over {max_bytes} bytes')
+    return inflated
--- a/bramleybend/platform/follow.py
+++ b/bramleybend/platform/follow.py
@@ -20,21 +20,23 @@
 # and the timeout of a call must together stay below three seconds: a change
 # must take effect within two seconds, or three if a connection fails.
 MANIFEST_WAIT_S: Final = 1.5
-MANIFEST_EVERY_S: Final = 0.05
+MANIFEST_MIN_INTERVAL_S: Final = 0.05
 MANIFEST_STALE_S: Final = 2.2
 MANIFEST_FEED: Final = FeedTerms(
-    MANIFEST_TOPIC, MANIFEST_WAIT_S, MANIFEST_EVERY_S, MANIFEST_STALE_S
+    MANIFEST_TOPIC, MANIFEST_WAIT_S, MANIFEST_MIN_INTERVAL_S, MANIFEST_STALE_S
 )
 # Each runner writes a heartbeat about once a second, so a long poll would
 # return at every heartbeat; this log is polled at an interval instead. A
 # runner that is leaving must get no new requests after two seconds, which
 # have to cover an interval, a heartbeat and the duration of a call.
-RUNNER_EVERY_S: Final = 0.7
+RUNNER_POLL_INTERVAL_S: Final = 0.7
 RUNNER_STALE_S: Final = 1.45
-RUNNER_FEED: Final = FeedTerms(RUNNER_TOPIC, 0, RUNNER_EVERY_S, RUNNER_STALE_S)
+RUNNER_FEED: Final = FeedTerms(
+    RUNNER_TOPIC, 0, RUNNER_POLL_INTERVAL_S, RUNNER_STALE_S
+)
 
 
-class ManifestPages:
+class ManifestApplier:
     """Applies each new manifest on this VM."""
 
     def __init__(self, book: Book, events: EventLog) -> None:
--- a/bramleybend/platform/headers.py
+++ b/bramleybend/platform/headers.py
@@ -19,8 +19,8 @@
     LAST_EVENT_ID,
     LENGTH_HINT,
     NOT_EXECUTED,
-    PATIENCE_MS,
-    STAMP,
+    TIMEOUT_MS,
+    RESPONSE_STAMP,
     SYSTEM_HEADERS,
     TOKEN_COUNTS,
     WORKSPACE,
@@ -30,7 +30,7 @@
 MISDIRECTED: Final = 421
 ENCODING: Final = 'content-encoding'
 RUNNER_LIMIT: Final = 'server-limit'
-_DROPPED: Final = frozenset(name.encode() for name in SYSTEM_HEADERS)
+_DROPPED_HEADERS: Final = frozenset(name.encode() for name in SYSTEM_HEADERS)
 
 
 class PlatformDialect:
@@ -38,49 +38,51 @@
 
     def request_facts(self, headers: HeaderList) -> RequestFacts:
         """Return what the headers state about a caller's request."""
-        prompt, most_output = _token_counts(_text(headers, TOKEN_COUNTS))
-        patience_ms = _number(_text(headers, PATIENCE_MS))
-        hint = _number(_text(headers, LENGTH_HINT))
+        prompt, most_output = _parse_token_counts(
+            _header_text(headers, TOKEN_COUNTS)
+        )
+        timeout_ms = _parse_number(_header_text(headers, TIMEOUT_MS))
+        hint = _parse_number(_header_text(headers, LENGTH_HINT))
         return RequestFacts(
-            attempt_id=_text(headers, ATTEMPT_ID),
-            key=_key(_text(headers, AUTHORIZATION)),
+            attempt_id=_header_text(headers, ATTEMPT_ID),
+            key=_api_key(_header_text(headers, AUTHORIZATION)),
             patience_s=None
-            if patience_ms is None
-            else patience_ms / MILLISECONDS,
+            if timeout_ms is None
+            else timeout_ms / MILLISECONDS,
             prompt_tokens=prompt,
             most_output=most_output,
             likely_output=None if hint is None else int(hint),
-            resume_after=_text(headers, LAST_EVENT_ID),
+            resume_after=_header_text(headers, LAST_EVENT_ID),
         )
 
     def runner_headers(
         self, headers: HeaderList, onward: Onward
     ) -> list[tuple[bytes, bytes]]:
         """Return the headers to send to a runner, without framing."""
-        dropped = _DROPPED | hop_headers(headers)
+        dropped = _DROPPED_HEADERS | hop_headers(headers)
         kept = [
             (key, text) for key, text in headers if key.lower() not in dropped
         ]
-        left_ms = max(int(onward.left_s * MILLISECONDS), 1)
-        ours = [
-            (PATIENCE_MS, str(left_ms)),
+        remaining_ms = max(int(onward.left_s * MILLISECONDS), 1)
+        added = [
+            (TIMEOUT_MS, str(remaining_ms)),
             (EXPECT_RUNNER, onward.runner.name),
         ]
         if onward.workspace:
-            ours.append((WORKSPACE, onward.workspace))
+            added.append((WORKSPACE, onward.workspace))
         if onward.resume_after:
-            ours.append((LAST_EVENT_ID, onward.resume_after))
-        return kept + [(key.encode(), text.encode()) for key, text in ours]
+            added.append((LAST_EVENT_ID, onward.resume_after))
+        return kept + [(key.encode(), text.encode()) for key, text in added]
 
     def answer_facts(self, head: Head) -> AnswerFacts:
         """Return what the headers state about a runner's response."""
-        said = head.get(NOT_EXECUTED) is not None
+        is_marked = head.get(NOT_EXECUTED) is not None
         # A runner other than the one addressed received the request.
         is_misdirected = head.status == MISDIRECTED
         return AnswerFacts(
             head.get(ATTEMPT_ID) or '',
-            bool(head.get(STAMP)),
-            said or is_misdirected,
+            bool(head.get(RESPONSE_STAMP)),
+            is_marked or is_misdirected,
             is_misdirected,
             None if is_misdirected else head.get(RUNNER_LIMIT) or '',
         )
@@ -108,17 +110,17 @@
     return PlatformDialect()
 
 
-def _text(headers: HeaderList, name: str) -> str:
+def _header_text(headers: HeaderList, name: str) -> str:
     return header(headers, name.encode()).decode('latin-1').strip()
 
 
-def _key(credentials: str) -> str:
+def _api_key(credentials: str) -> str:
     if credentials.lower().startswith(KEY_SCHEME):
         return credentials[len(KEY_SCHEME) :].strip()
     return ''
 
 
-def _number(text: str) -> float | None:
+def _parse_number(text: str) -> float | None:
     try:
         number = float(text)
     except ValueError:
@@ -126,8 +128,8 @@
     return number if number >= 0 else None
 
 
-def _token_counts(text: str) -> tuple[int, int]:
+def _parse_token_counts(text: str) -> tuple[int, int]:
     """Parse prompt tokens and maximum output tokens; 0 if not stated."""
-    parts = [_number(part) or 0 for part in text.split(',')]
+    parts = [_parse_number(part) or 0 for part in text.split(',')]
     prompt, output, *_ = [*parts, 0, 0]
     return int(prompt), int(output)
--- a/bramleybend/platform/kept_pages.py
+++ b/bramleybend/platform/kept_pages.py
@@ -14,13 +14,13 @@
 from bramleybend.errors import ErrorKind, Problem
 from bramleybend.platform.deflate import InflateError, deflate, inflate
 from bramleybend.platform.names import KEPT_TOPIC
-from bramleybend.platform.records import UNREADABLE, pack_page, unpack_page
+from bramleybend.platform.records import UNPACK_ERRORS, pack_page, unpack_page
 from bramleybend.platform.store import StoreClient
 
 # A record of the store holds 262,144 bytes, including its key. Deflated,
 # 1,400 routes take 23 kB and 5,000 runners take 132 kB.
-MOST_BYTES: Final = 261_000
-SPOILT: Final = (*UNREADABLE, InflateError)
+MAX_SNAPSHOT_BYTES: Final = 261_000
+DECODE_ERRORS: Final = (*UNPACK_ERRORS, InflateError)
 
 
 class KeptPages:
@@ -29,54 +29,54 @@
     def __init__(self, store: StoreClient) -> None:
         """Save the snapshots in this store."""
         self._store = store
-        self._dropped: set[str] = set()
+        self._deleted: set[str] = set()
 
     async def keep(self, name: str, page: Page) -> Result[None, Problem]:
         """Save a log's newest records, replacing its previous snapshot."""
         content = deflate(pack_page(page))
-        if len(content) > MOST_BYTES:
-            await self._drop(name)
+        if len(content) > MAX_SNAPSHOT_BYTES:
+            await self._delete_outdated(name)
             problem = Problem(
                 ErrorKind.BAD_RECORD,
                 f'{len(content)} bytes of {name} are too many for one record',
                 'VMs that start while that log is away wait for it',
             )
             return Err(problem)
-        self._dropped.discard(name)
+        self._deleted.discard(name)
         return await self._store.put(KEPT_TOPIC, name, content)
 
     async def kept(self, name: str) -> Result[Page | None, Problem]:
         """Return the snapshot of a log; `None` if there is none."""
-        answer = await self._store.newest(KEPT_TOPIC)
-        if isinstance(answer, Err):
-            return answer
-        for record in answer.ok_value.records:
+        response = await self._store.newest(KEPT_TOPIC)
+        if isinstance(response, Err):
+            return response
+        for record in response.ok_value.records:
             if record.key == name:
-                return _unpacked(record.content)
+                return _unpack_snapshot(record.content)
         return Ok(None)
 
-    async def _drop(self, name: str) -> None:
+    async def _delete_outdated(self, name: str) -> None:
         """Delete the snapshot of a log that has grown too large to save.
 
         A VM that starts would apply the outdated snapshot. Without one, it
         waits for the log and rejects requests until it has read it. If the
         store refuses the deletion, the next attempt to save repeats it.
         """
-        if name in self._dropped:
+        if name in self._deleted:
             return
-        dropped = await self._store.put(KEPT_TOPIC, name, b'')
-        if dropped.is_ok():
-            self._dropped.add(name)
+        deletion = await self._store.put(KEPT_TOPIC, name, b'')
+        if deletion.is_ok():
+            self._deleted.add(name)
 
 
-def _unpacked(content: bytes) -> Result[Page | None, Problem]:
+def _unpack_snapshot(content: bytes) -> Result[Page | None, Problem]:
     try:
-        changes = unpack_page(inflate(content), 0)
-    except SPOILT as exc:
+        page = unpack_page(inflate(content), 0)
+    except DECODE_ERRORS as exc:
         problem = Problem(
             ErrorKind.BAD_RECORD,
             f'what was kept cannot be read: {exc!r}',
             'it is written again with the next change',
         )
         return Err(problem)
-    return Ok(Page(changes.records, changes.end, whole=True))
+    return Ok(Page(page.records, page.end, whole=True))
--- a/bramleybend/platform/mirror.py
+++ b/bramleybend/platform/mirror.py
@@ -25,13 +25,13 @@
 from bramleybend.platform.deflate import CONTENT_ENCODING, DEFLATE, deflate
 from bramleybend.platform.records import pack_page
 
-NEWEST: Final = '/log-newest'
+NEWEST_PATH: Final = '/log-newest'
 # Smaller bodies fit into one packet without compression.
-LEAST_DEFLATED: Final = 1_400  # bytes
+MIN_DEFLATED_BYTES: Final = 1_400  # bytes
 
 
 @dataclass(frozen=True)
-class _Deflated:
+class _CachedBody:
     """The last deflated response, reused for other VMs' same request."""
 
     target: bytes
@@ -45,52 +45,52 @@
     def __init__(self, copies: Mapping[str, FeedCopy]) -> None:
         """Serve these copies; the keys are the names of the logs."""
         self._copies = copies
-        self._deflated: dict[str, _Deflated] = {}  # by log
+        self._cached_bodies: dict[str, _CachedBody] = {}  # by log
 
     async def handle(self, req: RawRequest, responder: Responder) -> None:
         """Respond to one read request, deflated if the client accepts it."""
-        reply = self.answer(req)
+        reply = self.make_reply(req)
         accepted = header(req.headers, b'accept-encoding')
-        if DEFLATE in accepted and len(reply.body) >= LEAST_DEFLATED:
-            reply = self._deflate(req, reply)
+        if DEFLATE in accepted and len(reply.body) >= MIN_DEFLATED_BYTES:
+            reply = self._deflate_reply(req, reply)
         await responder.reply(reply)
 
-    def answer(self, req: RawRequest) -> Reply:
+    def make_reply(self, req: RawRequest) -> Reply:
         """Return the response to one read request, not deflated."""
-        query = _query(req)
-        copy = self._copies.get(_topic(query))
+        query = _parse_query(req)
+        copy = self._copies.get(_topic_of(query))
         if copy is None:
             return own_reply(HTTPStatus.NOT_FOUND, 'that log is not followed')
-        if req.path == NEWEST:
-            return _newest(copy.newest())
+        if req.path == NEWEST_PATH:
+            return _snapshot_reply(copy.newest())
         start = query.get('from', ['0'])[0]
         page = copy.changes(int(start)) if start.isdecimal() else None
         if page is None:
             return own_reply(HTTPStatus.GONE, 'read the newest records')
         return Reply(HTTPStatus.OK, (), pack_page(page))
 
-    def _deflate(self, req: RawRequest, reply: Reply) -> Reply:
-        name = _topic(_query(req))
+    def _deflate_reply(self, req: RawRequest, reply: Reply) -> Reply:
+        name = _topic_of(_parse_query(req))
         end = self._copies[name].end
-        last = self._deflated.get(name)
-        if last is None or (last.target, last.end) != (req.target, end):
+        cached = self._cached_bodies.get(name)
+        if cached is None or (cached.target, cached.end) != (req.target, end):
             body = deflate(reply.body)
-            last = _Deflated(req.target, end, body)
-            self._deflated[name] = last
+            cached = _CachedBody(req.target, end, body)
+            self._cached_bodies[name] = cached
         headers = [*reply.headers, (CONTENT_ENCODING, DEFLATE)]
-        return replace(reply, headers=headers, body=last.body)
+        return replace(reply, headers=headers, body=cached.body)
 
 
-def _query(req: RawRequest) -> Mapping[str, list[str]]:
+def _parse_query(req: RawRequest) -> Mapping[str, list[str]]:
     text = req.target.partition(b'?')[2].decode('latin-1')
     return parse_qs(text)
 
 
-def _topic(query: Mapping[str, list[str]]) -> str:
+def _topic_of(query: Mapping[str, list[str]]) -> str:
     return query.get('topic', [''])[0]
 
 
-def _newest(page: Page | None) -> Reply:
+def _snapshot_reply(page: Page | None) -> Reply:
     if page is None:
         return own_reply(HTTPStatus.SERVICE_UNAVAILABLE, 'nothing is read yet')
     items = [
--- a/bramleybend/platform/names.py
+++ b/bramleybend/platform/names.py
@@ -3,10 +3,10 @@
 from typing import Final
 
 ATTEMPT_ID: Final = 'x-bramleybend-attempt-id'
-PATIENCE_MS: Final = 'x-bramleybend-deadline-ms'
+TIMEOUT_MS: Final = 'x-bramleybend-deadline-ms'
 EXPECT_RUNNER: Final = 'x-bramleybend-expect-instance'
 WORKSPACE: Final = 'x-bramleybend-tenant'
-STAMP: Final = 'x-bramleybend-response-stamp'
+RESPONSE_STAMP: Final = 'x-bramleybend-response-stamp'
 NOT_EXECUTED: Final = 'x-bramleybend-not-executed'
 TOKEN_COUNTS: Final = 'x-bramleybend-token-counts'
 LENGTH_HINT: Final = 'x-bramleybend-length-hint'
@@ -27,7 +27,7 @@
     )
 )
 SYSTEM_HEADERS: Final = ENGINE_HEADERS | frozenset(
-    (EXPECT_RUNNER, WORKSPACE, PATIENCE_MS, AUTHORIZATION, LAST_EVENT_ID)
+    (EXPECT_RUNNER, WORKSPACE, TIMEOUT_MS, AUTHORIZATION, LAST_EVENT_ID)
 )
 
 MANIFEST_TOPIC: Final = 'keyed.op'
--- a/bramleybend/platform/program.py
+++ b/bramleybend/platform/program.py
@@ -15,7 +15,7 @@
 from bramleybend.platform.follow import (
     MANIFEST_FEED,
     RUNNER_FEED,
-    ManifestPages,
+    ManifestApplier,
 )
 from bramleybend.platform.headers import make_dialect
 from bramleybend.platform.kept_pages import KeptPages
@@ -36,17 +36,17 @@
         self.stopping = self.entry.stopping
         self.reload = self.entry.reload
         self.store = StoreClient(cfg.store.host, cfg.store.port, clock)
-        self._mirrors: dict[str, StoreClient] = {}
-        self.feeds = (self._manifest_feed(), self._runner_feed())
-        self._doors = self._make_doors()
+        self._mirror_clients: dict[str, StoreClient] = {}
+        self.feeds = (self._make_manifest_feed(), self._make_runner_feed())
+        self._listeners = self._make_listeners()
 
     async def start(self) -> None:
         """Listen on all ports and start following the store."""
-        for door, host, port in self._doors:
-            await door.start(host, port)
+        for listener, host, port in self._listeners:
+            await listener.start(host, port)
         for feed in self.feeds:
             self.entry.follow(feed)
-        self.entry.spawn(self._last_known().run())
+        self.entry.spawn(self._make_last_known().run())
         await self.entry.start()
 
     async def stop(self) -> None:
@@ -57,77 +57,82 @@
     async def kill(self) -> None:
         """Close everything without waiting for requests in flight."""
         await self.entry.close()
-        for door, _, _ in self._doors:
-            await door.stop()
-        for client in (self.store, *self._mirrors.values()):
+        for listener, _, _ in self._listeners:
+            await listener.stop()
+        for client in (self.store, *self._mirror_clients.values()):
             client.close()
 
-    def _last_known(self) -> LastKnown:
+    def _make_last_known(self) -> LastKnown:
         book = self.entry.book
         manifests, runners = self.feeds
         logs = (
             KnownLog(manifests, book.version),
             KnownLog(runners, lambda: book.runners),
         )
-        keeper = KeptPages(self.store)
-        return LastKnown(logs, keeper, book, self.entry.events)
+        kept_pages = KeptPages(self.store)
+        return LastKnown(logs, kept_pages, book, self.entry.events)
 
-    def _metrics(self) -> bytes:
+    def _render_metrics(self) -> bytes:
         # Imported at the first scrape only; see `bramleybend.direct.meters`.
-        module = import_module('bramleybend.direct.exposition')
-        return bytes(module.exposition(self.entry.meters))
+        exposition_module = import_module('bramleybend.direct.exposition')
+        return bytes(exposition_module.exposition(self.entry.meters))
 
-    def _manifest_feed(self) -> Feed:
-        feed = self._feed(MANIFEST_FEED)
+    def _make_manifest_feed(self) -> Feed:
+        feed = self._make_feed(MANIFEST_FEED)
         book = self.entry.book
-        feed.take = ManifestPages(book, self.entry.events).take
+        feed.take = ManifestApplier(book, self.entry.events).take
         feed.confirmed = book.confirm_manifest
         return feed
 
-    def _runner_feed(self) -> Feed:
-        feed = self._feed(RUNNER_FEED)
+    def _make_runner_feed(self) -> Feed:
+        feed = self._make_feed(RUNNER_FEED)
         runners = RunnerList(self.entry.book, decode_runner, self.entry.events)
         feed.take = runners.take
         feed.confirmed = runners.confirmed
         self.entry.swept = runners.drop_lapsed
         return feed
 
-    def _feed(self, terms: FeedTerms) -> Feed:
+    def _make_feed(self, terms: FeedTerms) -> Feed:
         return Feed(
             terms,
             self.store,
-            self._mirror_at,
+            self._get_mirror_client,
             self._clock,
             self.entry.events,
             self._rng,
         )
 
-    def _mirror_at(self, address: str) -> StoreClient:
+    def _get_mirror_client(self, address: str) -> StoreClient:
         """Return the client that reads another VM's copy of the store."""
-        client = self._mirrors.get(address)
+        client = self._mirror_clients.get(address)
         if client is None:
             port = self._cfg.peer_port
             client = make_mirror_client(address, port, self._clock)
-            self._mirrors[address] = client
+            self._mirror_clients[address] = client
         return client
 
-    def _make_doors(self) -> list[tuple[Ingress, str, int]]:
+    def _make_listeners(self) -> list[tuple[Ingress, str, int]]:
         cfg = self._cfg
         directory = Directory(
-            self.entry.fronts, self.entry.is_ready, self._metrics, self._rng
+            self.entry.fronts,
+            self.entry.is_ready,
+            self._render_metrics,
+            self._rng,
         )
         mirror = Mirror({feed.terms.name: feed.copy for feed in self.feeds})
-        doors = [
+        listeners = [
             (directory.handle, cfg.ready.host, cfg.ready.port),
             (directory.handle, cfg.directory.host, cfg.directory.port),
             (mirror.handle, cfg.address, cfg.peer_port),
         ]
         if cfg.metrics is not None:
-            where = cfg.metrics
-            doors.append((directory.handle, where.host, where.port))
+            metrics_address = cfg.metrics
+            listeners.append(
+                (directory.handle, metrics_address.host, metrics_address.port)
+            )
         return [
             (Ingress(handler, IngressLimits, self._clock), host, port)
-            for handler, host, port in doors
+            for handler, host, port in listeners
         ]
 
 
--- a/bramleybend/platform/runner_entry.py
+++ b/bramleybend/platform/runner_entry.py
@@ -10,14 +10,14 @@
 from bramleybend.direct.models import RunnerEntry, RunnerState
 from bramleybend.errors import ErrorKind, Problem
 
-PORT_LIMIT: Final = 65_535
+MAX_PORT: Final = 65_535
 
-_STATES: Final = MappingProxyType(
+_STATE_BY_NAME: Final = MappingProxyType(
     {'ready': RunnerState.READY, 'draining': RunnerState.LEAVING}
 )
 
 
-class _Entry(msgspec.Struct):
+class _WireEntry(msgspec.Struct):
     service: str
     addr: str  # ip:port
     state: str
@@ -28,13 +28,13 @@
     born: int = 0
 
 
-_decoder: Final = msgspec.json.Decoder(_Entry)
+_decoder: Final = msgspec.json.Decoder(_WireEntry)
 
 
-def decode_runner(name: str, text: bytes) -> Result[RunnerEntry, Problem]:
+def decode_runner(name: str, document: bytes) -> Result[RunnerEntry, Problem]:
     """Return the entry, or a problem if it describes no usable runner."""
     try:
-        return Ok(_entry(name, _decoder.decode(text)))
+        return Ok(_convert_entry(name, _decoder.decode(document)))
     except (msgspec.MsgspecError, ValueError, KeyError) as exc:
         return Err(
             Problem(
@@ -45,10 +45,10 @@
         )
 
 
-def _entry(name: str, wire: _Entry) -> RunnerEntry:
+def _convert_entry(name: str, wire: _WireEntry) -> RunnerEntry:
     host, _, port_text = wire.addr.rpartition(':')
     port = int(port_text)
-    if not 0 < port <= PORT_LIMIT or wire.slots < 1:
+    if not 0 < port <= MAX_PORT or wire.slots < 1:
         raise ValueError(f'port {port}, slots {wire.slots}')
     return RunnerEntry(
         name,
@@ -58,5 +58,5 @@
         port,
         wire.zone,
         wire.slots,
-        _STATES[wire.state],
+        _STATE_BY_NAME[wire.state],
     )
--- a/bramleybend/platform/store.py
+++ b/bramleybend/platform/store.py
@@ -31,11 +31,11 @@
 from bramleybend.platform.deflate import (
     ACCEPT_ENCODING,
     DEFLATE,
-    MOST_INFLATED,
+    MAX_INFLATED_BYTES,
     inflate,
 )
 from bramleybend.platform.records import (
-    UNREADABLE,
+    UNPACK_ERRORS,
     pack_record,
     unpack_page,
 )
@@ -45,16 +45,16 @@
 # for the whole response was too short: a VM whose callers used half of its
 # 5 Mbit/s link could never read a manifest of 3,000 routes, so it answered
 # 404 for as long as it ran.
-SILENCE_TIMEOUT_S: Final = 1.0
+READ_TIMEOUT_S: Final = 1.0
 # Limits a response body that keeps arriving, but too slowly. A link of
 # 5 Mbit/s carries 6 MB in this time.
-WHOLE_TIMEOUT_S: Final = 10.0
+BODY_TIMEOUT_S: Final = 10.0
 # Limits a response body sent by another VM. Changes must take effect within
 # two seconds, so a reader gives up on a slow VM early enough to read the
 # change from the store in the remaining time.
-MIRROR_TIMEOUT_S: Final = 1.5
-STORE_BOUNDS: Final = MessageBounds(message_bytes=MOST_INFLATED)
-LOST: Final = (OSError, EOFError, h11.ProtocolError)
+MIRROR_BODY_TIMEOUT_S: Final = 1.5
+STORE_BOUNDS: Final = MessageBounds(message_bytes=MAX_INFLATED_BYTES)
+CALL_ERRORS: Final = (OSError, EOFError, h11.ProtocolError)
 
 
 class _Item(msgspec.Struct):
@@ -63,13 +63,13 @@
     offset: int
 
 
-class _Newest(msgspec.Struct, rename='camel'):
+class _NewestResponse(msgspec.Struct, rename='camel'):
     items: list[_Item]
     end: int
     has_more: bool = False
 
 
-_newest: Final = msgspec.json.Decoder(_Newest)
+_newest_decoder: Final = msgspec.json.Decoder(_NewestResponse)
 
 
 class StoreClient:
@@ -81,19 +81,19 @@
         port: int,
         clock: Clock,
         headers: HeaderList = (),
-        whole_timeout_s: float = WHOLE_TIMEOUT_S,
+        body_timeout_s: float = BODY_TIMEOUT_S,
     ) -> None:
         """Set the store's address; connections are opened on demand.
 
         `body_timeout_s` limits the time from a response's head to its end.
         """
         self.address = address
-        self._whole_timeout_s = whole_timeout_s
+        self._body_timeout_s = body_timeout_s
         self.port = port
         self._clock = clock
         host = f'{address}:{port}'.encode()
         self._headers = [(b'Host', host), *headers]
-        self._idle: list[Channel] = []
+        self._idle_channels: list[Channel] = []
         self.calls = 0
 
     async def newest(self, topic: str) -> Result[Page, Problem]:
@@ -103,18 +103,18 @@
         is that of the first page: reading on from there returns all changes
         made since.
         """
-        first = await self._newest_page(topic, '')
+        first = await self._read_newest_page(topic, '')
         if isinstance(first, Err):
             return first
         page = first.ok_value
         items = list(page.items)
         while page.has_more and page.items:
-            following = await self._newest_page(topic, page.items[-1].key)
+            following = await self._read_newest_page(topic, page.items[-1].key)
             if isinstance(following, Err):
                 return following
             page = following.ok_value
             items.extend(page.items)
-        records = tuple(_record(item) for item in items)
+        records = tuple(_make_record(item) for item in items)
         return Ok(Page(records, first.ok_value.end, whole=True))
 
     async def changes(
@@ -131,16 +131,16 @@
         query = {'topic': topic, 'part': '0', 'from': str(start)}
         if wait_s:
             query['waitMs'] = str(int(wait_s * 1000))
-        answer = await self._call('/log-read', query, wait_s)
-        if isinstance(answer, Err):
-            return answer
-        status, body = answer.ok_value
+        response = await self._call('/log-read', query, wait_s)
+        if isinstance(response, Err):
+            return response
+        status, body = response.ok_value
         if status == HTTPStatus.GONE:
             return await self.newest(topic)
         try:
             return Ok(unpack_page(body, start))
-        except UNREADABLE as exc:
-            return Err(_unreadable(exc))
+        except UNPACK_ERRORS as exc:
+            return Err(_decode_problem(exc))
 
     async def put(
         self, topic: str, key: str, content: bytes
@@ -148,34 +148,34 @@
         """Append a record; after an error, it may have been appended."""
         query = {'topic': topic, 'part': '0'}
         body = pack_record(key, content)
-        answer = await self._call('/log-append', query, body=body)
-        return answer.map(_nothing)
+        response = await self._call('/log-append', query, body=body)
+        return response.map(_discard_body)
 
     def close(self) -> None:
         """Abort the idle connections."""
-        for channel in self._idle:
+        for channel in self._idle_channels:
             channel.abort()
-        self._idle.clear()
+        self._idle_channels.clear()
 
-    async def _newest_page(
+    async def _read_newest_page(
         self, topic: str, after: str
-    ) -> Result[_Newest, Problem]:
+    ) -> Result[_NewestResponse, Problem]:
         query = {'topic': topic, 'part': '0'}
         if after:
             query['after'] = after
-        answer = await self._call('/log-newest', query)
-        if isinstance(answer, Err):
-            return answer
+        response = await self._call('/log-newest', query)
+        if isinstance(response, Err):
+            return response
         try:
-            return Ok(_newest.decode(answer.ok_value[1]))
+            return Ok(_newest_decoder.decode(response.ok_value[1]))
         except msgspec.MsgspecError as exc:
-            return Err(_unreadable(exc))
+            return Err(_decode_problem(exc))
 
     async def _call(
         self,
         path: str,
         query: Mapping[str, str],
-        extra_s: float = 0,
+        extra_timeout_s: float = 0,
         body: bytes = b'',
     ) -> Result[tuple[int, bytes], Problem]:
         self.calls += 1
@@ -183,39 +183,46 @@
         method = b'POST' if body else b'GET'
         outgoing = Outgoing(method, target, self._headers, body)
         try:
-            async with asyncio.timeout(SILENCE_TIMEOUT_S + extra_s) as limit:
-                return await self._exchange(outgoing, limit)
-        except LOST as exc:
-            return Err(self._lost(exc))
+            async with asyncio.timeout(
+                READ_TIMEOUT_S + extra_timeout_s
+            ) as read_timeout:
+                return await self._exchange(outgoing, read_timeout)
+        except CALL_ERRORS as exc:
+            return Err(self._no_response_problem(exc))
 
     async def _exchange(
-        self, outgoing: Outgoing, limit: asyncio.Timeout
+        self, outgoing: Outgoing, read_timeout: asyncio.Timeout
     ) -> Result[tuple[int, bytes], Problem]:
-        channel = await self._open()
-        kept = False
+        channel = await self._acquire_channel()
+        is_reusable = False
         try:
-            head, content = await self._answer(channel, outgoing, limit)
-            kept = channel.release()
+            head, content = await self._read_response(
+                channel, outgoing, read_timeout
+            )
+            is_reusable = channel.release()
         finally:
-            self._keep(channel, kept)
+            self._release_channel(channel, is_reusable)
         if head.status not in {HTTPStatus.OK, HTTPStatus.GONE}:
-            return Err(self._refused(head.status))
+            return Err(self._status_problem(head.status))
         if head.get('content-encoding') == DEFLATE.decode():
             content = inflate(content)
         return Ok((head.status, content))
 
-    async def _answer(
-        self, channel: Channel, outgoing: Outgoing, limit: asyncio.Timeout
+    async def _read_response(
+        self,
+        channel: Channel,
+        outgoing: Outgoing,
+        read_timeout: asyncio.Timeout,
     ) -> tuple[Head, bytes]:
         await channel.send(outgoing)
         head = await channel.head()
-        ends_at = _loop_time() + self._whole_timeout_s
-        on_growth = partial(_prolong, limit, ends_at)
-        return head, await channel.body(MOST_INFLATED, on_growth)
+        body_deadline = _loop_time() + self._body_timeout_s
+        on_growth = partial(_extend_timeout, read_timeout, body_deadline)
+        return head, await channel.body(MAX_INFLATED_BYTES, on_growth)
 
-    async def _open(self) -> Channel:
-        while self._idle:
-            channel = self._idle.pop()
+    async def _acquire_channel(self) -> Channel:
+        while self._idle_channels:
+            channel = self._idle_channels.pop()
             if channel.usable:
                 return channel
             channel.abort()
@@ -223,15 +230,15 @@
             self.address, self.port, self._clock, bounds=STORE_BOUNDS
         )
 
-    def _keep(self, channel: Channel, kept: bool) -> None:
-        if kept:
-            self._idle.append(channel)
+    def _release_channel(self, channel: Channel, is_reusable: bool) -> None:
+        if is_reusable:
+            self._idle_channels.append(channel)
             return
         # After a failed exchange, the peer may never send another byte.
         with suppress(OSError):
             channel.abort()
 
-    def _lost(self, exc: Exception) -> Problem:
+    def _no_response_problem(self, exc: Exception) -> Problem:
         return Problem(
             ErrorKind.LOG_UNAVAILABLE,
             f'the store at {self.address}:{self.port} gave no answer: '
@@ -239,7 +246,7 @@
             'what is known stays in force; see whether other VMs reach it',
         )
 
-    def _refused(self, status: int) -> Problem:
+    def _status_problem(self, status: int) -> Problem:
         return Problem(
             ErrorKind.LOG_REFUSED,
             f'the store answered {status}',
@@ -250,23 +257,25 @@
 def make_mirror_client(address: str, port: int, clock: Clock) -> StoreClient:
     """Make a client that reads another VM's copy, in deflated responses."""
     headers = [(ACCEPT_ENCODING, DEFLATE)]
-    return StoreClient(address, port, clock, headers, MIRROR_TIMEOUT_S)
+    return StoreClient(address, port, clock, headers, MIRROR_BODY_TIMEOUT_S)
 
 
-def _prolong(limit: asyncio.Timeout, ends_at: float, size: int) -> None:
+def _extend_timeout(
+    read_timeout: asyncio.Timeout, body_deadline: float, size: int
+) -> None:
     """Restart the read timeout, up to the end of the body timeout."""
-    limit.reschedule(min(_loop_time() + SILENCE_TIMEOUT_S, ends_at))
+    read_timeout.reschedule(min(_loop_time() + READ_TIMEOUT_S, body_deadline))
 
 
 def _loop_time() -> float:
     return asyncio.get_running_loop().time()
 
 
-def _record(item: _Item) -> KeyedRecord:
+def _make_record(item: _Item) -> KeyedRecord:
     return KeyedRecord(item.offset, item.key, item.value)
 
 
-def _unreadable(exc: Exception) -> Problem:
+def _decode_problem(exc: Exception) -> Problem:
     return Problem(
         ErrorKind.BAD_RECORD,
         f'the store sent what cannot be read: {exc!r}',
@@ -274,5 +283,5 @@
     )
 
 
-def _nothing(_: object) -> None:
+def _discard_body(_: object) -> None:
     """Discard a response whose body carries no information."""
--- a/bramleybend/scheduler/order_issuer.py
+++ b/bramleybend/scheduler/order_issuer.py
@@ -10,7 +10,7 @@
 
 from result import Ok
 
-from bramleybend.clients.engine_orders import EngineOrders
+from bramleybend.clients.engine_orders import EngineClient
 from bramleybend.decisions.orders import (
     EngineState,
     Order,
@@ -49,7 +49,7 @@
         sources: OrderSources,
         deps: OrderDeps,
         permits: LoadPermits,
-        engines: EngineOrders,
+        engines: EngineClient,
     ) -> None:
         """Know no engine's state before the first round."""
         self.unschedulable: frozenset[str] = frozenset()
--- a/bramleybend/scheduler/order_manager.py
+++ b/bramleybend/scheduler/order_manager.py
@@ -4,8 +4,8 @@
 from typing import Final
 
 from bramleybend.clients.engine_orders import (
-    EngineOrders,
-    HttpEngineOrders,
+    EngineClient,
+    HttpEngineClient,
 )
 from bramleybend.decisions.ownership import shard_of
 from bramleybend.metrics import Metric
@@ -29,7 +29,7 @@
         self,
         sources: OrderSources,
         deps: OrderDeps,
-        engines: EngineOrders,
+        engines: EngineClient,
     ) -> None:
         """Start without issuers."""
         self._sources = sources
@@ -110,7 +110,7 @@
 
 def make_order_manager(sources: OrderSources, deps: OrderDeps) -> OrderManager:
     """Build a manager that sends orders over HTTP."""
-    return OrderManager(sources, deps, HttpEngineOrders())
+    return OrderManager(sources, deps, HttpEngineClient())
 
 
 def _list_keys(terms: Terms, sources: OrderSources) -> set[ShardKey]:
--- a/bramleybend/scheduler/order_sender.py
+++ b/bramleybend/scheduler/order_sender.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from bramleybend.clients.engine_orders import EngineOrders, order_fields
+from bramleybend.clients.engine_orders import EngineClient, order_fields
 from bramleybend.decisions.orders import EngineState, Order, SetRole
 from bramleybend.errors import ErrorKind, Problem
 from bramleybend.metrics import Metric
@@ -25,7 +25,7 @@
         key: ShardKey,
         sources: OrderSources,
         deps: OrderDeps,
-        engines: EngineOrders,
+        engines: EngineClient,
     ) -> None:
         """Start without a claim."""
         # Engines that have received the fence of the current claim.
--- a/bramleybend/scheduler/peer_service.py
+++ b/bramleybend/scheduler/peer_service.py
@@ -11,7 +11,7 @@
     TermsRequest,
 )
 from bramleybend.wire.bramleybend_pb2_grpc import PeerServicer
-from bramleybend.wire.check import Context, refuse_other_protocol
+from bramleybend.wire.check import Context, reject_protocol_mismatch
 
 
 class PeerService(PeerServicer):
@@ -34,7 +34,7 @@
         context: Context,
     ) -> GossipMessage:
         """Answer a peer's gossip message."""
-        await refuse_other_protocol(request.header, context)
+        await reject_protocol_mismatch(request.header, context)
         return await self._gossip.handle_message(request)
 
     async def FetchTerms(
@@ -43,7 +43,7 @@
         context: Context,
     ) -> TermsReply:
         """Return the terms held here; version 0 stands for none."""
-        await refuse_other_protocol(request.header, context)
+        await reject_protocol_mismatch(request.header, context)
         terms = self._terms()
         if terms is None:
             return TermsReply(header=self._header())
--- a/bramleybend/scheduler/peers.py
+++ b/bramleybend/scheduler/peers.py
@@ -31,7 +31,7 @@
     TermsRequest,
 )
 from bramleybend.wire.bramleybend_pb2_grpc import add_PeerServicer_to_server
-from bramleybend.wire.channels import PROTOCOL
+from bramleybend.wire.channels import PROTOCOL_VERSION
 
 MS_PER_S: Final = 1000
 MAX_SENT_SHARDS: Final = 64
@@ -67,7 +67,7 @@
     def make_header(self) -> Header:
         """Return the header, with the version of the terms in force."""
         return Header(
-            protocol=PROTOCOL,
+            protocol=PROTOCOL_VERSION,
             vm=self._sources.identity.vm,
             incarnation=self._sources.identity.incarnation,
             terms_version=self._sources.terms.version,
--- a/bramleybend/wire/headers.py
+++ b/bramleybend/wire/headers.py
@@ -10,8 +10,8 @@
 from bramleybend.events import EventLog, parse_stamp
 from bramleybend.identity import Identity
 from bramleybend.wire.bramleybend_pb2 import Header
-from bramleybend.wire.channels import PROTOCOL
-from bramleybend.wire.check import Context, refuse_other_protocol
+from bramleybend.wire.channels import PROTOCOL_VERSION
+from bramleybend.wire.check import Context, reject_protocol_mismatch
 
 
 class Headers:
@@ -31,7 +31,7 @@
     def make(self) -> Header:
         """Return a header for a message to send now."""
         return Header(
-            protocol=PROTOCOL,
+            protocol=PROTOCOL_VERSION,
             vm=self._identity.vm,
             incarnation=self._identity.incarnation,
             terms_version=self._terms_version(),
@@ -40,11 +40,11 @@
 
     def observe(self, header: Header) -> None:
         """Advance this process's clock past the sender's timestamp."""
-        seen = parse_stamp(header.hlc)
-        if seen is not None:
-            self._events.hybrid.observe(seen)
+        sender_stamp = parse_stamp(header.hlc)
+        if sender_stamp is not None:
+            self._events.hybrid.observe(sender_stamp)
 
     async def accept(self, header: Header, context: Context) -> None:
         """Process a request's header; abort on a protocol mismatch."""
-        await refuse_other_protocol(header, context)
+        await reject_protocol_mismatch(header, context)
         self.observe(header)
--- a/tests/benchmarks/capacity_control.py
+++ b/tests/benchmarks/capacity_control.py
@@ -12,7 +12,7 @@
 
 import yaml
 
-from bramleybend.clients.http_vm_list import ListBody
+from bramleybend.clients.http_vm_list import VmListBody
 from bramleybend.clock import SystemClock
 from bramleybend.decisions.actions import RunnerInfo, RunReport, ShardView
 from bramleybend.decisions.owner import ShardPolicy, make_shard_policy
@@ -282,7 +282,7 @@
         parse.append(
             (
                 nodes,
-                _spent(partial(ListBody.model_validate_json, text)),
+                _spent(partial(VmListBody.model_validate_json, text)),
             ),
         )
     yield Series('VM list: the body', 'nodes', 'KB', tuple(sizes), 350)
--- a/tests/failures/test_large_manifest.py
+++ b/tests/failures/test_large_manifest.py
@@ -19,7 +19,7 @@
 from bramleybend.direct.members import BEAT_S
 from bramleybend.direct.models import IngressLimits
 from bramleybend.events import EventLog
-from bramleybend.platform.follow import MANIFEST_FEED, ManifestPages
+from bramleybend.platform.follow import MANIFEST_FEED, ManifestApplier
 from bramleybend.platform.mirror import Mirror
 from bramleybend.platform.names import MANIFEST_KEY, MANIFEST_TOPIC
 from bramleybend.platform.store import StoreClient, make_mirror_client
@@ -85,7 +85,7 @@
         return clients[address]
 
     feed = Feed(MANIFEST_FEED, store, peer_source, clock, events, Random(name))
-    feed.take = ManifestPages(book, events).take
+    feed.take = ManifestApplier(book, events).take
     feed.copy.take(Page((record(0, manifest(1)),), 1, whole=True))
     feed.take(Page((record(0, manifest(1)),), 1, whole=True))
     feed.confirmed_at = clock.monotonic()
--- a/tests/platform/test_deflate.py
+++ b/tests/platform/test_deflate.py
@@ -9,12 +9,12 @@
 BODY = b'route' * 1000
 
 
-def test_what_was_deflated_is_read_as_it_was() -> None:
+def test_inflating_returns_the_deflated_body() -> None:
     """Inflating returns the original bytes if they fit the limit."""
     assert inflate(deflate(BODY), len(BODY)) == BODY
 
 
-def test_a_cut_or_spoilt_body_is_never_taken_for_whole() -> None:
+def test_a_truncated_or_corrupt_body_is_never_accepted() -> None:
     """Guards against applying a truncated or corrupt manifest.
 
     A VM that crashes while it sends a body leaves it truncated.
@@ -22,16 +22,16 @@
     rng = Random(5)
     deflated = deflate(BODY)
     for _ in range(200):
-        cut = deflated[: rng.randrange(len(deflated))]
+        truncated = deflated[: rng.randrange(len(deflated))]
         with pytest.raises(InflateError):
-            inflate(cut, len(BODY))
-        spoilt = bytearray(deflated)
-        spoilt[rng.randrange(len(spoilt))] ^= 1 << rng.randrange(8)
+            inflate(truncated, len(BODY))
+        corrupt = bytearray(deflated)
+        corrupt[rng.randrange(len(corrupt))] ^= 1 << rng.randrange(8)
         try:
-            read = inflate(bytes(spoilt), len(BODY))
+            inflated = inflate(bytes(corrupt), len(BODY))
         except InflateError:
             continue
-        assert read == BODY
+        assert inflated == BODY
 
 
 def test_a_few_bytes_do_not_fill_the_memory() -> None:
--- a/tests/platform/test_words.py
+++ b/tests/platform/test_words.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 PACKAGE = Path(__file__).parents[2] / 'bramleybend'
-WORDS = re.compile(
+PLATFORM_NAMES = re.compile(
     r'x-bramleybend|tenant|apikey|trafficsplit|pathprefix|maxattempts'
     r'|targetlatency|plaintokens|keyed\.|/log-|not-executed|kv-from'
     r'|x_bramleybend|coldleft|readyz|/resolve|ttls',
@@ -12,13 +12,13 @@
 )
 
 
-def test_nothing_outside_the_folder_knows_the_platforms_names() -> None:
+def test_only_the_platform_package_uses_the_platforms_names() -> None:
     """Guards against a dependence on the platform's interface elsewhere."""
-    found = [
+    violations = [
         f'{path.relative_to(PACKAGE)}:{number}: {line.strip()}'
         for path in sorted(PACKAGE.rglob('*.py'))
         if path.parts[-2] != 'platform'
         for number, line in enumerate(path.read_text().splitlines(), 1)
-        if WORDS.search(line)
+        if PLATFORM_NAMES.search(line)
     ]
-    assert not found
+    assert not violations
--- a/tests/test_endless_messages.py
+++ b/tests/test_endless_messages.py
@@ -13,7 +13,7 @@
 
 from bramleybend.clients.http import Exchange, read_whole
 from bramleybend.clients.message_bounds import MessageTooLongError
-from bramleybend.clients.runner import events_of
+from bramleybend.clients.runner import iter_events
 from bramleybend.errors import ProblemError
 from bramleybend.gateway.caller_connection import CallerConnection
 from tests.direct.world import KEY, playing
@@ -31,7 +31,7 @@
 BODY: Final = (b'%bContent-Type: text/plain\r\n\r\n' % OK, b'body' * 4096)
 POST: Final = b'POST /book/x HTTP/1.1\r\nHost: desk.example\r\n'
 CHUNKED_POST: Final = b'%bTransfer-Encoding: chunked\r\n\r\n' % POST
-ENDLESS: Final = (
+ENDLESS_ERRORS: Final = (
     MessageTooLongError,
     ProblemError,
     h11.RemoteProtocolError,
@@ -47,7 +47,9 @@
 
 
 @asynccontextmanager
-async def fed(first: bytes, then: bytes) -> AsyncIterator[asyncio.StreamReader]:
+async def endless_reader(
+    first: bytes, then: bytes
+) -> AsyncIterator[asyncio.StreamReader]:
     """Yield a reader that gets `first` once, then `then` without end."""
     reader = asyncio.StreamReader()
 
@@ -62,11 +64,11 @@
     feeding.cancel()
 
 
-def writer() -> Mock:
+def discarding_writer() -> Mock:
     """Return a stream writer that discards what is written."""
-    made = Mock(drain=AsyncMock(), wait_closed=AsyncMock())
-    made.get_extra_info.return_value = ('127.0.0.1', 80)
-    return made
+    mock_writer = Mock(drain=AsyncMock(), wait_closed=AsyncMock())
+    mock_writer.get_extra_info.return_value = ('127.0.0.1', 80)
+    return mock_writer
 
 
 @pytest.mark.parametrize('case', [*HEADS, *FRAMING, 'body'])
@@ -78,13 +80,13 @@
     The task that reads its response would never end.
     """
     first, then = {**HEADS, **FRAMING, 'body': BODY}[case]
-    before = thread_time()
-    async with fed(first, then) as reader:
-        exchange = Exchange(reader, writer())
+    cpu_time_before = thread_time()
+    async with endless_reader(first, then) as reader:
+        exchange = Exchange(reader, discarding_writer())
         await exchange.send('GET', '/')
-        with pytest.raises(ENDLESS):
+        with pytest.raises(ENDLESS_ERRORS):
             await read_whole(exchange)
-    assert thread_time() - before <= PROCESSOR_S
+    assert thread_time() - cpu_time_before <= PROCESSOR_S
 
 
 @pytest.mark.parametrize('case', EVENTS)
@@ -96,32 +98,34 @@
     It does if each part that arrives has the event searched from its start.
     """
     first, then = EVENTS[case]
-    before = thread_time()
-    async with fed(FRAMED + chunk(first or then), chunk(then)) as reader:
-        exchange = Exchange(reader, writer())
+    cpu_time_before = thread_time()
+    async with endless_reader(
+        FRAMED + chunk(first or then), chunk(then)
+    ) as reader:
+        exchange = Exchange(reader, discarding_writer())
         await exchange.send('GET', '/')
         await exchange.head()
         with pytest.raises(MessageTooLongError):
-            async for _ in events_of(exchange):
+            async for _ in iter_events(exchange):
                 """Discard the event."""
-    assert thread_time() - before <= PROCESSOR_S
+    assert thread_time() - cpu_time_before <= PROCESSOR_S
 
 
 @pytest.mark.parametrize('case', REQUESTS)
 async def test_a_request_without_end_is_refused(case: str) -> None:
     """Guards against a caller that takes the CPU time of all others."""
     first, then = REQUESTS[case]
-    answered = AsyncMock()
-    before = thread_time()
-    async with fed(first, then) as reader:
-        out = writer()
-        conn = CallerConnection(reader, out, answered, Mock())
-        rejected = Mock()
+    handler = AsyncMock()
+    cpu_time_before = thread_time()
+    async with endless_reader(first, then) as reader:
+        out = discarding_writer()
+        conn = CallerConnection(reader, out, handler, Mock())
+        on_rejected = Mock()
         async with asyncio.timeout(4):
-            await conn.serve(rejected)
-    assert thread_time() - before <= PROCESSOR_S
-    rejected.assert_called_once()
-    answered.assert_not_awaited()
+            await conn.serve(on_rejected)
+    assert thread_time() - cpu_time_before <= PROCESSOR_S
+    on_rejected.assert_called_once()
+    handler.assert_not_awaited()
 
 
 @pytest.mark.parametrize('case', REQUESTS)
@@ -132,14 +136,14 @@
     async with playing() as world:
         caller = await world.connect()
         caller.writer.write(first.replace(POST, POST + key))
-        sending = asyncio.create_task(_send_on(caller.writer, then))
+        sending = asyncio.create_task(_send_endlessly(caller.writer, then))
         answer = await caller.answer(2)
         assert answer.status in {400, 413, 431}
         async with asyncio.timeout(2):
             await sending
 
 
-async def _send_on(out: asyncio.StreamWriter, then: bytes) -> None:
+async def _send_endlessly(out: asyncio.StreamWriter, then: bytes) -> None:
     """Send `then` again and again until the peer closes the connection."""
     try:
         while True:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -29,7 +29,7 @@
     PeerStub,
     add_PeerServicer_to_server,
 )
-from bramleybend.wire.channels import PROTOCOL
+from bramleybend.wire.channels import PROTOCOL_VERSION
 from tests.utils.cluster import free_prefix
 from tests.utils.waiting import wait_until
 
@@ -53,7 +53,7 @@
     def make_header(self) -> Header:
         """Return a header that names this node."""
         return Header(
-            protocol=PROTOCOL,
+            protocol=PROTOCOL_VERSION,
             vm=self.address,
             incarnation=f'{self.address}-a',
             terms_version=self.terms_version,
--- a/tests/test_order_issuer.py
+++ b/tests/test_order_issuer.py
@@ -7,7 +7,7 @@
 import pytest
 from result import Err, Ok, Result
 
-from bramleybend.clients.engine_orders import ReportedWork
+from bramleybend.clients.engine_orders import EngineLoad
 from bramleybend.clients.log_service import NO_WAIT, READ_LIMIT, LogBatch
 from bramleybend.clock import ManualClock
 from bramleybend.decisions.orders import (
@@ -96,8 +96,8 @@
     async def state(self, vm: Vm) -> Result[EngineState, Problem]:
         return Ok(self.states[vm.name])
 
-    async def work(self, vm: Vm) -> Result[ReportedWork, Problem]:
-        return Ok(ReportedWork(0, 0))
+    async def work(self, vm: Vm) -> Result[EngineLoad, Problem]:
+        return Ok(EngineLoad(0, 0))
 
     async def send(
         self,
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -19,7 +19,7 @@
 
 
 @contextmanager
-def _peer(answer_after_s: float) -> Iterator[str]:
+def _responding_peer(answer_after_s: float) -> Iterator[str]:
     """Respond to one request from a thread, unaffected by a stalled loop."""
 
     def _serve() -> None:
@@ -36,37 +36,35 @@
         thread.join()
 
 
-async def _call_over_a_stall(*, is_patient: bool) -> bool:
+async def _call_during_stall(*, is_stall_tolerant: bool) -> bool:
     """Call a peer that responds while the event loop is stalled.
 
     Return whether the response was accepted.
     """
-    with _peer(0.1) as url:
-        call = HttpApi(url, LIMIT_S).call('GET', '/', is_patient=is_patient)
+    with _responding_peer(0.1) as url:
+        call = HttpApi(url, LIMIT_S).call(
+            'GET', '/', is_stall_tolerant=is_stall_tolerant
+        )
         calling = asyncio.create_task(call)
         await asyncio.sleep(0.05)
         time.sleep(STALL_S)
         return isinstance(await calling, Ok)
 
 
-async def test_an_answer_that_came_while_the_process_stood_still_is_read() -> (
-    None
-):
+async def test_a_response_that_came_during_a_stall_is_accepted() -> None:
     """Guards against treating a stall of this process as an outage."""
-    assert await _call_over_a_stall(is_patient=True)
+    assert await _call_during_stall(is_stall_tolerant=True)
 
 
-async def test_news_from_before_a_pause_is_not_taken_for_fresh() -> None:
+async def test_data_from_before_a_stall_is_not_accepted() -> None:
     """Guards against a VM that uses outdated terms after a suspension.
 
     The terms may have changed while it was suspended.
     """
-    assert not await _call_over_a_stall(is_patient=False)
+    assert not await _call_during_stall(is_stall_tolerant=False)
 
 
-async def test_a_connection_made_while_the_process_stood_still_is_used() -> (
-    None
-):
+async def test_a_connection_opened_during_a_stall_is_used() -> None:
     """Guards against treating a stall of this process as a lost peer."""
     with socket.create_server(('127.0.0.1', 0)) as listener:
         host, port = listener.getsockname()
@@ -77,19 +75,19 @@
 
 
 async def test_a_silent_peer_is_given_up_in_time() -> None:
-    began = time.monotonic()
+    started_at = time.monotonic()
     with pytest.raises(TimeoutError):
         await within(LIMIT_S, asyncio.sleep(30))
-    assert LIMIT_S <= time.monotonic() - began < 4 * LIMIT_S
+    assert LIMIT_S <= time.monotonic() - started_at < 4 * LIMIT_S
 
 
 async def test_a_body_that_takes_too_long_is_ended_in_time() -> None:
     """Guards against a connection attempt to a dead host that never ends."""
-    began = time.monotonic()
+    started_at = time.monotonic()
     with pytest.raises(TimeoutError):
         async with patience(LIMIT_S):
             await asyncio.sleep(30)
-    assert LIMIT_S <= time.monotonic() - began < 4 * LIMIT_S
+    assert LIMIT_S <= time.monotonic() - started_at < 4 * LIMIT_S
 
 
 async def test_a_body_that_ends_in_time_is_left_alone() -> None:
