--- a/bramleybend/control.py
+++ b/bramleybend/control.py
@@ -13,7 +13,7 @@
     StatusRequest,
 )
 from bramleybend.wire.bramleybend_pb2_grpc import ControlServicer
-from bramleybend.wire.check import Context
+from bramleybend.wire.protocol_check import Context
 
 
 class Process(Protocol):
--- a/bramleybend/gateway/forwarding.py
+++ b/bramleybend/gateway/forwarding.py
@@ -27,8 +27,8 @@
 )
 from bramleybend.wire.bramleybend_pb2_grpc import HomeServicer, HomeStub
 from bramleybend.wire.channels import Channels
-from bramleybend.wire.check import Context
 from bramleybend.wire.headers import Headers
+from bramleybend.wire.protocol_check import Context
 
 FIRST_REPLY_TIMEOUT_S: Final = 2.0
 UNKNOWN_HOME: Final = grpc.StatusCode.NOT_FOUND
--- a/bramleybend/platform/program.py
+++ b/bramleybend/platform/program.py
@@ -12,7 +12,7 @@
 from bramleybend.direct.runner_list import RunnerList
 from bramleybend.entry_settings import EntrySettings
 from bramleybend.platform.directory import Directory
-from bramleybend.platform.follow import (
+from bramleybend.platform.feeds import (
     MANIFEST_FEED,
     RUNNER_FEED,
     ManifestApplier,
--- a/bramleybend/scheduler/order_issuer.py
+++ b/bramleybend/scheduler/order_issuer.py
@@ -10,7 +10,7 @@
 
 from result import Ok
 
-from bramleybend.clients.engine_orders import EngineClient
+from bramleybend.clients.engine_client import EngineClient
 from bramleybend.decisions.orders import (
     EngineState,
     Order,
--- a/bramleybend/scheduler/order_manager.py
+++ b/bramleybend/scheduler/order_manager.py
@@ -3,7 +3,7 @@
 import asyncio
 from typing import Final
 
-from bramleybend.clients.engine_orders import (
+from bramleybend.clients.engine_client import (
     EngineClient,
     HttpEngineClient,
 )
--- a/bramleybend/scheduler/order_sender.py
+++ b/bramleybend/scheduler/order_sender.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from bramleybend.clients.engine_orders import EngineClient, order_fields
+from bramleybend.clients.engine_client import EngineClient, order_fields
 from bramleybend.decisions.orders import EngineState, Order, SetRole
 from bramleybend.errors import ErrorKind, Problem
 from bramleybend.metrics import Metric
--- a/bramleybend/scheduler/owner_service.py
+++ b/bramleybend/scheduler/owner_service.py
@@ -31,8 +31,8 @@
     Refused,
 )
 from bramleybend.wire.bramleybend_pb2_grpc import OwnerServicer
-from bramleybend.wire.check import Context
 from bramleybend.wire.headers import Headers
+from bramleybend.wire.protocol_check import Context
 
 
 class OwnerService(OwnerServicer):
--- a/bramleybend/scheduler/peer_service.py
+++ b/bramleybend/scheduler/peer_service.py
@@ -11,7 +11,7 @@
     TermsRequest,
 )
 from bramleybend.wire.bramleybend_pb2_grpc import PeerServicer
-from bramleybend.wire.check import Context, reject_protocol_mismatch
+from bramleybend.wire.protocol_check import Context, reject_protocol_mismatch
 
 
 class PeerService(PeerServicer):
--- a/bramleybend/scheduler/view_service.py
+++ b/bramleybend/scheduler/view_service.py
@@ -17,8 +17,8 @@
     ViewRequest,
 )
 from bramleybend.wire.bramleybend_pb2_grpc import LocalServicer
-from bramleybend.wire.check import Context
 from bramleybend.wire.headers import Headers
+from bramleybend.wire.protocol_check import Context
 
 
 @dataclass(frozen=True)
--- a/bramleybend/wire/headers.py
+++ b/bramleybend/wire/headers.py
@@ -11,7 +11,7 @@
 from bramleybend.identity import Identity
 from bramleybend.wire.bramleybend_pb2 import Header
 from bramleybend.wire.channels import PROTOCOL_VERSION
-from bramleybend.wire.check import Context, reject_protocol_mismatch
+from bramleybend.wire.protocol_check import Context, reject_protocol_mismatch
 
 
 class Headers:
--- a/tests/failures/test_large_manifest.py
+++ b/tests/failures/test_large_manifest.py
@@ -19,7 +19,7 @@
 from bramleybend.direct.members import BEAT_S
 from bramleybend.direct.models import IngressLimits
 from bramleybend.events import EventLog
-from bramleybend.platform.follow import MANIFEST_FEED, ManifestApplier
+from bramleybend.platform.feeds import MANIFEST_FEED, ManifestApplier
 from bramleybend.platform.mirror import Mirror
 from bramleybend.platform.names import MANIFEST_KEY, MANIFEST_TOPIC
 from bramleybend.platform.store import StoreClient, make_mirror_client
--- a/tests/test_channels.py
+++ b/tests/test_channels.py
@@ -24,7 +24,7 @@
     add_PeerServicer_to_server,
 )
 from bramleybend.wire.channels import Channels
-from bramleybend.wire.check import Context
+from bramleybend.wire.protocol_check import Context
 from tests.utils.cluster import free_prefix
 from tests.utils.relay import Cut, Relay
 
--- a/tests/test_floor_round.py
+++ b/tests/test_floor_round.py
@@ -23,8 +23,8 @@
     add_OwnerServicer_to_server,
 )
 from bramleybend.wire.channels import Channels
-from bramleybend.wire.check import Context
 from bramleybend.wire.headers import Headers
+from bramleybend.wire.protocol_check import Context
 
 CLOCK = SystemClock()
 SERVICE = 'briefing-llm'
--- a/tests/test_order_issuer.py
+++ b/tests/test_order_issuer.py
@@ -7,7 +7,7 @@
 import pytest
 from result import Err, Ok, Result
 
-from bramleybend.clients.engine_orders import EngineLoad
+from bramleybend.clients.engine_client import EngineLoad
 from bramleybend.clients.log_service import NO_WAIT, READ_LIMIT, LogBatch
 from bramleybend.clock import ManualClock
 from bramleybend.decisions.orders import (
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -31,8 +31,8 @@
     add_LocalServicer_to_server,
 )
 from bramleybend.wire.channels import Channels
-from bramleybend.wire.check import Context
 from bramleybend.wire.headers import Headers
+from bramleybend.wire.protocol_check import Context
 from tests.utils.cluster import free_prefix
 from tests.utils.waiting import wait_until
 
