--- a/bramleybend/clients/engine_client.py
+++ b/bramleybend/clients/engine_client.py
@@ -56,13 +56,13 @@
 class EngineClient(Protocol):
     """Interface of an issuer of orders to engines."""
 
-    async def state(self, vm: Vm) -> Result[EngineState, Problem]:
+    async def fetch_state(self, vm: Vm) -> Result[EngineState, Problem]:
         """Return the model, adapters and role that the engine now has."""
 
-    async def work(self, vm: Vm) -> Result[EngineLoad, Problem]:
+    async def fetch_load(self, vm: Vm) -> Result[EngineLoad, Problem]:
         """Return the number of its runs, as of a moment ago."""
 
-    async def send(
+    async def send_order(
         self,
         vm: Vm,
         fence: int,
@@ -79,7 +79,7 @@
 class HttpEngineClient:
     """Sends orders over HTTP; keeps no state between calls."""
 
-    async def state(self, vm: Vm) -> Result[EngineState, Problem]:
+    async def fetch_state(self, vm: Vm) -> Result[EngineState, Problem]:
         """Return the model, adapters and role that the engine now has."""
         call_result = await _engine_api(vm).call('GET', '/v1/state')
         return (
@@ -96,7 +96,7 @@
             ),
         )
 
-    async def work(self, vm: Vm) -> Result[EngineLoad, Problem]:
+    async def fetch_load(self, vm: Vm) -> Result[EngineLoad, Problem]:
         """Return the number of its runs, as of a moment ago."""
         call_result = await _engine_api(vm).call('GET', '/v1/load')
         return (
@@ -110,13 +110,13 @@
             ),
         )
 
-    async def send(
+    async def send_order(
         self,
         vm: Vm,
         fence: int,
         order: Order,
     ) -> Result[None, Problem]:
-        """Send one order; see `EngineClient.send` for the errors."""
+        """Send one order; see `EngineClient.send_order` for the errors."""
         call_result = await _engine_api(vm).call(
             'POST',
             '/v1/orders',
--- a/bramleybend/clients/http.py
+++ b/bramleybend/clients/http.py
@@ -92,8 +92,8 @@
         self._writer.write(b''.join(part for part in parts if part))
         await self._writer.drain()
 
-    async def head(self) -> HttpResponse:
-        """Read status and headers; `chunks` reads the body.
+    async def read_head(self) -> HttpResponse:
+        """Read status and headers; `iter_body` reads the body.
 
         The result's body is empty. Raises `EOFError` if the peer closes the
         connection first.
@@ -110,7 +110,7 @@
         }
         return HttpResponse(event.status_code, headers, b'')
 
-    async def chunks(self) -> AsyncIterator[bytes]:
+    async def iter_body(self) -> AsyncIterator[bytes]:
         """Yield the parts of the body; raises if it is truncated."""
         event = await self._next_event()
         while isinstance(event, h11.Data):
@@ -222,10 +222,10 @@
 
     Raises `ProblemError` if the body is larger than `MAX_BODY` bytes.
     """
-    head = await exchange.head()
+    head = await exchange.read_head()
     parts: list[bytes] = []
     size = 0
-    async for chunk in exchange.chunks():
+    async for chunk in exchange.iter_body():
         parts.append(chunk)
         size += len(chunk)
         if size > MAX_BODY:
--- a/bramleybend/clients/runner.py
+++ b/bramleybend/clients/runner.py
@@ -133,7 +133,7 @@
     """
     meter = MessageMeter(USUAL_BOUNDS)
     pending = bytearray()
-    async for chunk in exchange.chunks():
+    async for chunk in exchange.iter_body():
         search_start = max(len(pending) - 1, 0)
         pending += chunk
         if pending.find(EVENT_END, search_start) >= 0:
--- a/bramleybend/gateway/attempt.py
+++ b/bramleybend/gateway/attempt.py
@@ -119,7 +119,7 @@
 
     async def _read_answer(self, exchange: Exchange) -> AttemptEnd:
         try:
-            head = await exchange.head()
+            head = await exchange.read_head()
         except EXCHANGE_ERRORS:
             return await self._handle_no_response()
         if was_refused(head, self._address.kind):
@@ -142,7 +142,7 @@
     ) -> AttemptEnd:
         parts: list[bytes] = []
         try:
-            async for chunk in exchange.chunks():
+            async for chunk in exchange.iter_body():
                 parts.append(chunk)
         except EXCHANGE_ERRORS:
             return await self._make_broken_end(EndKind.TORN)
@@ -187,7 +187,7 @@
             self._runner_crashed = True
             return None
         try:
-            head = await exchange.head()
+            head = await exchange.read_head()
             if head.status != HTTPStatus.OK:
                 # An engine that does not know a run it had admitted has
                 # restarted since, even if it accepts connections again.
--- a/bramleybend/scheduler/order_issuer.py
+++ b/bramleybend/scheduler/order_issuer.py
@@ -97,7 +97,7 @@
                 self._changes.pop(name)
 
     async def _read_states(self, vms: Sequence[Vm]) -> None:
-        replies = await asyncio.gather(*map(self._engines.state, vms))
+        replies = await asyncio.gather(*map(self._engines.fetch_state, vms))
         self._states = {
             vm.name: reply.ok_value
             for vm, reply in zip(vms, replies, strict=True)
@@ -180,7 +180,7 @@
         now = self._deps.clock.monotonic()
         if change.drained_at is None:
             change.drained_at = now
-        work = (await self._engines.work(change.vm)).ok()
+        work = (await self._engines.fetch_load(change.vm)).ok()
         if work is None or work.runs:
             return False
         return now - change.drained_at > work.age_s
@@ -227,7 +227,7 @@
                 return False
         if not await self._sender.acquire_claim(plan):
             return False
-        state = (await self._engines.state(change.vm)).ok()
+        state = (await self._engines.fetch_state(change.vm)).ok()
         if state is None or state.loading:
             return False
         now = self._deps.clock.monotonic()
--- a/bramleybend/scheduler/order_sender.py
+++ b/bramleybend/scheduler/order_sender.py
@@ -78,7 +78,7 @@
             )
         kind = order_fields(order)['kind']
         self.record_event('order_sent', vm, kind=kind, fence=fence)
-        problem = (await self._engines.send(vm, fence, order)).err()
+        problem = (await self._engines.send_order(vm, fence, order)).err()
         outcome = problem.kind if problem else 'accepted'
         self._deps.metrics.count(Metric.ORDERS, kind=kind, outcome=outcome)
         if problem is not None:
--- a/tests/test_endless_messages.py
+++ b/tests/test_endless_messages.py
@@ -104,7 +104,7 @@
     ) as reader:
         exchange = Exchange(reader, discarding_writer())
         await exchange.send('GET', '/')
-        await exchange.head()
+        await exchange.read_head()
         with pytest.raises(MessageTooLongError):
             async for _ in iter_events(exchange):
                 """Discard the event."""
--- a/tests/test_order_issuer.py
+++ b/tests/test_order_issuer.py
@@ -93,13 +93,13 @@
     error: Problem | None = None  # returned for orders, executed or not
     ignores_orders: bool = False
 
-    async def state(self, vm: Vm) -> Result[EngineState, Problem]:
+    async def fetch_state(self, vm: Vm) -> Result[EngineState, Problem]:
         return Ok(self.states[vm.name])
 
-    async def work(self, vm: Vm) -> Result[EngineLoad, Problem]:
+    async def fetch_load(self, vm: Vm) -> Result[EngineLoad, Problem]:
         return Ok(EngineLoad(0, 0))
 
-    async def send(
+    async def send_order(
         self,
         vm: Vm,
         fence: int,
