--- a/bramleybend/clients/engine_client.py
+++ b/bramleybend/clients/engine_client.py
@@ -54,7 +54,7 @@
 
 
 class EngineClient(Protocol):
-    """Interface of an issuer of orders to engines."""
+    """Calls to engines that the issuer of orders makes."""
 
     async def fetch_state(self, vm: Vm) -> Result[EngineState, Problem]:
         """Return the model, adapters and role that the engine now has."""
--- a/bramleybend/clients/http.py
+++ b/bramleybend/clients/http.py
@@ -167,7 +167,7 @@
         """Send a request, with `payload` as JSON, and read the response.
 
         After `PEER_UNAVAILABLE` nothing was sent; after `TIMEOUT`, the peer
-        may have processed the request. `extra_s` extends the timeout.
+        may have processed the request. `extra_timeout_s` extends the timeout.
         With `is_stall_tolerant`, a response that arrived while this process
         was suspended is accepted even if the timeout has passed. It may be as
         old as the suspension, so calls that need current data don't set this.
--- a/bramleybend/platform/directory.py
+++ b/bramleybend/platform/directory.py
@@ -12,8 +12,8 @@
 RESOLVE_PATH: Final = '/resolve'
 READY_PATH: Final = '/readyz'
 METRICS_PATH: Final = '/metrics'
-# Short, so that callers soon stop using a VM that shuts down; a response
-# costs little.
+# How long callers may cache addresses. Short, so that they soon stop using a
+# VM that shuts down; a response costs little.
 ADDRESS_TTL_S: Final = 1
 MAX_ADDRESSES: Final = 64
 
--- a/bramleybend/platform/feeds.py
+++ b/bramleybend/platform/feeds.py
@@ -17,8 +17,9 @@
 
 # A read of the manifest's log is a long poll that returns at the next change.
 # A dead connection is noticed only when such a read times out, so its wait
-# and the timeout of a call must together stay below three seconds: a change
-# must take effect within two seconds, or three if a connection fails.
+# and the timeout of a call must together stay below three seconds. A change
+# must take effect within two seconds of its acknowledgement; a connection
+# failure excuses a later effect only until three seconds after the failure.
 MANIFEST_WAIT_S: Final = 1.5
 MANIFEST_MIN_INTERVAL_S: Final = 0.05
 MANIFEST_STALE_S: Final = 2.2
--- a/bramleybend/platform/kept_pages.py
+++ b/bramleybend/platform/kept_pages.py
@@ -17,7 +17,7 @@
 from bramleybend.platform.records import UNPACK_ERRORS, pack_page, unpack_page
 from bramleybend.platform.store import StoreClient
 
-# A record of the store holds 262,144 bytes, including its key. Deflated,
+# A record of the store holds up to 262,144 bytes with its key. Deflated,
 # 1,400 routes take 23 kB and 5,000 runners take 132 kB.
 MAX_SNAPSHOT_BYTES: Final = 261_000
 DECODE_ERRORS: Final = (*UNPACK_ERRORS, InflateError)
--- a/bramleybend/platform/mirror.py
+++ b/bramleybend/platform/mirror.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class _CachedBody:
-    """The last deflated response, reused for other VMs' same request."""
+    """A log's last deflated body, reused for identical requests."""
 
     target: bytes
     end: int | None
--- a/bramleybend/platform/program.py
+++ b/bramleybend/platform/program.py
@@ -50,7 +50,7 @@
         await self.entry.start()
 
     async def stop(self) -> None:
-        """Wait for requests in flight to end, then close everything."""
+        """Drain the requests in flight first, then close everything."""
         await self.entry.drain()
         await self.kill()
 
--- a/tests/platform/test_platform_names.py
+++ b/tests/platform/test_platform_names.py
@@ -13,7 +13,7 @@
 
 
 def test_only_the_platform_package_uses_the_platforms_names() -> None:
-    """Guards against a dependence on the platform's interface elsewhere."""
+    """Guards against other code that depends on the platform's interface."""
     violations = [
         f'{path.relative_to(PACKAGE)}:{number}: {line.strip()}'
         for path in sorted(PACKAGE.rglob('*.py'))
