--- a/bramleybend/clients/channel.py
+++ b/bramleybend/clients/channel.py
@@ -60,9 +60,9 @@
 
     def get(self, name: str) -> str | None:
         """Return a header's first value."""
-        wanted = name.encode()
+        wanted_key = name.encode()
         for key, text in self.headers:
-            if key == wanted:
+            if key == wanted_key:
                 return text.decode('latin-1')
         return None
 
@@ -220,7 +220,7 @@
         on this connection can belong to the current request.
         """
         assert self._sent_request is not None
-        trailing, closed = self.http.trailing_data
+        trailing, is_closed = self.http.trailing_data
         self.http = h11.Connection(h11.CLIENT)
         self.http.send(self._sent_request)
         if self.http.our_state is h11.SEND_BODY:
@@ -232,7 +232,7 @@
             self.http.send(h11.EndOfMessage())
         if trailing:
             self.http.receive_data(trailing)
-        if closed:
+        if is_closed:
             self.http.receive_data(b'')
 
     def release(self) -> bool:
--- a/bramleybend/clients/http.py
+++ b/bramleybend/clients/http.py
@@ -202,7 +202,7 @@
     exchange: Exchange, method: str, target: str, body: bytes
 ) -> HttpResponse:
     await exchange.send(method, target, (), body)
-    return await read_whole(exchange)
+    return await read_response(exchange)
 
 
 async def _with_timeout(
@@ -217,7 +217,7 @@
         return await exchanging
 
 
-async def read_whole(exchange: Exchange) -> HttpResponse:
+async def read_response(exchange: Exchange) -> HttpResponse:
     """Read status, headers and body.
 
     Raises `ProblemError` if the body is larger than `MAX_BODY` bytes.
--- a/bramleybend/clients/runner.py
+++ b/bramleybend/clients/runner.py
@@ -19,7 +19,7 @@
     Exchange,
     HttpResponse,
     connect,
-    read_whole,
+    read_response,
 )
 from bramleybend.clients.message_bounds import (
     EVENT_BYTES,
@@ -112,14 +112,14 @@
             exchange = await connect(address.host, address.port)
             try:
                 await exchange.send('POST', f'/v1/runs/{run_id}/cancel')
-                response = await read_whole(exchange)
+                response = await read_response(exchange)
             finally:
                 exchange.close()
             return response.status == HTTPStatus.OK
     return False
 
 
-def was_refused(head: HttpResponse, kind: ServiceKind) -> bool:
+def is_refusal(head: HttpResponse, kind: ServiceKind) -> bool:
     """Tell whether a response states that the request was not run."""
     if head.status not in REFUSAL_STATUSES:
         return False
--- a/bramleybend/gateway/attempt.py
+++ b/bramleybend/gateway/attempt.py
@@ -21,16 +21,16 @@
 from bramleybend.clients.runner import (
     DONE_EVENT,
     EVENT_END,
-    RunRequest,
     RunnerAddress,
+    RunRequest,
     Usage,
     cancel_run,
-    iter_events,
     is_json,
+    is_refusal,
+    iter_events,
+    parse_usage,
     resume_run,
     send_run,
-    parse_usage,
-    was_refused,
 )
 from bramleybend.gateway.run import Run
 from bramleybend.gateway.slot import Slot
@@ -122,7 +122,7 @@
             head = await exchange.read_head()
         except EXCHANGE_ERRORS:
             return await self._handle_no_response()
-        if was_refused(head, self._address.kind):
+        if is_refusal(head, self._address.kind):
             self.was_sent = False
             self._run.record_refusal()
             return AttemptEnd(EndKind.NOT_SENT)
--- a/bramleybend/platform/headers.py
+++ b/bramleybend/platform/headers.py
@@ -19,9 +19,9 @@
     LAST_EVENT_ID,
     LENGTH_HINT,
     NOT_EXECUTED,
-    TIMEOUT_MS,
     RESPONSE_STAMP,
     SYSTEM_HEADERS,
+    TIMEOUT_MS,
     TOKEN_COUNTS,
     WORKSPACE,
 )
@@ -38,20 +38,20 @@
 
     def request_facts(self, headers: HeaderList) -> RequestFacts:
         """Return what the headers state about a caller's request."""
-        prompt, most_output = _parse_token_counts(
+        prompt_count, most_output = _parse_token_counts(
             _header_text(headers, TOKEN_COUNTS)
         )
         timeout_ms = _parse_number(_header_text(headers, TIMEOUT_MS))
-        hint = _parse_number(_header_text(headers, LENGTH_HINT))
+        length_hint = _parse_number(_header_text(headers, LENGTH_HINT))
         return RequestFacts(
             attempt_id=_header_text(headers, ATTEMPT_ID),
             key=_api_key(_header_text(headers, AUTHORIZATION)),
             patience_s=None
             if timeout_ms is None
             else timeout_ms / MILLISECONDS,
-            prompt_tokens=prompt,
+            prompt_tokens=prompt_count,
             most_output=most_output,
-            likely_output=None if hint is None else int(hint),
+            likely_output=None if length_hint is None else int(length_hint),
             resume_after=_header_text(headers, LAST_EVENT_ID),
         )
 
@@ -131,5 +131,5 @@
 def _parse_token_counts(text: str) -> tuple[int, int]:
     """Parse prompt tokens and maximum output tokens; 0 if not stated."""
     parts = [_parse_number(part) or 0 for part in text.split(',')]
-    prompt, output, *_ = [*parts, 0, 0]
-    return int(prompt), int(output)
+    prompt_count, output_count, *_ = [*parts, 0, 0]
+    return int(prompt_count), int(output_count)
--- a/bramleybend/platform/store.py
+++ b/bramleybend/platform/store.py
@@ -103,19 +103,21 @@
         is that of the first page: reading on from there returns all changes
         made since.
         """
-        first = await self._read_newest_page(topic, '')
-        if isinstance(first, Err):
-            return first
-        page = first.ok_value
+        first_result = await self._read_newest_page(topic, '')
+        if isinstance(first_result, Err):
+            return first_result
+        page = first_result.ok_value
         items = list(page.items)
         while page.has_more and page.items:
-            following = await self._read_newest_page(topic, page.items[-1].key)
-            if isinstance(following, Err):
-                return following
-            page = following.ok_value
+            next_result = await self._read_newest_page(
+                topic, page.items[-1].key
+            )
+            if isinstance(next_result, Err):
+                return next_result
+            page = next_result.ok_value
             items.extend(page.items)
         records = tuple(_make_record(item) for item in items)
-        return Ok(Page(records, first.ok_value.end, whole=True))
+        return Ok(Page(records, first_result.ok_value.end, whole=True))
 
     async def changes(
         self,
--- a/tests/test_endless_messages.py
+++ b/tests/test_endless_messages.py
@@ -11,7 +11,7 @@
 import h11
 import pytest
 
-from bramleybend.clients.http import Exchange, read_whole
+from bramleybend.clients.http import Exchange, read_response
 from bramleybend.clients.message_bounds import MessageTooLongError
 from bramleybend.clients.runner import iter_events
 from bramleybend.errors import ProblemError
@@ -48,15 +48,15 @@
 
 @asynccontextmanager
 async def endless_reader(
-    first: bytes, then: bytes
+    first: bytes, repeated: bytes
 ) -> AsyncIterator[asyncio.StreamReader]:
-    """Yield a reader that gets `first` once, then `then` without end."""
+    """Yield a reader that gets `first` once, then `repeated` forever."""
     reader = asyncio.StreamReader()
 
     async def feed() -> None:
-        reader.feed_data(first or then)
+        reader.feed_data(first or repeated)
         while True:
-            reader.feed_data(then * (READ // len(then)))
+            reader.feed_data(repeated * (READ // len(repeated)))
             await asyncio.sleep(0)
 
     feeding = asyncio.create_task(feed())
@@ -72,35 +72,35 @@
 
 
 @pytest.mark.parametrize('case', [*HEADS, *FRAMING, 'body'])
-async def test_an_answer_without_end_on_our_own_interface_is_left(
+async def test_an_endless_response_is_abandoned(
     case: str,
 ) -> None:
     """Guards against a log, VM list or runner that never stops sending.
 
     The task that reads its response would never end.
     """
-    first, then = {**HEADS, **FRAMING, 'body': BODY}[case]
+    first, repeated = {**HEADS, **FRAMING, 'body': BODY}[case]
     cpu_time_before = thread_time()
-    async with endless_reader(first, then) as reader:
+    async with endless_reader(first, repeated) as reader:
         exchange = Exchange(reader, discarding_writer())
         await exchange.send('GET', '/')
         with pytest.raises(ENDLESS_ERRORS):
-            await read_whole(exchange)
+            await read_response(exchange)
     assert thread_time() - cpu_time_before <= PROCESSOR_S
 
 
 @pytest.mark.parametrize('case', EVENTS)
-async def test_events_without_end_on_our_own_interface_are_left(
+async def test_endless_events_are_abandoned(
     case: str,
 ) -> None:
     """Guards against CPU time that grows with the square of an event's size.
 
     It does if each part that arrives has the event searched from its start.
     """
-    first, then = EVENTS[case]
+    first, repeated = EVENTS[case]
     cpu_time_before = thread_time()
     async with endless_reader(
-        FRAMED + chunk(first or then), chunk(then)
+        FRAMED + chunk(first or repeated), chunk(repeated)
     ) as reader:
         exchange = Exchange(reader, discarding_writer())
         await exchange.send('GET', '/')
@@ -114,10 +114,10 @@
 @pytest.mark.parametrize('case', REQUESTS)
 async def test_a_request_without_end_is_refused(case: str) -> None:
     """Guards against a caller that takes the CPU time of all others."""
-    first, then = REQUESTS[case]
+    first, repeated = REQUESTS[case]
     handler = AsyncMock()
     cpu_time_before = thread_time()
-    async with endless_reader(first, then) as reader:
+    async with endless_reader(first, repeated) as reader:
         out = discarding_writer()
         conn = CallerConnection(reader, out, handler, Mock())
         on_rejected = Mock()
@@ -131,23 +131,23 @@
 @pytest.mark.parametrize('case', REQUESTS)
 async def test_a_raw_request_without_end_is_refused(case: str) -> None:
     """Guards against a caller that takes the CPU time of all others."""
-    first, then = REQUESTS[case]
+    first, repeated = REQUESTS[case]
     key = f'Authorization: Token {KEY}\r\n'.encode()
     async with playing() as world:
         caller = await world.connect()
         caller.writer.write(first.replace(POST, POST + key))
-        sending = asyncio.create_task(_send_endlessly(caller.writer, then))
+        sending = asyncio.create_task(_send_endlessly(caller.writer, repeated))
         answer = await caller.answer(2)
         assert answer.status in {400, 413, 431}
         async with asyncio.timeout(2):
             await sending
 
 
-async def _send_endlessly(out: asyncio.StreamWriter, then: bytes) -> None:
-    """Send `then` again and again until the peer closes the connection."""
+async def _send_endlessly(out: asyncio.StreamWriter, repeated: bytes) -> None:
+    """Send `repeated` again and again until the peer closes the connection."""
     try:
         while True:
-            out.write(then)
+            out.write(repeated)
             await out.drain()
             await asyncio.sleep(0)
     except ConnectionError:
