--- a/bramleybend/clients/http_log.py
+++ b/bramleybend/clients/http_log.py
@@ -1,4 +1,4 @@
-"""The log service over HTTP, as docs/PLATFORM.md describes it."""
+"""HTTP client of the log service that docs/PLATFORM.md describes."""
 
 from collections.abc import Sequence
 from datetime import timedelta
@@ -23,20 +23,20 @@
 
 
 class AppendedBody(BaseModel):
-    """Where an append landed."""
+    """The response to an append; the offset is its first record's."""
 
     offset: int
 
 
 class RecordBody(BaseModel):
-    """One record as the log sends it."""
+    """One record in a response of the log service."""
 
     offset: int
     data: str
 
 
 class ReadBody(BaseModel):
-    """One read as the log sends it."""
+    """The response to a read."""
 
     first_offset: int
     next_offset: int
@@ -44,10 +44,10 @@
 
 
 class HttpLogService:
-    """Appends and reads; holds no state between calls."""
+    """Appends and reads records; keeps no state between calls."""
 
     def __init__(self, api: HttpApi) -> None:
-        """Take the interface that carries the calls."""
+        """Use this API client for the calls."""
         self._api = api
 
     async def append(
@@ -55,18 +55,18 @@
         stream: str,
         records: Sequence[str],
     ) -> Result[int, Problem]:
-        """Append; see `LogService.append` for the kinds of problem."""
-        answer = await self._api.call(
+        """Append records; see `LogService.append` for the errors."""
+        call_result = await self._api.call(
             'POST',
             f'/streams/{stream}/records',
             {'records': list(records)},
-            is_patient=True,
+            is_stall_tolerant=True,
         )
-        match answer:
+        match call_result:
             case Err(problem):
                 return Err(_append_problem(problem))
             case Ok(response):
-                return _appended(response)
+                return _parse_append(response)
 
     async def read(
         self,
@@ -75,30 +75,30 @@
         limit: int = READ_LIMIT,
         wait: timedelta = NO_WAIT,
     ) -> Result[LogBatch, Problem]:
-        """Read from `start` on, waiting up to `wait` for a record."""
+        """Read records from `start` on, waiting up to `wait` for one."""
         wait_ms = int(wait.total_seconds() * MILLISECONDS)
         target = (
             f'/streams/{stream}/records'
             f'?from={start}&limit={limit}&wait_ms={wait_ms}'
         )
-        answer = await self._api.call(
+        call_result = await self._api.call(
             'GET',
             target,
-            extra_s=wait.total_seconds(),
+            extra_timeout_s=wait.total_seconds(),
         )
-        match answer:
+        match call_result:
             case Err(problem):
-                return Err(_unavailable(problem.detail))
+                return Err(_unavailable_problem(problem.detail))
             case Ok(response):
-                return _batch(response)
+                return _parse_batch(response)
 
 
 def make_http_log(url: str) -> LogService:
-    """Build the client for the log at `url`."""
+    """Make a client of the log service at `url`."""
     return HttpLogService(HttpApi(url, LOG_TIMEOUT_S))
 
 
-def _unavailable(detail: str) -> Problem:
+def _unavailable_problem(detail: str) -> Problem:
     return Problem(
         ErrorKind.LOG_UNAVAILABLE,
         f'the log service is unavailable: {detail}',
@@ -108,7 +108,7 @@
 
 def _append_problem(problem: Problem) -> Problem:
     if problem.kind is ErrorKind.PEER_UNAVAILABLE:
-        return _unavailable(problem.detail)
+        return _unavailable_problem(problem.detail)
     return Problem(
         ErrorKind.LOG_REPLY_LOST,
         f'the log did not say whether it appended: {problem.detail}',
@@ -116,10 +116,10 @@
     )
 
 
-def _appended(response: HttpResponse) -> Result[int, Problem]:
+def _parse_append(response: HttpResponse) -> Result[int, Problem]:
     match response.status:
         case HTTPStatus.OK:
-            return _parsed_offset(response.body)
+            return _parse_offset(response.body)
         case HTTPStatus.REQUEST_ENTITY_TOO_LARGE:
             return Err(
                 Problem(
@@ -129,7 +129,7 @@
                 ),
             )
         case HTTPStatus.SERVICE_UNAVAILABLE:
-            return Err(_unavailable('it answered 503'))
+            return Err(_unavailable_problem('it answered 503'))
     return Err(
         Problem(
             ErrorKind.LOG_REPLY_LOST,
@@ -139,7 +139,7 @@
     )
 
 
-def _parsed_offset(body: bytes) -> Result[int, Problem]:
+def _parse_offset(body: bytes) -> Result[int, Problem]:
     try:
         return Ok(AppendedBody.model_validate_json(body).offset)
     except ValidationError:
@@ -152,13 +152,13 @@
         )
 
 
-def _batch(response: HttpResponse) -> Result[LogBatch, Problem]:
+def _parse_batch(response: HttpResponse) -> Result[LogBatch, Problem]:
     if response.status != HTTPStatus.OK:
-        return Err(_unavailable(f'it answered {response.status}'))
+        return Err(_unavailable_problem(f'it answered {response.status}'))
     try:
         body = ReadBody.model_validate_json(response.body)
     except ValidationError:
-        return Err(_unavailable('its answer is not a batch of records'))
+        return Err(_unavailable_problem('its answer is not a batch of records'))
     records = tuple(
         LogRecord(record.offset, record.data) for record in body.records
     )
--- a/bramleybend/platform/kept_pages.py
+++ b/bramleybend/platform/kept_pages.py
@@ -1,8 +1,9 @@
-"""Pages of the store's logs, kept in a keyed log of our own.
+"""Snapshots of the store's logs, saved in a keyed topic of this system.
 
-They are deflated: a manifest of 1,400 routes (284 kB) fits no record of the
-store otherwise. VMs that started then put in force what had been kept before
-the routes were added, 24 s and more after all others had left it behind.
+Snapshots are deflated, as a manifest of 1,400 routes (284 kB) is otherwise
+too large for a record of the store. Without compression, the snapshot from
+before the routes were added stayed in the topic, and VMs that started applied
+it 24 s or more after all other VMs had replaced that version.
 """
 
 from typing import Final
@@ -13,69 +14,69 @@
 from bramleybend.errors import ErrorKind, Problem
 from bramleybend.platform.deflate import InflateError, deflate, inflate
 from bramleybend.platform.names import KEPT_TOPIC
-from bramleybend.platform.records import UNREADABLE, pack_page, unpack_page
+from bramleybend.platform.records import UNPACK_ERRORS, pack_page, unpack_page
 from bramleybend.platform.store import StoreClient
 
-# A record of the store holds 262,144 bytes, its key included. Deflated,
-# 1,400 routes take 23 kB and 5,000 runners 132.
-MOST_BYTES: Final = 261_000
-SPOILT: Final = (*UNREADABLE, InflateError)
+# A record of the store holds up to 262,144 bytes with its key. Deflated,
+# 1,400 routes take 23 kB and 5,000 runners take 132 kB.
+MAX_SNAPSHOT_BYTES: Final = 261_000
+DECODE_ERRORS: Final = (*UNPACK_ERRORS, InflateError)
 
 
 class KeptPages:
-    """Keeps one page a log, under the log's name."""
+    """Saves and loads one snapshot per log, with the log's name as key."""
 
     def __init__(self, store: StoreClient) -> None:
-        """Keep them in this store."""
+        """Save the snapshots in this store."""
         self._store = store
-        self._dropped: set[str] = set()
+        self._deleted: set[str] = set()
 
     async def keep(self, name: str, page: Page) -> Result[None, Problem]:
-        """Keep a log's newest records in place of those kept before."""
+        """Save a log's newest records, replacing its previous snapshot."""
         content = deflate(pack_page(page))
-        if len(content) > MOST_BYTES:
-            await self._drop(name)
+        if len(content) > MAX_SNAPSHOT_BYTES:
+            await self._delete_outdated(name)
             problem = Problem(
                 ErrorKind.BAD_RECORD,
                 f'{len(content)} bytes of {name} are too many for one record',
                 'VMs that start while that log is away wait for it',
             )
             return Err(problem)
-        self._dropped.discard(name)
+        self._deleted.discard(name)
         return await self._store.put(KEPT_TOPIC, name, content)
 
     async def kept(self, name: str) -> Result[Page | None, Problem]:
-        """Return what was kept of a log."""
-        answer = await self._store.newest(KEPT_TOPIC)
-        if isinstance(answer, Err):
-            return answer
-        for record in answer.ok_value.records:
+        """Return the snapshot of a log; `None` if there is none."""
+        response = await self._store.newest(KEPT_TOPIC)
+        if isinstance(response, Err):
+            return response
+        for record in response.ok_value.records:
             if record.key == name:
-                return _unpacked(record.content)
+                return _unpack_snapshot(record.content)
         return Ok(None)
 
-    async def _drop(self, name: str) -> None:
-        """Drop what was kept before of a log that has grown too large.
+    async def _delete_outdated(self, name: str) -> None:
+        """Delete the snapshot of a log that has grown too large to save.
 
-        A VM that starts would put in force what all others have left long
-        ago; without it, it waits for the log, and refuses till then. Where
-        the store doesn't take it, the next try to keep the page drops it.
+        A VM that starts would apply the outdated snapshot. Without one, it
+        waits for the log and rejects requests until it has read it. If the
+        store refuses the deletion, the next attempt to save repeats it.
         """
-        if name in self._dropped:
+        if name in self._deleted:
             return
-        dropped = await self._store.put(KEPT_TOPIC, name, b'')
-        if dropped.is_ok():
-            self._dropped.add(name)
+        deletion = await self._store.put(KEPT_TOPIC, name, b'')
+        if deletion.is_ok():
+            self._deleted.add(name)
 
 
-def _unpacked(content: bytes) -> Result[Page | None, Problem]:
+def _unpack_snapshot(content: bytes) -> Result[Page | None, Problem]:
     try:
-        changes = unpack_page(inflate(content), 0)
-    except SPOILT as exc:
+        page = unpack_page(inflate(content), 0)
+    except DECODE_ERRORS as exc:
         problem = Problem(
             ErrorKind.BAD_RECORD,
             f'what was kept cannot be read: {exc!r}',
             'it is written again with the next change',
         )
         return Err(problem)
-    return Ok(Page(changes.records, changes.end, whole=True))
+    return Ok(Page(page.records, page.end, whole=True))
--- a/bramleybend/platform/names.py
+++ b/bramleybend/platform/names.py
@@ -1,12 +1,12 @@
-"""Names of headers and fields on the platform's wire."""
+"""Names of the platform's HTTP headers, and of topics in its store."""
 
 from typing import Final
 
 ATTEMPT_ID: Final = 'x-bramleybend-attempt-id'
-PATIENCE_MS: Final = 'x-bramleybend-deadline-ms'
+TIMEOUT_MS: Final = 'x-bramleybend-deadline-ms'
 EXPECT_RUNNER: Final = 'x-bramleybend-expect-instance'
 WORKSPACE: Final = 'x-bramleybend-tenant'
-STAMP: Final = 'x-bramleybend-response-stamp'
+RESPONSE_STAMP: Final = 'x-bramleybend-response-stamp'
 NOT_EXECUTED: Final = 'x-bramleybend-not-executed'
 TOKEN_COUNTS: Final = 'x-bramleybend-token-counts'
 LENGTH_HINT: Final = 'x-bramleybend-length-hint'
@@ -14,8 +14,8 @@
 AUTHORIZATION: Final = 'authorization'
 KEY_SCHEME: Final = 'token '
 
-# Set by the system alone: sent by a caller, they would reserve or read
-# another request's memory at an engine.
+# Only the system itself may set these. From a caller, they could reserve an
+# engine's memory or read the memory of another request there.
 ENGINE_HEADERS: Final = frozenset(
     (
         'x-bramleybend-hold',
@@ -27,10 +27,10 @@
     )
 )
 SYSTEM_HEADERS: Final = ENGINE_HEADERS | frozenset(
-    (EXPECT_RUNNER, WORKSPACE, PATIENCE_MS, AUTHORIZATION, LAST_EVENT_ID)
+    (EXPECT_RUNNER, WORKSPACE, TIMEOUT_MS, AUTHORIZATION, LAST_EVENT_ID)
 )
 
 MANIFEST_TOPIC: Final = 'keyed.op'
 MANIFEST_KEY: Final = 'config'
 RUNNER_TOPIC: Final = 'keyed.servers'
-KEPT_TOPIC: Final = 'keyed.bramleybend-last-known'  # our own
+KEPT_TOPIC: Final = 'keyed.bramleybend-last-known'  # this system's own
--- a/bramleybend/platform/records.py
+++ b/bramleybend/platform/records.py
@@ -1,49 +1,54 @@
-"""The store's binary form of records, read and written."""
+"""Encodes and decodes records in the store's binary format."""
 
 import struct
 from typing import Final
 
 from bramleybend.direct.feed_copy import KeyedRecord, Page
 
-LENGTH: Final = struct.Struct('>I')  # before each record
-ENDS: Final = struct.Struct('>QQ')  # the end, and the first offset kept
-UNREADABLE: Final = (struct.error, UnicodeDecodeError)
+RECORD_LENGTH: Final = struct.Struct('>I')  # precedes each record
+# The offset after the newest record, and the oldest offset retained.
+PAGE_HEADER: Final = struct.Struct('>QQ')
+UNPACK_ERRORS: Final = (struct.error, UnicodeDecodeError)
 
 
 def unpack_page(body: bytes, start: int) -> Page:
-    """Read the answer to a read from an offset."""
-    end, first = ENDS.unpack_from(body)
-    at = ENDS.size
-    offset = max(start, first)
+    """Decode the response to a read from offset `start`.
+
+    Raises an error of `UNPACK_ERRORS` if the body is malformed.
+    """
+    end, first_offset = PAGE_HEADER.unpack_from(body)
+    position = PAGE_HEADER.size
+    offset = max(start, first_offset)
     records: list[KeyedRecord] = []
-    while at < len(body):
-        size = LENGTH.unpack_from(body, at)[0]
-        at += LENGTH.size
-        records.append(_unpack_keyed(offset, body[at : at + size]))
-        at += size
+    while position < len(body):
+        size = RECORD_LENGTH.unpack_from(body, position)[0]
+        position += RECORD_LENGTH.size
+        records.append(_unpack_record(offset, body[position : position + size]))
+        position += size
         offset += 1
-    # An answer may hold less than all there is; the next read goes on.
-    read_to = offset if records else max(end, start)
-    return Page(tuple(records), read_to, whole=False)
+    # A response may hold only a part of the records; the next read continues
+    # behind the last one received.
+    next_offset = offset if records else max(end, start)
+    return Page(tuple(records), next_offset, whole=False)
 
 
 def pack_page(page: Page) -> bytes:
-    """Write records as the store does."""
+    """Encode records as the store's response to a read."""
     start = page.records[0].offset if page.records else page.end
-    parts = [ENDS.pack(page.end, start)]
+    parts = [PAGE_HEADER.pack(page.end, start)]
     for record in page.records:
         parts.append(pack_record(record.key, record.content))
     return b''.join(parts)
 
 
 def pack_record(key: str, content: bytes) -> bytes:
-    """Write one keyed record with its length."""
-    name = key.encode()
-    record = bytes((len(name),)) + name + content
-    return LENGTH.pack(len(record)) + record
+    """Encode one keyed record, preceded by its length."""
+    key_bytes = key.encode()
+    record = bytes((len(key_bytes),)) + key_bytes + content
+    return RECORD_LENGTH.pack(len(record)) + record
 
 
-def _unpack_keyed(offset: int, record: bytes) -> KeyedRecord:
+def _unpack_record(offset: int, record: bytes) -> KeyedRecord:
     size = record[0] if record else 0
     key = record[1 : size + 1].decode(errors='replace')
     return KeyedRecord(offset, key, record[size + 1 :])
--- a/tests/platform/test_deflate.py
+++ b/tests/platform/test_deflate.py
@@ -1,4 +1,4 @@
-"""Deflated bodies between VMs: whole or refused."""
+"""Inflating returns the original body or raises."""
 
 from random import Random
 
@@ -9,29 +9,32 @@
 BODY = b'route' * 1000
 
 
-def test_what_was_deflated_is_read_as_it_was() -> None:
-    """Bytes alike, up to the size allowed."""
+def test_inflating_returns_the_deflated_body() -> None:
+    """Inflating returns the original bytes if they fit the limit."""
     assert inflate(deflate(BODY), len(BODY)) == BODY
 
 
-def test_a_cut_or_spoilt_body_is_never_taken_for_whole() -> None:
-    """A VM that dies while it sends must not put half a manifest in force."""
+def test_a_truncated_or_corrupt_body_is_never_accepted() -> None:
+    """Guards against applying a truncated or corrupt manifest.
+
+    A VM that crashes while it sends a body leaves it truncated.
+    """
     rng = Random(5)
     deflated = deflate(BODY)
     for _ in range(200):
-        cut = deflated[: rng.randrange(len(deflated))]
+        truncated = deflated[: rng.randrange(len(deflated))]
         with pytest.raises(InflateError):
-            inflate(cut, len(BODY))
-        spoilt = bytearray(deflated)
-        spoilt[rng.randrange(len(spoilt))] ^= 1 << rng.randrange(8)
+            inflate(truncated, len(BODY))
+        corrupt = bytearray(deflated)
+        corrupt[rng.randrange(len(corrupt))] ^= 1 << rng.randrange(8)
         try:
-            read = inflate(bytes(spoilt), len(BODY))
+            inflated = inflate(bytes(corrupt), len(BODY))
         except InflateError:
             continue
-        assert read == BODY
+        assert inflated == BODY
 
 
 def test_a_few_bytes_do_not_fill_the_memory() -> None:
-    """A body that would inflate beyond what is allowed is refused."""
+    """Guards against a small body that expands to gigabytes."""
     with pytest.raises(InflateError):
         inflate(deflate(bytes(10_000_000)), 1_000_000)
