--- a/bramleybend/direct/models.py
+++ b/bramleybend/direct/models.py
@@ -1,4 +1,4 @@
-"""What a manifest declares and what the store says of the runners."""
+"""Data of the entry VMs: manifest, runner entries and request metadata."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class Target:
-    """A service that a route sends to, with its weight in the split."""
+    """A service of a route and its weight in the traffic split."""
 
     service: str
     weight: float
@@ -19,80 +19,83 @@
 
 @dataclass(frozen=True)
 class Route:
-    """How requests of one host and path prefix are treated."""
+    """The settings for requests with one host and path prefix."""
 
     name: str
     host: str
     prefix: str  # begins and ends with a slash
     repeat: Repeat
     streaming: bool
-    resumable: bool  # a stream that may go on at another runner
-    timeout_s: float  # the longest that a caller is kept waiting
-    objective_s: float  # latency within which an answer is on time
-    event_patience_s: float  # callers leave a stream that is silent so long
+    resumable: bool  # a broken stream may continue at another runner
+    timeout_s: float  # the longest time until an answer is complete
+    objective_s: float  # latency up to which an answer is on time
+    event_patience_s: float  # silence of a stream after which callers leave
     tier: Tier
     targets: tuple[Target, ...]
-    most_runners: int  # that one request may run on
-    public: bool  # needs no key
+    most_runners: int  # maximum number of runners that may run one request
+    public: bool  # callers need no key
 
     @property
     def may_repeat(self) -> bool:
-        """Whether a request that may have run can go to another runner."""
+        """Whether a request that may have run may run at another runner."""
         return self.resumable or self.repeat is Repeat.IDEMPOTENT
 
 
 @dataclass(frozen=True)
 class Allotment:
-    """What a workspace may use over all VMs, in tokens or requests."""
+    """The rate limit of a workspace over all VMs, in units.
+
+    A unit is a token or a request.
+    """
 
     rate_per_s: float
     burst: float
-    by_tokens: bool
-    plain_tokens: float  # what a request without token counts counts as
+    counts_tokens: bool  # units are tokens; else requests
+    default_tokens: float  # charged for a request that declares no token counts
 
 
 @dataclass(frozen=True)
 class KeyHolder:
-    """A workspace as its callers' keys name it."""
+    """The workspace that a caller's key belongs to."""
 
     name: str
-    tier: Tier | None  # declared; requests are ranked by their route
-    allotment: Allotment | None  # none: no limit
+    tier: Tier | None  # as declared; the tier of a request is its route's
+    allotment: Allotment | None  # none: unlimited
 
 
 @dataclass(frozen=True)
 class ServiceFacts:
-    """A service as declared."""
+    """A service as the manifest declares it."""
 
     name: str
-    max_connections: int  # a runner takes, from all VMs together
-    is_engine: bool
-    event_tokens: int  # tokens that one event of a stream holds
+    max_connections: int  # to one runner, from all VMs together
+    is_engine: bool  # one owner dispatches all of its requests
+    event_tokens: int  # number of tokens in one event of a stream
 
 
 @dataclass(frozen=True)
 class IngressLimits:
-    """What a caller may send, and how long it may take or stay idle."""
+    """Limits for callers' requests and connections."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
     header_timeout_s: float = 3.0
-    idle_timeout_s: float = 15.0
+    idle_timeout_s: float = 15.0  # without a request on a connection
 
 
 @dataclass(frozen=True)
 class Manifest:
-    """One accepted configuration, whole."""
+    """One accepted version of the whole configuration."""
 
     version: int
     routes: Mapping[str, tuple[Route, ...]]  # by host, longest prefix first
     services: Mapping[str, ServiceFacts]
     key_holders: Mapping[str, KeyHolder]  # by key
-    keyed: bool  # callers need a key, but on public routes
+    keyed: bool  # callers need a key except on public routes
     limits: IngressLimits = field(default_factory=IngressLimits)
 
     def route_of(self, host: str, path: str) -> Route | None:
-        """Return the host's route with the longest prefix of the path."""
+        """Return the host's route whose prefix matches most of the path."""
         for route in self.routes.get(host, ()):
             if path.startswith(route.prefix):
                 return route
@@ -100,7 +103,7 @@
 
 
 class RunnerState(StrEnum):
-    """What a runner says of itself in the store."""
+    """The state that a runner declares in the store."""
 
     READY = 'ready'
     LEAVING = 'leaving'
@@ -108,10 +111,10 @@
 
 @dataclass(frozen=True)
 class RunnerEntry:
-    """One start of a runner."""
+    """A runner's entry in the store, for one start of its process."""
 
-    name: str  # unique for each process, unless it says `started_ms` anew
-    started_ms: int  # 0: not told
+    name: str  # unique per process if `started_ms` is 0
+    started_ms: int  # start of the process; 0: unknown
     service: str
     address: str
     port: int
@@ -121,7 +124,7 @@
 
     @property
     def incarnation(self) -> str:
-        """Name this start; a runner may start again under its name."""
+        """Identify this start; a restarted runner may keep its name."""
         return (
             f'{self.name}.{self.started_ms}' if self.started_ms else self.name
         )
@@ -129,33 +132,33 @@
 
 @dataclass(frozen=True)
 class RequestFacts:
-    """What a caller's headers say of its request."""
+    """A request's metadata, from the headers that its caller sent."""
 
     attempt_id: str
     key: str
-    patience_s: float | None  # how long the caller waits
+    patience_s: float | None  # how long the caller waits for the answer
     prompt_tokens: int
-    most_output: int
-    likely_output: int | None
-    resume_after: str  # the last event that the caller has
+    max_output_tokens: int
+    output_tokens_hint: int | None
+    resume_after: str  # ID of the last event that the caller has received
 
     @property
     def expected_output(self) -> int:
-        """Return the tokens that the answer is likely to have."""
-        return self.likely_output or self.most_output
+        """Return the number of tokens that the answer is likely to have."""
+        return self.output_tokens_hint or self.max_output_tokens
 
     @property
     def expected_work(self) -> float:
-        """Return the work of a run, in prompt-token equivalents."""
+        """Return the expected work of a run, in prompt-token equivalents."""
         work = self.prompt_tokens + self.expected_output * COMPLETION_COST
         return float(max(work, 1))
 
     def units(self, allotment: Allotment) -> float:
-        """Return what the request counts as against an allotment."""
-        if not allotment.by_tokens:
+        """Return the units that the request takes from an allotment."""
+        if not allotment.counts_tokens:
             return 1
-        tokens = self.prompt_tokens + self.most_output
-        return tokens or allotment.plain_tokens
+        tokens = self.prompt_tokens + self.max_output_tokens
+        return tokens or allotment.default_tokens
 
 
 NO_RUNNERS: Mapping[str, RunnerEntry] = MappingProxyType({})
--- a/bramleybend/direct/queue_log.py
+++ b/bramleybend/direct/queue_log.py
@@ -1,7 +1,8 @@
-"""Tells once a second what waits at an owner, beside its free slots.
+"""Records the queue lengths and free slots of a VM's queues every second.
 
-Requests that wait or are refused look the same to their callers whether the
-runners are full, the owner is late or its policy leaves slots free.
+To a caller, a request that waits or is refused looks the same whether the
+runners are full, the owner is slow or its policy leaves slots free. These
+events tell the cases apart.
 """
 
 import asyncio
@@ -12,27 +13,27 @@
 from bramleybend.direct.owner import ServiceQueue
 from bramleybend.events import MILLISECONDS, EventLog
 
-EVERY_S: Final = 1.0
+INTERVAL_S: Final = 1.0
 
 
 class QueueLog:
-    """Records the queues in which something waits."""
+    """Records an event for each queue in which requests wait."""
 
     def __init__(
         self, queues: Iterable[tuple[str, ServiceQueue]], events: EventLog
     ) -> None:
-        """Watch a VM's queues."""
+        """Record these queues, given with their services' names."""
         self._queues = queues
         self._events = events
 
     async def run(self) -> None:
-        """Record each second, until cancelled."""
+        """Record every second until cancelled."""
         while True:
-            await asyncio.sleep(EVERY_S)
+            await asyncio.sleep(INTERVAL_S)
             self.record()
 
     def record(self) -> None:
-        """Record the queues as they stand now."""
+        """Record the queues now and reset their counts."""
         for service, queue in self._queues:
             backlog = queue.backlog()
             counts = Counter(queue.counts)
@@ -41,7 +42,7 @@
                 self._events.record(
                     'queue',
                     service=service,
-                    waiting=_by_tier(backlog.waiting),
+                    waiting=_format_by_tier(backlog.waiting),
                     oldest_ms=int(backlog.oldest_s * MILLISECONDS),
                     running=backlog.running,
                     slots=backlog.slots,
@@ -53,5 +54,5 @@
                 )
 
 
-def _by_tier(waiting: Mapping[int, int]) -> str:
+def _format_by_tier(waiting: Mapping[int, int]) -> str:
     return ','.join(f'{tier}:{count}' for tier, count in waiting.items())
--- a/bramleybend/direct/runner_limits.py
+++ b/bramleybend/direct/runner_limits.py
@@ -1,10 +1,10 @@
-"""What runners say they take a second, from all VMs together.
+"""Request rate limits that runners declare, for all VMs together.
 
-A runner says so in its answers, for as long as it does, and each answer
-reaches one VM. So VMs tell each other what they heard last, in heartbeats.
+A runner that limits its rate says so in a header of each answer. An answer
+reaches only one VM, so the VMs exchange the limits in their heartbeats.
 
-An answer without a limit ends it only if its request was sent after the limit
-was heard: an older answer may come later.
+An answer without the header ends a limit only if its request was sent after
+the limit was received: the answer to an older request may arrive later.
 """
 
 from collections.abc import Callable, Collection, Iterable
@@ -17,108 +17,112 @@
 from bramleybend.direct.beat_messages import LimitNews
 from bramleybend.events import EventLog
 
-# A runner that takes nothing would never be asked whether it takes more.
+# At a rate of 0 a runner would get no request to which it could answer with a
+# higher limit.
 LEAST_PER_S: Final = 0.25
-# The end of a limit is told for longer than a VM is likely to hear nobody.
+# The end of a limit is sent for longer than a VM is likely to be cut off from
+# the others.
 END_TOLD_S: Final = 30.0
-# Of 50 bytes each. Where more runners name limits, half of what is told are
-# the newest and half drawn from the others, so that all are told in time.
+# Limits in one heartbeat, 50 bytes each. If there are more, half of those sent
+# are the newest and half are drawn at random from the others, so that each is
+# sent sooner or later.
 MOST_TOLD: Final = 32
-NEWEST_TOLD: Final = 16
+NEWEST_SENT: Final = 16
 
 
 @dataclass(frozen=True)
-class _Said:
-    per_s: float | None  # none: the runner names no limit any more
-    at: float  # monotonic seconds
+class _Limit:
+    per_s: float | None  # none: the runner declares no limit any more
+    at: float  # time of the answer, in monotonic seconds
 
 
 class RunnerLimits:
-    """The limits that runners named, by their incarnation."""
+    """The limits that runners declared, by runner incarnation."""
 
     def __init__(self, clock: Clock, events: EventLog, rng: Random) -> None:
-        """Know of no limit."""
+        """Start without limits; `changed` is called when one changes."""
         self._clock = clock
         self._events = events
         self._rng = rng
-        self._said: dict[str, _Said] = {}
-        self.changed: Callable[[], None] = _nothing
+        self._limits: dict[str, _Limit] = {}
+        self.changed: Callable[[], None] = _ignore
 
     def now(self) -> float:
-        """Return the time that `answered` compares with."""
+        """Return the time on the clock of `sent_at` in `answered`."""
         return self._clock.monotonic()
 
     def in_force(self) -> dict[str, float]:
-        """Return the requests a second of each runner that names a limit."""
+        """Return the limits by runner, in requests per second."""
         return {
-            runner: max(said.per_s, LEAST_PER_S)
-            for runner, said in self._said.items()
-            if said.per_s is not None
+            runner: max(limit.per_s, LEAST_PER_S)
+            for runner, limit in self._limits.items()
+            if limit.per_s is not None
         }
 
     def answered(self, runner: str, limit: str, sent_at: float) -> None:
-        """Take in the limit of an answer; an empty one says that none holds.
+        """Store the limit in an answer's header; empty if there was none.
 
-        A value that is no decimal number from 0 on changes nothing.
+        `sent_at` is when the request was sent. A value that is no finite
+        number, or a negative one, is recorded as an event and ignored.
         """
-        known = self._said.get(runner)
+        known = self._limits.get(runner)
         if not limit:
             if known is not None and known.at < sent_at:
-                self._note(runner, _Said(None, self.now()))
+                self._update(runner, _Limit(None, self.now()))
             return
-        per_s = _number(limit)
+        per_s = _parse_rate(limit)
         if per_s is None:
             self._events.record(
                 'runner_limit_unreadable', runner=runner, limit=limit
             )
             return
-        self._note(runner, _Said(per_s, self.now()))
+        self._update(runner, _Limit(per_s, self.now()))
 
     def heard(self, news: Iterable[LimitNews]) -> None:
-        """Take in what another VM was told."""
+        """Merge the limits in another VM's heartbeat."""
         now = self.now()
         for one in news:
-            said = _Said(one.per_s, now - one.age_s)
-            known = self._said.get(one.runner)
-            if known is None or known.at < said.at:
-                self._note(one.runner, said)
+            limit = _Limit(one.per_s, now - one.age_s)
+            known = self._limits.get(one.runner)
+            if known is None or known.at < limit.at:
+                self._update(one.runner, limit)
 
     def news(self) -> list[LimitNews]:
-        """Return what to tell the other VMs, the newest first."""
+        """Return the limits to send in a heartbeat, the newest first."""
         now = self.now()
-        told = [
-            LimitNews(runner, said.per_s, now - said.at)
-            for runner, said in sorted(self._said.items(), key=_latest)
-            if said.per_s is not None or now - said.at < END_TOLD_S
+        current = [
+            LimitNews(runner, limit.per_s, now - limit.at)
+            for runner, limit in sorted(self._limits.items(), key=_newest_first)
+            if limit.per_s is not None or now - limit.at < END_TOLD_S
         ]
-        if len(told) <= MOST_TOLD:
-            return told
-        drawn = self._rng.sample(told[NEWEST_TOLD:], MOST_TOLD - NEWEST_TOLD)
-        return told[:NEWEST_TOLD] + drawn
+        if len(current) <= MOST_TOLD:
+            return current
+        drawn = self._rng.sample(current[NEWEST_SENT:], MOST_TOLD - NEWEST_SENT)
+        return current[:NEWEST_SENT] + drawn
 
     def keep_only(self, runners: Collection[str]) -> None:
-        """Forget what runners said that are gone."""
-        for runner in self._said.keys() - runners:
-            self._said.pop(runner)
-
-    def _note(self, runner: str, said: _Said) -> None:
-        before = self._said.get(runner, _Said(None, 0))
-        self._said[runner] = said
-        if before.per_s == said.per_s:
+        """Drop the limits of runners that are gone."""
+        for runner in self._limits.keys() - runners:
+            self._limits.pop(runner)
+
+    def _update(self, runner: str, limit: _Limit) -> None:
+        before = self._limits.get(runner, _Limit(None, 0))
+        self._limits[runner] = limit
+        if before.per_s == limit.per_s:
             return
         self._events.record(
             'runner_limit',
             runner=runner,
-            per_s='none' if said.per_s is None else said.per_s,
+            per_s='none' if limit.per_s is None else limit.per_s,
         )
         self.changed()
 
 
-def _latest(item: tuple[str, _Said]) -> float:
+def _newest_first(item: tuple[str, _Limit]) -> float:
     return -item[1].at
 
 
-def _number(text: str) -> float | None:
+def _parse_rate(text: str) -> float | None:
     try:
         number = float(text)
     except ValueError:
@@ -126,5 +130,5 @@
     return number if isfinite(number) and number >= 0 else None
 
 
-def _nothing() -> None:
-    """Do nothing until a listener is set."""
+def _ignore() -> None:
+    """Stand in for `RunnerLimits.changed` until that is set."""
--- a/bramleybend/direct/runner_list.py
+++ b/bramleybend/direct/runner_list.py
@@ -1,9 +1,10 @@
-"""Which runners there are, through lapses of their entries.
+"""The list of runners, kept stable while entries of the store expire.
 
-Entries lapse when their runner was silent, at times also while the store was
-away and nobody could write. Those are back about two seconds after its
-return, so what lapsed around an outage is dropped only after that; dropped at
-once, a service would have no runner while all of them live.
+An entry expires when its runner hasn't renewed it. During an outage of the
+store, runners can't renew their entries, so those of live runners expire too
+and reappear about two seconds after the store is back. Entries that expire
+around an outage are therefore dropped after a grace period. If they were
+dropped at once, a service would have no runner while all of them are alive.
 """
 
 from collections.abc import Callable
@@ -17,72 +18,76 @@
 from bramleybend.errors import Problem
 from bramleybend.events import EventLog
 
-# What the platform promises, two seconds, and the time of a poll.
-LAPSE_GRACE_S: Final = 2.8
-# News that was older than this before a page may have missed an outage in
-# which entries lapsed; in order it is never older than a poll or two.
+# The platform promises that entries are back within two seconds; the rest is
+# the time of a poll.
+EXPIRY_GRACE_S: Final = 2.8
+# If the list was last confirmed longer ago, the store may have had an outage
+# in which entries expired. In normal operation, the age is one or two polling
+# intervals at most.
 OUTAGE_S: Final = 2.0
 
-Decode = Callable[[str, bytes], Result[RunnerEntry, Problem]]
+DecodeEntry = Callable[[str, bytes], Result[RunnerEntry, Problem]]
 
 
 class RunnerList:
-    """Applies pages of runner entries to the book."""
+    """Applies pages of runner entries to the `Book`."""
 
-    def __init__(self, book: Book, decode: Decode, events: EventLog) -> None:
-        """Know no runner."""
+    def __init__(
+        self, book: Book, decode_entry: DecodeEntry, events: EventLog
+    ) -> None:
+        """Start without runners."""
         self._book = book
-        self._decode = decode
+        self._decode_entry = decode_entry
         self._events = events
-        self._known: dict[str, RunnerEntry] = {}
-        self._lapsed: dict[str, float] = {}  # name to when it is dropped
+        self._entries: dict[str, RunnerEntry] = {}  # by key
+        self._drop_at: dict[str, float] = {}  # by key of an expired entry
         self._confirmed_at = book.now()
         self._grace_until = float(0)
 
     def confirmed(self, at: float) -> None:
-        """Note that the list was up to date at a time."""
+        """Note that the list was up to date at a point in time."""
         if at - self._confirmed_at > OUTAGE_S:
-            self._grace_until = self._book.now() + LAPSE_GRACE_S
+            self._grace_until = self._book.now() + EXPIRY_GRACE_S
         self._confirmed_at = max(at, self._confirmed_at)
 
     def take(self, page: Page) -> None:
-        """Apply a page."""
+        """Apply a page of entries."""
         if self._book.now() - self._confirmed_at > OUTAGE_S:
-            self._grace_until = self._book.now() + LAPSE_GRACE_S
+            self._grace_until = self._book.now() + EXPIRY_GRACE_S
         if page.whole:
-            named = {record.key for record in page.records}
-            for name in self._known.keys() - named:
-                self._lapse(name)
+            listed = {record.key for record in page.records}
+            for key in self._entries.keys() - listed:
+                self._mark_expired(key)
         for record in page.records:
             self._apply(record)
         self.drop_lapsed()
-        self._book.take_runners(self._known)
+        self._book.take_runners(self._entries)
 
     def drop_lapsed(self) -> None:
-        """Drop the entries whose time to come back is over."""
+        """Drop the expired entries whose grace period is over."""
         now = self._book.now()
-        due = [name for name, at in self._lapsed.items() if at <= now]
-        for name in due:
-            self._lapsed.pop(name)
-            self._known.pop(name, None)
+        due = [key for key, at in self._drop_at.items() if at <= now]
+        for key in due:
+            self._drop_at.pop(key)
+            self._entries.pop(key, None)
         if due:
-            self._book.take_runners(self._known)
+            self._book.take_runners(self._entries)
 
     def _apply(self, record: KeyedRecord) -> None:
         if record.gone:
-            self._lapse(record.key)
+            self._mark_expired(record.key)
             return
-        match self._decode(record.key, record.content):
+        match self._decode_entry(record.key, record.content):
             case Ok(entry):
-                self._known[record.key] = entry
-                self._lapsed.pop(record.key, None)
+                self._entries[record.key] = entry
+                self._drop_at.pop(record.key, None)
             case Err(problem):
-                self._known.pop(record.key, None)
+                self._entries.pop(record.key, None)
                 self._events.record(
                     'runner_entry_refused', runner=record.key, why=str(problem)
                 )
 
-    def _lapse(self, name: str) -> None:
-        if name in self._known:
+    def _mark_expired(self, key: str) -> None:
+        if key in self._entries:
             now = self._book.now()
-            self._lapsed.setdefault(name, max(self._grace_until, now))
+            self._drop_at.setdefault(key, max(self._grace_until, now))
--- a/bramleybend/direct/suspension.py
+++ b/bramleybend/direct/suspension.py
@@ -1,8 +1,9 @@
-"""Notices that this VM was suspended for a while.
+"""Detection of suspensions of this VM.
 
-What a VM believed before is as old as the suspension was long. The clock that
-ages are measured by counts that time, so news goes stale by itself; here it
-is told in the log, and what can be read anew is read at once.
+After a suspension, all that a VM knows is outdated by its duration. Ages are
+measured with a clock that counts suspended time, so outdated data expires
+without further action. The detection here serves to record an event and to
+let the caller refresh at once what can be read again.
 """
 
 from collections.abc import Callable
@@ -12,45 +13,53 @@
 from bramleybend.events import EventLog
 from bramleybend.loop_watch import LoopWatch
 
-# The two clocks are read a few microseconds apart, and a busy process may be
-# off the processor between them; suspensions last for seconds.
-SUSPENDED_S: Final = 0.5
+# The two clocks are read a few microseconds apart, and the kernel may schedule
+# another process in between. Suspensions last for seconds.
+MIN_SUSPENSION_S: Final = 0.5
 
 
 class SuspensionWatch:
-    """Compares the clock with one that stands still in a suspension."""
+    """Compares the clock with one that doesn't count suspended time."""
 
-    def __init__(self, clock: Clock, steady: Callable[[], float]) -> None:
-        """Compare from now on; `steady` returns seconds."""
+    def __init__(
+        self, clock: Clock, unsuspended_clock: Callable[[], float]
+    ) -> None:
+        """Compare from now on; `unsuspended_clock` returns seconds."""
         self._clock = clock
-        self._steady = steady
-        self._ahead = clock.monotonic() - steady()
+        self._unsuspended_clock = unsuspended_clock
+        self._difference_s = clock.monotonic() - unsuspended_clock()
 
     def slept_s(self) -> float:
-        """Return for how long the VM was suspended since the last call."""
-        ahead = self._clock.monotonic() - self._steady()
-        slept = ahead - self._ahead
-        if slept < SUSPENDED_S:
+        """Return the seconds for which the VM was suspended since last asked.
+
+        Differences below `MIN_SUSPENSION_S` count as 0.
+        """
+        difference_s = self._clock.monotonic() - self._unsuspended_clock()
+        suspended_s = difference_s - self._difference_s
+        if suspended_s < MIN_SUSPENSION_S:
             return 0
-        self._ahead = ahead
-        return slept
+        self._difference_s = difference_s
+        return suspended_s
 
 
 class WatchedSleep:
-    """Sleeps between the turns of a part, and records each that was late."""
+    """Sleeps for periodic tasks; records late wake-ups and suspensions."""
 
     def __init__(
-        self, events: EventLog, clock: Clock, steady: Callable[[], float]
+        self,
+        events: EventLog,
+        clock: Clock,
+        unsuspended_clock: Callable[[], float],
     ) -> None:
-        """Watch from now on; `steady` returns seconds."""
+        """Watch from now on; `unsuspended_clock` returns seconds."""
         self._events = events
         self._loop_watch = LoopWatch(events, clock)
-        self._suspensions = SuspensionWatch(clock, steady)
+        self._suspensions = SuspensionWatch(clock, unsuspended_clock)
 
     async def sleep(self, seconds: float) -> bool:
-        """Sleep; tells whether the VM was suspended meanwhile."""
+        """Sleep; returns whether the VM was suspended meanwhile."""
         await self._loop_watch.sleep(seconds)
-        slept_s = self._suspensions.slept_s()
-        if slept_s:
-            self._events.record('suspended', seconds=f'{slept_s:.1f}')
-        return bool(slept_s)
+        suspended_s = self._suspensions.slept_s()
+        if suspended_s:
+            self._events.record('suspended', seconds=f'{suspended_s:.1f}')
+        return bool(suspended_s)
--- a/bramleybend/platform/headers.py
+++ b/bramleybend/platform/headers.py
@@ -48,8 +48,8 @@
             if patience_ms is None
             else patience_ms / MILLISECONDS,
             prompt_tokens=prompt,
-            most_output=most_output,
-            likely_output=None if hint is None else int(hint),
+            max_output_tokens=most_output,
+            output_tokens_hint=None if hint is None else int(hint),
             resume_after=_text(headers, LAST_EVENT_ID),
         )
 
