--- a/bramleybend/direct/ask_messages.py
+++ b/bramleybend/direct/ask_messages.py
@@ -1,4 +1,4 @@
-"""Puts asks and their outcomes into messages, and reads them again."""
+"""Conversions between slot requests, their results and peer messages."""
 
 from bramleybend.decisions.actions import Grant, Refuse, RunReport
 from bramleybend.direct.messages import (
@@ -11,8 +11,8 @@
 from bramleybend.models import Ask, Tier
 
 
-def told(action: Grant | Refuse) -> Message:
-    """Tell an asking VM what was decided."""
+def decision_message(action: Grant | Refuse) -> Message:
+    """Make the message that tells the requesting VM a queue's decision."""
     if isinstance(action, Grant):
         return Granted(action.request_id, action.runner)
     wait_s = action.retry_after.total_seconds()
@@ -20,7 +20,11 @@
 
 
 def ask_news(ask: Ask, now: float) -> AskNews:
-    """Say what a request needs; its deadline as the time left."""
+    """Make a slot request message.
+
+    Points in time are sent as the time left, since the monotonic clocks of two
+    VMs differ.
+    """
     return AskNews(
         ask.request_id,
         ask.service,
@@ -37,28 +41,32 @@
     )
 
 
-def ask_from(news: AskNews, now: float) -> Ask:
-    """Read what another VM says that its request needs."""
+def ask_from(message: AskNews, now: float) -> Ask:
+    """Rebuild a slot request that another VM sent."""
     return Ask(
-        news.request_id,
-        news.service,
-        Tier(news.tier),
-        news.workspace,
-        news.cost,
-        news.prompt_tokens,
+        message.request_id,
+        message.service,
+        Tier(message.tier),
+        message.workspace,
+        message.cost,
+        message.prompt_tokens,
         (),
-        now + news.patience_s,
+        now + message.time_left_s,
         cancellable=False,
-        suspect=news.suspect,
-        excluded=frozenset(news.excluded),
-        on_time_until=now + news.on_time_s,
-        begin_by=now + news.begin_s,
-        connected=frozenset(news.connected),
+        suspect=message.suspect,
+        excluded=frozenset(message.excluded),
+        on_time_until=now + message.on_time_s,
+        begin_by=now + message.begin_s,
+        connected=frozenset(message.connected),
     )
 
 
-def ended_news(ask: Ask, report: RunReport, runner: str = '') -> Ended:
-    """Tell an owner of a run's end; `runner` is who had it."""
+def run_end_message(ask: Ask, report: RunReport, runner: str = '') -> Ended:
+    """Make the message that tells an owner of a run's end.
+
+    `runner` is the incarnation of the runner that had the run. It is sent only
+    if another process answers at the runner's address.
+    """
     return Ended(
         ask.request_id,
         ask.service,
@@ -72,15 +80,15 @@
     )
 
 
-def report_from(news: Ended) -> RunReport:
-    """Read another VM's word of a run's end."""
+def run_report_from(message: Ended) -> RunReport:
+    """Rebuild the report on a run's end that another VM sent."""
     return RunReport(
-        news.outcome,
-        news.refused,
-        news.crashed,
-        bool(news.moved_runner),
-        news.prompt_tokens,
+        message.outcome,
+        message.refused,
+        message.crashed,
+        bool(message.moved_runner),
+        message.prompt_tokens,
         0,
-        news.completion_tokens,
-        news.seconds,
+        message.completion_tokens,
+        message.seconds,
     )
--- a/bramleybend/direct/audience.py
+++ b/bramleybend/direct/audience.py
@@ -1,7 +1,7 @@
-"""To whom a VM sends its heartbeats, and which of them it tells of others.
+"""The recipients of a VM's heartbeats and the subscribers to its digests.
 
-A VM that hears a heartbeat learns from it what its sender wants to be told;
-so hubs need no agreement on who is whose: whoever asks is told.
+Each heartbeat says which digests its sender wants. So VMs need not agree on
+which hub serves which VM: a hub sends digests to every VM that subscribes.
 """
 
 from collections.abc import Callable, Container, Iterable
@@ -17,121 +17,132 @@
     Members,
 )
 
-# A VM that starts finds the others at once, also those that start with it.
-FIRST_BEATS: Final = 25  # five seconds
-# Addresses that are silent are tried less often than members are told: a
+# Heartbeat intervals (5 s) after the start in which a VM sends to its seeds in
+# each interval, to find the others quickly, also those that start with it.
+FIRST_INTERVALS: Final = 25
+# In heartbeat intervals. Silent addresses are tried less often than members: a
 # seed may be stale, and a VM that was replaced never answers.
-STRANGER_EVERY: Final = 5  # heartbeats
-COMPARE_EVERY: Final = 5  # heartbeats, between two hubs' lists of VMs
-# Between two digests to the same VM, and two words to one that is no hub of
-# ours. Each of a domain's hubs has its turn, so a VM hears one each beat.
+SILENT_RETRY_INTERVALS: Final = 5
+# In heartbeat intervals, between two comparisons of hubs' lists of VMs.
+COMPARE_INTERVALS: Final = 5
+# In heartbeat intervals, between two digests to one VM, and between two
+# heartbeats to one that is no hub of this VM. The hubs of a domain take turns,
+# so a VM receives a digest in each interval.
 TURNS: Final = 3
-OWNERS: Final = 2  # who orders a service's work, and who would after it
+OWNER_CANDIDATES: Final = 2  # a service's owner and its successor
 
 
 @dataclass(frozen=True)
 class Receiver:
-    """One VM that a heartbeat goes to."""
+    """A VM that a heartbeat is sent to, and the options of that heartbeat."""
 
     address: str
-    wants: Scope = Scope.NONE  # what we want to be told by it
-    every: int = 1  # beats until the next
-    tells_runs: bool = True
-    is_new: bool = False  # it knows nothing of us yet
+    wants: Scope = Scope.NONE  # digests that this VM requests from it
+    every: int = 1  # heartbeat intervals until the next one
+    tells_runs: bool = True  # whether the heartbeat lists this VM's runs
+    is_new: bool = False  # it has no heartbeat of this VM yet
 
 
 @dataclass
-class Subscriber:
-    """A VM that wants to be told of others."""
+class Subscription:
+    """A VM's request for digests, valid until a point in time."""
 
     address: str
-    wants: Scope
-    until: float
+    scope: Scope
+    valid_until: float
 
 
-class Audience:
-    """Chooses the receivers of each heartbeat."""
+class Recipients:
+    """Chooses the receivers of heartbeats and digests."""
 
     def __init__(
         self, members: Members, services: Callable[[], Iterable[str]]
     ) -> None:
-        """Tell the owners of these services of our runs, too."""
+        """Start without seeds; owners of these services get this VM's runs."""
         self._members = members
         self._services = services
         self._seeds: dict[str, None] = {}
-        self._subscribers: dict[str, Subscriber] = {}
+        self._subscriptions: dict[str, Subscription] = {}  # by VM
 
     def add_seeds(self, addresses: Iterable[str]) -> None:
-        """Learn where further VMs may be."""
+        """Add addresses of VMs to contact without having heard of them."""
         own = self._members.own.address
         self._seeds.update(
-            dict.fromkeys(one for one in addresses if one != own)
+            dict.fromkeys(seed for seed in addresses if seed != own)
         )
 
-    def subscribed(
-        self, vm: str, address: str, wants: Scope, now: float
+    def subscribe(
+        self, vm: str, address: str, scope: Scope, now: float
     ) -> bool:
-        """Note what a VM wants to be told; tells whether that is new."""
-        if wants is Scope.NONE:
+        """Renew a VM's subscription; returns whether it is new or extended."""
+        if scope is Scope.NONE:
             return False
-        known = self._subscribers.get(vm)
-        until = now + RELAYED_ALIVE_S
-        self._subscribers[vm] = Subscriber(address, wants, until)
-        return known is None or known.until < now or known.wants < wants
+        known = self._subscriptions.get(vm)
+        valid_until = now + RELAYED_ALIVE_S
+        self._subscriptions[vm] = Subscription(address, scope, valid_until)
+        return known is None or known.valid_until < now or known.scope < scope
 
-    def subscribers(self, wants: Scope, now: float) -> list[str]:
-        """Return the addresses of those who want as much."""
+    def subscribers(self, scope: Scope, now: float) -> list[str]:
+        """Return the addresses of the VMs that subscribe to this scope."""
         return [
-            one.address
-            for one in self._subscribers.values()
-            if one.wants is wants and one.until >= now
+            subscription.address
+            for subscription in self._subscriptions.values()
+            if subscription.scope is scope and subscription.valid_until >= now
         ]
 
-    def forget(self, vm: str) -> None:
-        """Drop a VM that is gone."""
-        self._subscribers.pop(vm, None)
+    def unsubscribe(self, vm: str) -> None:
+        """Drop the subscription of a VM that is gone."""
+        self._subscriptions.pop(vm, None)
 
-    def receivers(self, beat: int, now: float) -> list[Receiver]:
-        """Return whom to tell of ourselves, each VM once."""
+    def receivers(self, interval: int, now: float) -> list[Receiver]:
+        """Return the receivers in a heartbeat interval, each VM once.
+
+        Intervals are counted from 0 at the start of this VM.
+        """
         found: dict[str, Receiver] = {}
-        for receiver in self._wanted(beat, now):
+        for receiver in self._candidates(interval, now):
             found.setdefault(receiver.address, receiver)
         return list(found.values())
 
-    def near(self, now: float) -> list[Member]:
-        """Return the VMs whose hub we are."""
+    def domain_members(self, now: float) -> list[Member]:
+        """Return the VMs of this domain that use this VM as their hub."""
         own = self._members.own
         return [
             one
             for one in self._members.alive(now)
             if one.domain == own.domain
             and not self._members.is_hub(one.vm)
-            and one.vm in self._subscribers
-            and self._subscribers[one.vm].until >= now
+            and one.vm in self._subscriptions
+            and self._subscriptions[one.vm].valid_until >= now
         ]
 
-    def next_to_compare(self, beat: int) -> Member | None:
-        """Return the hub to compare lists with, if we are one, in turn."""
-        if beat % COMPARE_EVERY or not self._is_hub():
+    def next_hub_to_compare(self, interval: int) -> Member | None:
+        """Return the hub that gets this VM's list of VMs in an interval.
+
+        `None` if no list is due or this VM is no hub. All hubs get it in turn.
+        """
+        if interval % COMPARE_INTERVALS or not self._is_hub():
             return None
         hubs = self._members.hubs()
-        return hubs[beat // COMPARE_EVERY % len(hubs)] if hubs else None
+        return hubs[interval // COMPARE_INTERVALS % len(hubs)] if hubs else None
 
-    def is_turn(self, beat: int) -> bool:
-        """Tell whether it is our turn to send digests."""
+    def is_turn(self, interval: int) -> bool:
+        """Tell whether it is this VM's turn to send digests."""
         own = self._members.own
         names = self._members.hub_names(own.domain)
         turn = names.index(own.vm) if own.vm in names else 0
-        # Two hubs speak more often: a lost datagram of one is made up for by
-        # the other before a VM is taken for silent.
+        # Two hubs send more often than three: if a datagram of one is lost,
+        # that of the other arrives before any VM counts as silent.
         turns = LEAST_HUBS if len(names) == LEAST_HUBS else TURNS
-        return beat % turns == turn
+        return interval % turns == turn
 
-    def left_to_others(self, heard: Container[str]) -> int | None:
-        """Return which third of the VMs' totals our domain's other hubs tell.
+    def skipped_part(self, heard: Container[str]) -> int | None:
+        """Return the third of the VMs whose totals this hub doesn't send.
 
-        Two of three hubs tell a change, so one datagram may be lost. That
-        takes hubs that agree on who they are: ones that hear each other.
+        The other two hubs of its domain send them, so each change is sent
+        twice and one datagram may be lost. The hubs have to agree on the list
+        of hubs, as they do if they hear each other. Otherwise, and if there
+        are fewer than three, this is `None`: all totals are sent.
         """
         own = self._members.own.vm
         names = self._members.hub_names(self._members.own.domain)
@@ -141,45 +152,48 @@
             return names.index(own)
         return None
 
-    def _wanted(self, beat: int, now: float) -> Iterable[Receiver]:
-        yield from self._hubs()
-        if self.is_turn(beat):
-            yield from self._in_turn(now)
-        if beat < FIRST_BEATS:
-            yield from (Receiver(one, Scope.ALL) for one in self._seeds)
-        if beat % STRANGER_EVERY == 0:
-            for address in self._strangers(now):
-                yield Receiver(address, Scope.ALL, STRANGER_EVERY)
-
-    def _in_turn(self, now: float) -> Iterable[Receiver]:
+    def _candidates(self, interval: int, now: float) -> Iterable[Receiver]:
+        yield from self._hub_receivers()
+        if self.is_turn(interval):
+            yield from self._receivers_in_turn(now)
+        if interval < FIRST_INTERVALS:
+            yield from (Receiver(seed, Scope.ALL) for seed in self._seeds)
+        if interval % SILENT_RETRY_INTERVALS == 0:
+            for address in self._silent_addresses(now):
+                yield Receiver(address, Scope.ALL, SILENT_RETRY_INTERVALS)
+
+    def _receivers_in_turn(self, now: float) -> Iterable[Receiver]:
         for address in self.subscribers(Scope.ALL, now):
             yield Receiver(address, every=TURNS, tells_runs=False)
         for service in self._services():
-            for owner in self._members.owners(service, now, OWNERS):
+            for owner in self._members.owner_candidates(
+                service, now, OWNER_CANDIDATES
+            ):
                 yield Receiver(owner.address, every=TURNS)
 
     def _is_hub(self) -> bool:
         return self._members.is_hub(self._members.own.vm)
 
-    def _hubs(self) -> Iterable[Receiver]:
+    def _hub_receivers(self) -> Iterable[Receiver]:
         own = self._members.own
         if self._is_hub():
             for hub in self._members.hubs():
-                yield Receiver(hub.address, Scope.NEAR)
+                yield Receiver(hub.address, Scope.DOMAIN)
         else:
             for hub in self._members.hubs(own.domain):
                 yield Receiver(hub.address, Scope.ALL)
 
-    def _strangers(self, now: float) -> Iterable[str]:
-        """Return where VMs may be that we don't hear.
+    def _silent_addresses(self, now: float) -> Iterable[str]:
+        """Yield the addresses of seeds and members that aren't heard.
 
-        After a cut of whole domains hubs find each other again, and the rest
-        finds its own domain.
+        Hubs contact silent members of all domains, so that they find each
+        other after a partition between domains. Other VMs contact those of
+        their own domain.
         """
         own = self._members.own
         is_hub = self._is_hub()
         heard = {one.address for one in self._members.alive(now)}
-        yield from (one for one in self._seeds if one not in heard)
-        for one in self._members.silent(now):
-            if is_hub or one.domain == own.domain:
-                yield one.address
+        yield from (seed for seed in self._seeds if seed not in heard)
+        for member in self._members.silent(now):
+            if is_hub or member.domain == own.domain:
+                yield member.address
--- a/bramleybend/direct/beat_messages.py
+++ b/bramleybend/direct/beat_messages.py
@@ -1,4 +1,9 @@
-"""What VMs tell each other of themselves and, if they are hubs, of others."""
+"""Heartbeats, and the messages in which hubs tell VMs of other VMs.
+
+`array_like` structs are encoded by the position of their fields: the order and
+the tags are part of the protocol, the names are not. A hub is a VM that
+forwards the news of its failure domain; see `members`.
+"""
 
 from enum import IntEnum
 from math import inf
@@ -8,25 +13,25 @@
 
 
 class Profile(msgspec.Struct, array_like=True, frozen=True):
-    """What a VM says of itself; hubs pass it on unchanged."""
+    """A VM's description of itself; hubs forward it unchanged."""
 
     vm: str
     incarnation: str
     address: str
     domain: str
-    capacity: int  # see `Self`
-    front: str  # ip:port for callers
+    capacity: int  # level of the work it can carry; see `members.Self`
+    front: str  # ip:port where callers connect
     ready: bool
     leaving: bool
 
     @property
     def key(self) -> int:
-        """Name this very state of the VM in four bytes."""
+        """Return a 32-bit hash that identifies this state of the VM."""
         return xxh32_intdigest(msgspec.msgpack.encode(self))
 
 
 class RunNews(msgspec.Struct, array_like=True):
-    """One run that the sender has at a runner."""
+    """A run that the sender has at a runner."""
 
     request_id: str
     service: str
@@ -38,32 +43,33 @@
 
 
 class SpendingNews(msgspec.Struct, array_like=True, frozen=True):
-    """What a workspace has taken of its allotment, as one VM knows.
+    """Totals of a workspace's allotment in the accounts of one VM.
 
-    In whole units, as these are most of what hubs pass on.
+    Units are tokens or requests. They are rounded to integers, which take
+    fewer bytes: these totals are most of what hubs send.
     """
 
     workspace: str
-    used: int  # by that VM since its start
-    beyond: int  # of it, let in on idle runners
-    debt: int  # over all VMs, not paid back yet
-    beyond_debt: int
+    used: int  # admitted by that VM since its start
+    beyond: int  # part of `used`: admitted over the allotment on idle runners
+    debt: int  # of all VMs together, not paid back yet
+    beyond_debt: int  # the same for what was admitted over the allotment
 
 
 class CrashNews(msgspec.Struct, array_like=True):
-    """Content that was running when runners ended."""
+    """Content that was running when runners crashed."""
 
-    fingerprint: str
-    generation: int  # raised by each run of it that came to its end
-    runners: list[str]  # their incarnations
-    refused: bool
+    fingerprint: str  # identifies the content
+    generation: int  # incremented by each run of the content that completes
+    runners: list[str]  # incarnations of the runners that crashed
+    refused: bool  # whether requests with the content are refused
 
 
 class LimitNews(msgspec.Struct, array_like=True):
-    """The limit that a runner last named in an answer."""
+    """The request rate limit in a runner's most recent answer."""
 
     runner: str  # its incarnation
-    per_s: float | None  # requests from all VMs; none: no limit any more
+    per_s: float | None  # for all VMs together; none: the limit has ended
     age_s: float  # since that answer
 
 
@@ -71,72 +77,72 @@
     """How far a VM has read one of the platform's logs."""
 
     name: str
-    end: int  # -1: nothing yet
-    age_s: float  # since it was sure that there was nothing newer
-    reads: bool  # whether the store answers it
+    end: int  # offset to read on from; -1: nothing read yet
+    age_s: float  # since the VM's copy of the log was known to be complete
+    reads: bool  # whether the store answers this VM
 
 
 class Scope(IntEnum):
-    """Which VMs the receiver of a heartbeat is to tell the sender of."""
+    """The VMs about which a heartbeat's sender requests digests."""
 
     NONE = 0
-    NEAR = 1  # those that the receiver is the hub of
-    ALL = 2  # all that it knows
+    DOMAIN = 1  # VMs of the receiver's domain that use the receiver as a hub
+    ALL = 2  # all VMs that the receiver hears
 
 
 class Beat(msgspec.Struct, tag='beat', array_like=True):
-    """What a VM says of itself, several times a second."""
+    """A VM's state, sent to hubs and owners up to five times a second."""
 
     profile: Profile
     wants: Scope
-    every: int  # beats between two of these to the same receiver
+    every: int  # heartbeat intervals between two of these to one receiver
     feeds: list[FeedNews]
-    spendings: list[SpendingNews]  # those that changed lately
-    tells_all: bool  # all of its totals are among them
-    runs: list[RunNews] | None  # all of them; none: not told here
+    spendings: list[SpendingNews]  # those that changed recently
+    tells_all: bool  # `spendings` holds the totals of all workspaces
+    runs: list[RunNews] | None  # all runs at engines; none: left out here
     crashes: list[CrashNews]
-    # Not told by earlier versions:
+    # Not sent by earlier versions:
     limits: list[LimitNews] = []
-    accounts_s: float = inf  # for how long its accounts are complete
+    accounts_s: float = inf  # for how long the sender's accounts are complete
 
 
-class Alive(msgspec.Struct, array_like=True):
-    """A VM that the sender heard, directly or through another hub."""
+class VmLiveness(msgspec.Struct, array_like=True):
+    """A VM that the sender hears, directly or through another hub."""
 
-    key: int
-    age_ms: int  # since that VM itself spoke
+    key: int  # of the VM's profile
+    age_ms: int  # since that VM itself sent a heartbeat
 
 
 class Spent(msgspec.Struct, array_like=True):
-    """What a VM told of workspaces' spending."""
+    """The totals of workspaces that another VM sent to a hub."""
 
-    key: int
+    key: int  # of that VM's profile
     spendings: list[SpendingNews]
-    tells_all: bool  # what isn't among them was not spent
-    accounts_s: float = inf  # as in its heartbeat, now
+    tells_all: bool  # workspaces not in `spendings` have used nothing there
+    accounts_s: float = inf  # as in the VM's heartbeat, plus the time since
 
 
 class Digest(msgspec.Struct, tag='digest', array_like=True):
-    """What a hub tells of other VMs."""
+    """A hub's news of other VMs."""
 
-    alive: list[Alive]
-    profiles: list[Profile]  # those that are new
-    spent: list[Spent]  # that changed lately
+    alive: list[VmLiveness]
+    profiles: list[Profile]  # new or changed ones
+    spent: list[Spent]  # with recent changes
 
 
-class Roster(msgspec.Struct, tag='roster', array_like=True):
-    """The keys of all VMs that a hub knows, silent ones included."""
+class KnownVms(msgspec.Struct, tag='roster', array_like=True):
+    """The profile keys of all VMs that a hub knows, silent ones included."""
 
     keys: list[int]
 
 
-class Introduced(msgspec.Struct, tag='introduced', array_like=True):
-    """VMs that the sender hears and the receiver's roster lacks."""
+class MissingProfiles(msgspec.Struct, tag='introduced', array_like=True):
+    """Profiles of VMs that the sender hears and the receiver doesn't know."""
 
     profiles: list[Profile]
 
 
-class Unknown(msgspec.Struct, tag='unknown', array_like=True):
-    """Keys of a digest whose profiles the sender lacks."""
+class ProfileRequest(msgspec.Struct, tag='unknown', array_like=True):
+    """Asks a hub for the profiles of these keys, which a digest named."""
 
     keys: list[int]
--- a/bramleybend/direct/datagrams.py
+++ b/bramleybend/direct/datagrams.py
@@ -1,4 +1,4 @@
-"""The socket between entry VMs, and the datagrams that wait in it."""
+"""The UDP socket between entry VMs, and reads of its pending datagrams."""
 
 import logging
 import socket
@@ -8,28 +8,28 @@
 Endpoint: TypeAlias = tuple[str, int]
 Datagram: TypeAlias = tuple[bytes, Endpoint]
 
-LARGEST: Final = 65_535  # bytes of a datagram
-# Callers' connections have their turn in between.
-MOST_A_TURN: Final = 64
+MAX_DATAGRAM_BYTES: Final = 65_535
+# Read at once, so that the event loop also serves callers' connections.
+MAX_DATAGRAMS_PER_READ: Final = 64
 
 logger = logging.getLogger(__name__)
 
 
 def bind(address: str, port: int) -> socket.socket:
-    """Open a socket that never blocks."""
+    """Open a non-blocking UDP socket at a local address."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.setblocking(False)
     sock.bind((address, port))
     return sock
 
 
-def waiting(sock: socket.socket) -> Iterator[Datagram]:
-    """Yield the datagrams that have come, those of one turn at most."""
-    for _ in range(MOST_A_TURN):
+def pending_datagrams(sock: socket.socket) -> Iterator[Datagram]:
+    """Yield received datagrams, `MAX_DATAGRAMS_PER_READ` at most."""
+    for _ in range(MAX_DATAGRAMS_PER_READ):
         try:
-            yield sock.recvfrom(LARGEST)
+            yield sock.recvfrom(MAX_DATAGRAM_BYTES)
         except BlockingIOError:
             return
         except OSError as exc:
-            logger.debug('a datagram was refused: %s', exc)
+            logger.debug('receiving a datagram failed: %s', exc)
             return
--- a/bramleybend/direct/digests.py
+++ b/bramleybend/direct/digests.py
@@ -1,14 +1,14 @@
-"""What hubs tell of other VMs: who lives, and what workspaces spent there.
+"""Digests: the liveness and workspace totals of VMs, as hubs relay them.
 
-A digest names each VM that is alive by the key of its profile, and carries
-only the profiles and totals that changed lately. A receiver that lacks a
-profile (a lost datagram, a VM that has just started) asks for it by its key,
-so no digest has to arrive.
+A digest lists each VM that is alive by the key of its profile. It contains
+only profiles and totals that changed recently. A receiver that lacks a profile
+(a lost datagram, a VM that has just started) requests it by its key, so any
+digest may be lost.
 
-Digests leave out hubs, which tell each other of themselves. So hubs compare
-rosters, and two of them whose first datagrams were lost are introduced by a
-third: each is told where the other is, and takes it for alive by its own word
-alone.
+The digests that hubs send each other leave out the hubs, which exchange
+heartbeats directly. If the first datagrams between two hubs are lost, a third
+hub sends each the profile of the other: hubs compare the lists of VMs that
+they know. A hub counts another as alive only once it hears it directly.
 """
 
 from collections import defaultdict
@@ -19,240 +19,265 @@
 from typing import Final
 
 from bramleybend.direct.beat_messages import (
-    Alive,
     Beat,
     Digest,
-    Introduced,
+    KnownVms,
+    MissingProfiles,
     Profile,
-    Roster,
+    ProfileRequest,
     SpendingNews,
     Spent,
-    Unknown,
+    VmLiveness,
 )
 from bramleybend.direct.members import (
-    ALIVE_S,
+    HEARTBEAT_TIMEOUT_S,
     HUBS,
     RELAYED_ALIVE_S,
     Member,
     Members,
 )
 
-# A whole round of a domain's hubs, and the answer.
-ASK_AGAIN_S: Final = 0.7
-# VMs in one datagram: with some tens of workspaces each, far below its limit.
-MOST_TOLD: Final = 16
+# The time in which each hub of a domain sends one digest, and the answer.
+REQUEST_RETRY_S: Final = 0.7
+# With some tens of workspaces each, this many profiles and totals stay far
+# below the size limit of a datagram.
+MAX_VMS_PER_MESSAGE: Final = 16
 MILLISECOND: Final = timedelta(milliseconds=1).total_seconds()
 
 
 # Not frozen, with slots: one is made for most VMs of each digest, and a frozen
 # one takes longer to make.
 @dataclass(slots=True)
-class Heard:
-    """What a digest said of one VM."""
+class DigestEntry:
+    """The news of one VM in a digest."""
 
     profile: Profile
-    at: float  # when that VM spoke
-    member: Member | None  # none: what is known of it is as new
-    spent: Spent | None
+    at: float  # when that VM sent its heartbeat
+    member: Member | None  # none: the state in `Members` is up to date
+    spent: Spent | None  # none: no totals in the digest
 
 
 @dataclass(frozen=True)
 class _Total:
     news: SpendingNews
-    said_at: float  # by the VM itself
-    at: float  # when we heard of the change
+    sent_at: float  # by the VM itself
+    changed_at: float  # when this VM received the change
 
 
 class Digests:
-    """The profiles and totals of the other VMs, to be passed on."""
+    """The profiles and totals of the other VMs, to be relayed to VMs."""
 
     def __init__(self, members: Members) -> None:
-        """Know no profile."""
+        """Start without profiles and totals."""
         self._members = members
+        # By profile key.
         self._profiles: dict[int, Profile] = {}
-        self._noted_at: dict[int, float] = {}
+        self._profile_added_at: dict[int, float] = {}
+        # By VM and workspace.
         self._totals: dict[str, dict[str, _Total]] = defaultdict(dict)
-        self._whole: set[str] = set()  # VMs of which we know all totals
-        # By VM, from when on its accounts are complete.
+        self._complete_vms: set[str] = (
+            set()
+        )  # with the totals of all workspaces
+        # By VM, the time from which on its accounts are complete.
         self._complete_since: dict[str, float] = {}
-        self._asked_at: dict[int, float] = {}  # by key that we lack
+        self._requested_at: dict[int, float] = {}  # by missing profile key
 
-    def note(self, profile: Profile, now: float) -> int:
-        """Keep a profile; returns its key."""
+    def add_profile(self, profile: Profile, now: float) -> int:
+        """Store a profile; returns its key."""
         key = profile.key
-        self._asked_at.pop(key, None)
+        self._requested_at.pop(key, None)
         if key not in self._profiles:
             self._profiles[key] = profile
-            self._noted_at[key] = now
+            self._profile_added_at[key] = now
         return key
 
     def note_spendings(
-        self, vm: str, told: Beat | Spent, said_at: float, now: float
+        self, vm: str, report: Beat | Spent, sent_at: float, now: float
     ) -> list[SpendingNews]:
-        """Keep a VM's totals of a time; returns those that say anything new.
+        """Store a VM's totals; returns those that changed.
 
-        Debts alone are no change. Older totals that came through a slower hub
-        change nothing.
+        `sent_at` is when the VM itself sent them. A total of which only the
+        debts differ isn't a change. Totals older than the stored ones, as a
+        slower hub may relay them, are ignored.
         """
-        self._complete_since[vm] = now - told.accounts_s
+        self._complete_since[vm] = now - report.accounts_s
         totals = self._totals[vm]
         changed = [
             news
-            for news in told.spendings
-            if _is_change(totals.get(news.workspace), news, said_at)
+            for news in report.spendings
+            if _is_change(totals.get(news.workspace), news, sent_at)
         ]
         for news in changed:
-            totals[news.workspace] = _Total(news, said_at, now)
-        if told.tells_all:
-            self._whole.add(vm)
+            totals[news.workspace] = _Total(news, sent_at, now)
+        if report.tells_all:
+            self._complete_vms.add(vm)
         return changed
 
-    def forget(self, member: Member) -> None:
-        """Drop a VM that is gone or began anew."""
+    def remove(self, member: Member) -> None:
+        """Drop the data of a VM that is gone or has restarted."""
         self._totals.pop(member.vm, None)
-        self._whole.discard(member.vm)
+        self._complete_vms.discard(member.vm)
         self._complete_since.pop(member.vm, None)
-        gone = [
+        keys = [
             key
             for key, profile in self._profiles.items()
             if profile.incarnation == member.incarnation
         ]
-        for key in gone:
+        for key in keys:
             self._profiles.pop(key)
-            self._noted_at.pop(key)
+            self._profile_added_at.pop(key)
 
     def changed_since(self, since: float) -> bool:
-        """Tell whether a VM came, or says something new of itself."""
-        return any(at > since for at in self._noted_at.values())
+        """Tell whether a profile was added after a point in time."""
+        return any(at > since for at in self._profile_added_at.values())
 
     def make(
         self,
         members: Iterable[Member],
         now: float,
         since: float = -inf,
-        left_out: int | None = None,
+        skipped_part: int | None = None,
     ) -> Digest:
-        """Tell of VMs that are alive, and what changed after a time.
+        """Make a digest of these VMs, with what changed after `since`.
 
-        `left_out` is the third of the VMs whose totals are told only with a
-        new profile.
+        The VMs are divided into three parts by their keys. The totals of VMs
+        in `skipped_part` are left out unless their profile is new.
         """
-        told = [one for one in members if one.key in self._profiles]
-        fresh = [one for one in told if self._noted_at[one.key] > since]
+        listed = [one for one in members if one.key in self._profiles]
+        fresh = [
+            one for one in listed if self._profile_added_at[one.key] > since
+        ]
         spent = [
             self._spent(one, now, since)
-            for one in told
-            if one.key % HUBS != left_out or self._noted_at[one.key] > since
+            for one in listed
+            if one.key % HUBS != skipped_part
+            or self._profile_added_at[one.key] > since
         ]
         return Digest(
-            [Alive(one.key, _age_ms(one, now)) for one in told],
+            [VmLiveness(one.key, _age_ms(one, now)) for one in listed],
             [self._profiles[one.key] for one in fresh],
             [news for news in spent if news.spendings or news.tells_all],
         )
 
-    def missed(
+    def make_first(
         self, before: Member | None, profile: Profile, now: float
     ) -> Digest:
-        """Tell a VM that subscribes what it lacks; `before`: as known until now.
+        """Make the first digest for a VM that has just subscribed.
+
+        It lists the VMs that are alive by their keys; the receiver requests
+        the profiles that it lacks. A VM that becomes a hub would fill its link
+        if it sent all profiles and totals to each VM of its domain.
 
-        One that was heard until now had another hub. Told all, the VMs of a
-        domain would fill the link of one that becomes a hub. All are told who
-        lives by key alone, and ask for the profiles that they lack.
+        `before` is the receiver's state before it subscribed. If it was alive,
+        it got its news from another hub; if it was silent, it also gets what
+        changed since it was last heard.
         """
         alive = self._members.alive(now)
         since = now
         if before is not None and before.incarnation == profile.incarnation:
-            if now - before.heard_at > ALIVE_S:
+            if now - before.heard_at > HEARTBEAT_TIMEOUT_S:
                 since = before.heard_at - RELAYED_ALIVE_S
         return self.make(alive, now, since)
 
-    def roster(self) -> Roster:
-        """Name all VMs that we know."""
-        return Roster([one.key for one in self._members])
+    def known_vms(self) -> KnownVms:
+        """List the profile keys of all VMs that this VM knows."""
+        return KnownVms([one.key for one in self._members])
 
     def answer(
-        self, message: Unknown | Roster, sender: str, now: float
-    ) -> Iterator[Digest | Introduced]:
-        """Tell a VM what it asks for, or whom its roster lacks."""
+        self, message: ProfileRequest | KnownVms, sender: str, now: float
+    ) -> Iterator[Digest | MissingProfiles]:
+        """Return the profiles that a VM requests or doesn't know."""
         match message:
-            case Unknown():
-                yield from self._of_keys(message.keys, now)
-            case Roster():
-                missing = self._not_among(message, sender, now)
+            case ProfileRequest():
+                yield from self._digests_of_keys(message.keys, now)
+            case KnownVms():
+                missing = self._profiles_missing_in(message, sender, now)
                 if missing:
-                    yield Introduced(missing[:MOST_TOLD])
+                    yield MissingProfiles(missing[:MAX_VMS_PER_MESSAGE])
 
-    def strangers(self, introduced: Introduced) -> list[Profile]:
-        """Return those of the introduced VMs that we don't know."""
+    def unknown_profiles(self, message: MissingProfiles) -> list[Profile]:
+        """Return the profiles in a message of VMs unknown to this VM."""
         return [
             profile
-            for profile in introduced.profiles
+            for profile in message.profiles
             if profile.vm != self._members.own.vm
             and not self._is_known(profile)
         ]
 
-    def take(self, digest: Digest, now: float) -> tuple[list[Heard], list[int]]:
-        """Read a digest; returns what it says, and the keys not known."""
+    def read(
+        self, digest: Digest, now: float
+    ) -> tuple[list[DigestEntry], list[int]]:
+        """Read a digest; returns its news and the profile keys to request."""
         for profile in digest.profiles:
-            self.note(profile, now)
+            self.add_profile(profile, now)
         spent = {news.key: news for news in digest.spent}
         known = [one for one in digest.alive if one.key in self._profiles]
-        heard = (self._hear(one, spent.get(one.key), now) for one in known)
+        entries = (self._entry(one, spent.get(one.key), now) for one in known)
         unknown = [
             one.key for one in digest.alive if one.key not in self._profiles
         ]
-        news = [one for one in heard if one is not None]
-        return news, self._to_ask(unknown, now)
+        news = [one for one in entries if one is not None]
+        return news, self._keys_to_request(unknown, now)
 
-    def _hear(
-        self, alive: Alive, spent: Spent | None, now: float
-    ) -> Heard | None:
-        """Return what is new of a VM, but for the time when it spoke."""
+    def _entry(
+        self, alive: VmLiveness, spent: Spent | None, now: float
+    ) -> DigestEntry | None:
+        """Return the news of a VM, or `None` if there is none.
+
+        A later heartbeat alone is no news; it is noted here in `Members`.
+        """
         profile = self._profiles[alive.key]
         if profile.vm == self._members.own.vm:
             return None
         at = now - alive.age_ms * MILLISECOND
         known = self._members.get(profile.vm)
         if known is not None and known.refresh(alive.key, at, now):
-            return Heard(profile, at, None, spent) if spent else None
+            return DigestEntry(profile, at, None, spent) if spent else None
         if known is None or known.heard_at <= at:
             member = member_of(profile, alive.key, at, RELAYED_ALIVE_S)
-            return Heard(profile, at, member, spent)
+            return DigestEntry(profile, at, member, spent)
         if known.incarnation == profile.incarnation and spent:
-            return Heard(profile, at, None, spent)
+            return DigestEntry(profile, at, None, spent)
         return None
 
-    def _to_ask(self, keys: Iterable[int], now: float) -> list[int]:
-        """Ask for a key once in a while: each hub of a domain names it."""
-        asked = [
+    def _keys_to_request(self, keys: Iterable[int], now: float) -> list[int]:
+        """Return the keys that were not requested recently.
+
+        Each hub of the domain lists a missing key, so without the pause every
+        profile would be requested several times.
+        """
+        requested = [
             key
             for key in keys
-            if now - self._asked_at.get(key, -inf) > ASK_AGAIN_S
+            if now - self._requested_at.get(key, -inf) > REQUEST_RETRY_S
         ]
-        self._asked_at.update(dict.fromkeys(asked, now))
-        return asked
-
-    def _of_keys(self, keys: Sequence[int], now: float) -> Iterator[Digest]:
-        """Tell all of the VMs that a receiver doesn't know, some at a time."""
-        for first in range(0, len(keys), MOST_TOLD):
-            wanted = set(keys[first : first + MOST_TOLD])
+        self._requested_at.update(dict.fromkeys(requested, now))
+        return requested
+
+    def _digests_of_keys(
+        self, keys: Sequence[int], now: float
+    ) -> Iterator[Digest]:
+        """Yield the profiles and totals of these keys in bounded digests."""
+        for first in range(0, len(keys), MAX_VMS_PER_MESSAGE):
+            wanted = set(keys[first : first + MAX_VMS_PER_MESSAGE])
             yield self.make(
                 (one for one in self._members if one.key in wanted), now
             )
 
-    def _not_among(
-        self, roster: Roster, sender: str, now: float
+    def _profiles_missing_in(
+        self, known: KnownVms, sender: str, now: float
     ) -> list[Profile]:
-        """Return the VMs that we hear and a hub's roster lacks.
+        """Return the VMs that this VM hears and the sender doesn't know.
 
-        Silent VMs are on a roster, too: the hub knows them and tries them
-        itself, as we may have a path to them that it has not.
+        The sender lists silent VMs, too. It contacts those itself, and needs
+        no profile of them: this VM may have a path to them that the sender
+        lacks.
         """
-        named = set(roster.keys)
+        known_keys = set(known.keys)
         return [
             self._profiles[one.key]
             for one in self._members.alive(now)
-            if one.key not in named
+            if one.key not in known_keys
             and one.vm != sender
             and one.key in self._profiles
         ]
@@ -264,37 +289,37 @@
         )
 
     def _spent(self, member: Member, now: float, since: float) -> Spent:
-        """Return what a VM spent; all of it with a profile that is new."""
-        is_new = self._noted_at[member.key] > since
+        """Return a VM's changed totals; all totals if its profile is new."""
+        is_new = self._profile_added_at[member.key] > since
         totals = self._totals.get(member.vm, {})
-        told = [
+        spendings = [
             total.news
             for total in totals.values()
-            if is_new or total.at > since
+            if is_new or total.changed_at > since
         ]
         return Spent(
             member.key,
-            told,
-            is_new and member.vm in self._whole,
+            spendings,
+            is_new and member.vm in self._complete_vms,
             now - self._complete_since.get(member.vm, -inf),
         )
 
 
 def _is_change(
-    known: _Total | None, news: SpendingNews, said_at: float
+    known: _Total | None, news: SpendingNews, sent_at: float
 ) -> bool:
     if known is None:
         return True
-    if said_at < known.said_at:
+    if sent_at < known.sent_at:
         return False
     before = known.news
     return before.used != news.used or before.beyond != news.beyond
 
 
 def member_of(
-    profile: Profile, key: int, heard_at: float, lasts_s: float
+    profile: Profile, key: int, heard_at: float, timeout_s: float
 ) -> Member:
-    """Return a VM as it described itself at a time."""
+    """Return the VM of a profile that it sent at a point in time."""
     return Member(
         profile.vm,
         profile.incarnation,
@@ -307,7 +332,7 @@
         profile.domain,
         profile.capacity,
         key,
-        lasts_s,
+        timeout_s,
     )
 
 
--- a/bramleybend/direct/members.py
+++ b/bramleybend/direct/members.py
@@ -1,17 +1,18 @@
-"""Which entry VMs there are, and which of them are hubs.
+"""The entry VMs known to this VM: membership, hubs and service owners.
 
-Pure state: `Peers` owns the socket. A VM counts as alive while it was heard,
-directly or through a hub, within the time that the next word of it is due.
+Pure state; `Peers` owns the socket. A VM is alive until its next heartbeat,
+received directly or relayed by a hub, is overdue.
 
-Load pattern: many VMs on links of a few Mbit/s, of which each has to know
-which others live.
-Without it: each tells each, and the bytes grow with the cube of the VMs, more
-than thin links carry.
+Load pattern: many VMs on links of a few Mbit/s, each of which has to know
+which others are alive.
+Without it: every VM sends to every other, and the bytes grow with the cube of
+the number of VMs, beyond the bandwidth of slow links.
 
-The `HUBS` VMs of each failure domain that can carry most are its hubs, or
-`LEAST_HUBS` where the third can carry less. Hubs tell each other of themselves
-and of their domain; every other VM tells its domain's hubs of itself and hears
-from them of all. Up to `HUBS` VMs a domain all are hubs, and each tells each.
+The hubs of a failure domain are its `HUBS` VMs with the highest capacity, or
+`LEAST_HUBS` if the third has less capacity than the first. Hubs send each
+other their own heartbeats and news of their domain. Every other VM sends
+heartbeats to the hubs of its domain and receives from them the news of all
+VMs. In a domain of up to `HUBS` VMs, all are hubs and send to each other.
 """
 
 from collections import defaultdict
@@ -23,98 +24,101 @@
 from bramleybend.direct.ranks import hash_of, rank_of
 
 BEAT_S: Final = 0.2
-# Three heartbeats: one lost datagram is no failure, and the callers of a VM
-# that has died wait no longer than this for another owner.
-ALIVE_S: Final = 0.65
-# What hubs tell of others comes from each of a domain's hubs in turn, every
-# third beat; so does the word of VMs that speak to us but each third beat.
-RELAYED_ALIVE_S: Final = ALIVE_S + 2 * BEAT_S
-# Silent for longer than any freeze or cut is likely to last.
+# Three heartbeat intervals: a single lost datagram must not count as a
+# failure, and when an owner dies, its callers wait this long for the next.
+HEARTBEAT_TIMEOUT_S: Final = 0.65
+# The hubs of a domain take turns, so each sends its digests in every third
+# heartbeat interval. Heartbeats that a VM sends in every third interval stay
+# valid for as long.
+RELAYED_ALIVE_S: Final = HEARTBEAT_TIMEOUT_S + 2 * BEAT_S
+# Longer than a suspension of a VM or a network partition is likely to last.
 FORGET_S: Final = 30.0
-# A VM that comes up is asked nothing before it knows what runs where, unless
-# all come up at once.
+# A VM that has just started doesn't know which runs occupy the runners, so it
+# becomes no owner before this time, unless all VMs have just started.
 SETTLE_S: Final = 1.0
-# One may be down and another frozen, and the domain still hears the rest.
+# With one hub down and another frozen, the domain still gets its digests.
 HUBS: Final = 3
-# Telling a domain of all takes most of a thin link, so its VMs do so only in
-# place of a second hub.
+# Digests for a whole domain take most of a slow link. A VM with less capacity
+# than the first hub is therefore a hub only if there would be just one else.
 LEAST_HUBS: Final = 2
 
-# Whether it stays, its capacity, a hash, its name.
+# Not leaving, capacity, hash, VM name.
 _HubRank: TypeAlias = tuple[bool, int, int, str]
 
 
 @dataclass
 class Member:
-    """One VM as last heard."""
+    """A VM, as its last heartbeat or a digest described it."""
 
     vm: str
     incarnation: str
     address: str
-    front: str
+    front: str  # ip:port where callers connect
     ready: bool
     leaving: bool
-    heard_at: float  # when it last spoke, to us or to a hub
-    since: float
+    heard_at: float  # when it last sent a heartbeat, to this VM or to a hub
+    since: float  # when this incarnation was first heard
     domain: str = ''
     capacity: int = 0
     key: int = 0  # of its profile
-    lasts_s: float = ALIVE_S  # after `heard_at`
+    timeout_s: float = HEARTBEAT_TIMEOUT_S  # after `heard_at`
 
     def is_alive(self, now: float) -> bool:
-        """Tell whether its next word is not overdue."""
-        return now - self.heard_at <= self.lasts_s
+        """Tell whether its next heartbeat is not overdue."""
+        return now - self.heard_at <= self.timeout_s
 
     def refresh(self, key: int, heard_at: float, now: float) -> bool:
-        """Take in a relayed word, unless it says more than that it lives.
+        """Extend the VM's life by a relayed heartbeat of the same profile.
 
-        Returns whether that was all: the profile is the same, and it was
-        alive before.
+        Returns `False` and changes nothing if the profile is another one or
+        the VM wasn't alive; then the caller has more to update.
         """
         if key != self.key or not self.is_alive(now):
             return False
         if heard_at > self.heard_at and now - heard_at <= RELAYED_ALIVE_S:
             self.heard_at = heard_at
-            self.lasts_s = RELAYED_ALIVE_S
+            self.timeout_s = RELAYED_ALIVE_S
         return True
 
 
 @dataclass(frozen=True)
 class Self:
-    """What a VM says of itself."""
+    """This VM's own name, addresses and capacity."""
 
     vm: str
     incarnation: str
     address: str
     front: str
     domain: str = ''
-    # How much it can carry, in powers of two: work for all goes to the
-    # highest first, and a VM on a thin link or half a core is spared.
+    # Level of the work that it can carry; each level is twice the one below.
+    # Work for all VMs goes to the highest level first, which keeps it off VMs
+    # with a slow link or half a core.
     capacity: int = 0
 
 
 class Members:
-    """The other VMs."""
+    """The other VMs, by name; the hubs and owners among them."""
 
     def __init__(self, own: Self) -> None:
-        """Know nobody but oneself."""
+        """Start with no other VM."""
         self.own = own
         self._members: dict[str, Member] = {}
-        self._distrusted: dict[str, float] = {}  # vm to the end of it
-        self._hubs: dict[str, list[str]] = {}  # names by domain
+        self._distrusted_until: dict[str, float] = {}  # by VM name
+        self._hubs: dict[str, list[str]] = {}  # VM names, by domain
 
     def __iter__(self) -> Iterator[Member]:
-        """Go over all that are known, silent ones included."""
+        """Iterate over all known VMs, silent ones included."""
         return iter(self._members.values())
 
     def get(self, vm: str) -> Member | None:
-        """Return a VM, if it is known."""
+        """Return the VM of this name, or `None` if it is unknown."""
         return self._members.get(vm)
 
     def heard(self, member: Member) -> Member | None:
-        """Take in a VM's word; returns what was known of the VM before.
+        """Store a VM's newest state; returns the one stored before.
 
-        An older word that came through a slower hub changes nothing.
+        A state older than the stored one, as a slower hub may relay it, is
+        ignored.
         """
         before = self._members.get(member.vm)
         if before is not None:
@@ -125,25 +129,25 @@
         self._members[member.vm] = member
         return before
 
-    def forget_old(self, now: float) -> list[Member]:
-        """Drop those that were silent for long."""
-        old = [
+    def remove_expired(self, now: float) -> list[Member]:
+        """Remove and return the VMs that were silent for `FORGET_S`."""
+        expired = [
             member
             for member in self._members.values()
             if now - member.heard_at > FORGET_S
         ]
-        for member in old:
+        for member in expired:
             self._members.pop(member.vm)
-        return old
+        return expired
 
     def alive(self, now: float) -> list[Member]:
-        """Return those that were heard just now."""
+        """Return the VMs whose next heartbeat is not overdue."""
         return [
             member for member in self._members.values() if member.is_alive(now)
         ]
 
     def silent(self, now: float) -> list[Member]:
-        """Return those that are known and not heard."""
+        """Return the known VMs whose next heartbeat is overdue."""
         return [
             member
             for member in self._members.values()
@@ -151,7 +155,7 @@
         ]
 
     def serving(self, now: float) -> list[Member]:
-        """Return those that callers may use now."""
+        """Return the VMs to which callers may send requests now."""
         return [
             member
             for member in self.alive(now)
@@ -159,27 +163,27 @@
         ]
 
     def share(self, now: float) -> float:
-        """Return which part of the VMs can be heard, with ourselves."""
+        """Return the fraction of the VMs that are alive, with this one."""
         return (len(self.alive(now)) + 1) / self.count()
 
     def count(self) -> int:
-        """Count the VMs, with ourselves."""
+        """Return the number of known VMs, with this one."""
         return len(self._members) + 1
 
     def distrust(self, vm: str, until: float) -> None:
-        """Ask a VM nothing for a while: it did not answer."""
-        self._distrusted[vm] = until
+        """Exclude a VM from the choice of owners until a point in time."""
+        self._distrusted_until[vm] = until
 
     def choose_hubs(self, now: float) -> None:
-        """Rank the VMs of each domain anew."""
+        """Choose the hubs of each domain among the VMs that are alive."""
         own = self.own
         ranks: dict[str, list[_HubRank]] = defaultdict(list)
         ranks[own.domain].append((True, *rank_of('hub', own), own.vm))
-        for one in self.alive(now):
-            rank = (not one.leaving, *rank_of('hub', one), one.vm)
-            ranks[one.domain].append(rank)
+        for member in self.alive(now):
+            rank = (not member.leaving, *rank_of('hub', member), member.vm)
+            ranks[member.domain].append(rank)
         self._hubs = {
-            domain: _first_names(ranked) for domain, ranked in ranks.items()
+            domain: _hub_names(ranked) for domain, ranked in ranks.items()
         }
 
     def is_hub(self, vm: str) -> bool:
@@ -187,78 +191,85 @@
         return any(vm in names for names in self._hubs.values())
 
     def hub_names(self, domain: str) -> list[str]:
-        """Return a domain's hubs, the first in rank first."""
+        """Return the names of a domain's hubs, the highest rank first."""
         return self._hubs.get(domain, [])
 
     def hubs(self, domain: str | None = None) -> list[Member]:
-        """Return the hubs of one domain or of all, without ourselves."""
+        """Return the hubs of one domain or of all, without this VM."""
         names = (
             vm
-            for where, hubs in self._hubs.items()
-            if domain is None or domain == where
+            for hub_domain, hubs in self._hubs.items()
+            if domain is None or domain == hub_domain
             for vm in hubs
         )
         return [self._members[vm] for vm in names if vm in self._members]
 
     def ranks_first(
-        self, work: str, able: Mapping[str, bool], most: int
+        self, task: str, capable: Mapping[str, bool], max_vms: int
     ) -> bool:
-        """Tell whether we are among the first hubs for some work.
+        """Tell whether this VM is one of the first `max_vms` hubs for a task.
 
-        `able` names the VMs that were heard and tells which can do it. A VM
-        that is no hub does it only where no hub that it hears can: else all
-        VMs of a domain would do what two do for all.
+        `capable` tells for each VM that was heard whether it can do the task.
+        A VM that is no hub does it only if no hub that it hears can; otherwise
+        all VMs of a domain would do what two of them do for all.
         """
-        ahead = [vm for vm, is_able in able.items() if is_able]
+        candidates = [vm for vm, is_capable in capable.items() if is_capable]
         if self._hubs and not self.is_hub(self.own.vm):
-            return not any(self.is_hub(vm) for vm in ahead)
-        ours = rank_of(work, self.own)
-        hubs = [vm for vm in ahead if not self._hubs or self.is_hub(vm)]
-        return sum(self._rank_of(work, vm) > ours for vm in hubs) < most
-
-    def owners(self, service: str, now: float, most: int) -> list[Member]:
-        """Return the first in rank for a service's work, without us."""
+            return not any(self.is_hub(vm) for vm in candidates)
+        own_rank = rank_of(task, self.own)
+        hubs = [vm for vm in candidates if not self._hubs or self.is_hub(vm)]
+        return sum(self._rank_of(task, vm) > own_rank for vm in hubs) < max_vms
+
+    def owner_candidates(
+        self, service: str, now: float, max_count: int
+    ) -> list[Member]:
+        """Return the highest-ranked VMs for a service, without this VM."""
         able = [one for one in self.alive(now) if self._may_own(one, now)]
         settled = [one for one in able if now - one.since >= SETTLE_S]
-        # Where nobody has settled, all have just started, or we have. Ordered
-        # by each for itself, the work of all would start at the same runners.
+        # If no VM has settled, either all VMs or this one have just started.
+        # An unsettled owner is still better than none: if every VM decided
+        # for itself, all would start their requests at the same runners.
         return nlargest(
-            most, settled or able, key=lambda one: rank_of(service, one)
+            max_count, settled or able, key=lambda one: rank_of(service, one)
         )
 
     def owner(self, service: str, now: float, able: bool) -> Member | None:
-        """Return who orders a service's work; none: we do ourselves.
+        """Return the owner of a service; `None` if it is this VM.
 
-        All VMs rank alike by a hash, so they agree unless one of them hears
-        less than the others. `able` tells whether we may be the owner.
+        All VMs rank by the same hash, so they agree unless one of them hears
+        fewer VMs than the others. `able` tells whether this VM may be the
+        owner.
         """
-        best = next(iter(self.owners(service, now, 1)), None)
+        best = next(iter(self.owner_candidates(service, now, 1)), None)
         if best is None or not able:
             return best
-        ours = rank_of(service, self.own)
-        return None if ours > rank_of(service, best) else best
+        own_rank = rank_of(service, self.own)
+        return None if own_rank > rank_of(service, best) else best
 
     def _may_own(self, member: Member, now: float) -> bool:
         return (
             member.ready
             and not member.leaving
-            and self._distrusted.get(member.vm, 0) <= now
+            and self._distrusted_until.get(member.vm, 0) <= now
         )
 
-    def _rank_of(self, work: str, vm: str) -> tuple[int, int]:
+    def _rank_of(self, task: str, vm: str) -> tuple[int, int]:
         member = self._members.get(vm)
         capacity = member.capacity if member else self.own.capacity
-        return capacity, hash_of(work, vm)
+        return capacity, hash_of(task, vm)
+
 
+def _hub_names(ranks: list[_HubRank]) -> list[str]:
+    """Return the hubs of a domain, the highest rank first.
 
-def _first_names(ranked: list[_HubRank]) -> list[str]:
-    """Return the hubs; one that can carry less only where it is needed."""
-    if len(ranked) <= HUBS:
-        return [rank[-1] for rank in sorted(ranked, reverse=True)]
-    first = nlargest(HUBS, ranked)
-    strength = first[0][:2]
+    Beyond `LEAST_HUBS`, VMs with less capacity than the first are left out.
+    """
+    if len(ranks) <= HUBS:
+        return [rank[-1] for rank in sorted(ranks, reverse=True)]
+    first = nlargest(HUBS, ranks)
+    top_level = first[0][:2]
     return [
         rank[-1]
         for place, rank in enumerate(first)
-        if place < LEAST_HUBS or rank[:2] == strength
+        if place < LEAST_HUBS or rank[:2] == top_level
     ]
--- a/bramleybend/direct/messages.py
+++ b/bramleybend/direct/messages.py
@@ -1,9 +1,13 @@
-"""Messages between entry VMs, one to a datagram.
+"""Messages between entry VMs, each in one datagram.
 
-Datagrams, as everything here may be lost and said again: a heartbeat is
-followed by the next, an ask is repeated until it is answered, and what an
-owner missed of a run's end it learns from the next heartbeat. A stream would
-add nothing but the chance that it falls silent without an error.
+Every message may be lost, because its content is sent again: a heartbeat is
+followed by the next, a slot request is repeated until it is answered, and an
+owner that missed the end of a run learns of it from the next heartbeat that
+lists the sender's runs. A stream would only add connections that can stall
+without an error.
+
+`array_like` structs are encoded by the position of their fields: the order and
+the tags are part of the protocol, the names are not.
 """
 
 from math import inf
@@ -14,16 +18,16 @@
 from bramleybend.direct.beat_messages import (
     Beat,
     Digest,
-    Introduced,
-    Roster,
-    Unknown,
+    KnownVms,
+    MissingProfiles,
+    ProfileRequest,
 )
 
-MOST_BYTES: Final = 60_000  # UDP's own limit is 65,507
+MAX_PAYLOAD_BYTES: Final = 60_000  # UDP allows 65,507 over IPv4
 
 
 class AskNews(msgspec.Struct, tag='ask', array_like=True):
-    """A request wants a slot; said again while it waits."""
+    """Asks an owner for a runner slot; repeated while the request waits."""
 
     request_id: str
     service: str
@@ -31,31 +35,32 @@
     workspace: str
     cost: float
     prompt_tokens: int
-    patience_s: float  # the time left for the whole answer
-    excluded: list[str]
-    suspect: bool  # it gets a runner to itself
-    on_time_s: float  # the time left for a start that is on time
-    # The time left for an answer to begin. Not told by earlier versions.
+    time_left_s: float  # until the answer has to be complete
+    excluded: list[str]  # runners that must not be granted
+    suspect: bool  # its content may crash runners; it runs alone on one
+    on_time_s: float  # within which the run has to start to be on time
+    # Time left until the answer has to begin. Not sent by earlier versions.
     begin_s: float = inf
-    # Runners to which the VM has a free connection; not told by earlier ones.
+    # Runners to which the sender has an idle connection. Not sent by earlier
+    # versions.
     connected: list[str] = msgspec.field(default_factory=list)
 
 
 class Queued(msgspec.Struct, tag='queued', array_like=True):
-    """The ask was taken in and waits."""
+    """Acknowledges a slot request that waits in the owner's queue."""
 
     request_id: str
 
 
 class Granted(msgspec.Struct, tag='granted', array_like=True):
-    """The request may be sent to this runner."""
+    """Grants a slot: the request may be sent to this runner."""
 
     request_id: str
-    runner: str
+    runner: str  # its incarnation
 
 
 class Refused(msgspec.Struct, tag='refused', array_like=True):
-    """The request gets no slot."""
+    """Refuses a slot request."""
 
     request_id: str
     reason: str
@@ -63,14 +68,14 @@
 
 
 class Withdrawn(msgspec.Struct, tag='withdrawn', array_like=True):
-    """The request no longer wants a slot."""
+    """Cancels a slot request, and its grant if there is one."""
 
     request_id: str
     service: str
 
 
-class Filled(msgspec.Struct, tag='filled', array_like=True):
-    """The run's first token has come."""
+class PrefillDone(msgspec.Struct, tag='filled', array_like=True):
+    """Tells the owner that a run has returned its first token."""
 
     request_id: str
     service: str
@@ -78,33 +83,33 @@
 
 
 class Ended(msgspec.Struct, tag='ended', array_like=True):
-    """The run is over."""
+    """Tells the owner that a run has ended, so its slot is free."""
 
     request_id: str
     service: str
     outcome: str
-    refused: bool
-    crashed: bool
+    refused: bool  # by the runner
+    crashed: bool  # the runner died during the run
     prompt_tokens: int
     completion_tokens: int
-    seconds: float
-    # The runner, if another process answers at its address. Not told by
-    # earlier versions.
+    seconds: float  # from the start of the run to its end
+    # The runner's incarnation if another process answers at its address; else
+    # empty. Not sent by earlier versions.
     moved_runner: str = ''
 
 
 Message: TypeAlias = (
     Beat
     | Digest
-    | Introduced
-    | Roster
-    | Unknown
+    | MissingProfiles
+    | KnownVms
+    | ProfileRequest
     | AskNews
     | Queued
     | Granted
     | Refused
     | Withdrawn
-    | Filled
+    | PrefillDone
     | Ended
 )
 
--- a/bramleybend/direct/owner.py
+++ b/bramleybend/direct/owner.py
@@ -1,9 +1,9 @@
-"""The queue of one service, as this VM would order it.
+"""The queue of one service: admits slot requests and grants runner slots.
 
-Every VM keeps one for each service, fed with its own runs and with those that
-the others tell of. So whoever becomes the owner knows at once what runs
-where, and a VM that reaches no owner orders its own requests by the same
-rules.
+Every VM keeps a queue for each service and updates it with its own runs and
+the runs that other VMs report. So a VM that becomes the owner of a service
+already knows the runs at each runner, and a VM that reaches no owner can
+dispatch its own requests by the same rules.
 """
 
 import asyncio
@@ -29,39 +29,44 @@
 from bramleybend.direct.models import RunnerEntry, RunnerState
 from bramleybend.models import Ask, Service, ServiceKind, Tier
 
-Reply: TypeAlias = Callable[[Grant | Refuse], None]
-Acknowledge: TypeAlias = Callable[[], None]
+OnDecision: TypeAlias = Callable[[Grant | Refuse], None]
+OnQueued: TypeAlias = Callable[[], None]
 
-# A run that its VM's heartbeats don't tell of this long after the grant has
-# ended, and the message that said so was lost. VMs tell owners of their runs
-# in each third heartbeat (0.6 s) at least; one of them may be lost.
+# A granted run that no heartbeat of its VM has reported after this time has
+# ended, and the message about its end was lost. VMs report their runs to
+# owners at least in every third heartbeat (0.6 s); one of these may be lost.
 UNCONFIRMED_S: Final = 1.3
-# A VM that tells us of its runs no longer takes us for an owner. Kept as
-# taken, they would fill our runners on the day that we become the owner.
-RUNS_LAPSE_S: Final = 2.0
-# An ask that is not said again is withdrawn: its VM is gone.
-ASK_LAPSE_S: Final = 1.0
-# Of a service's slots. Heartbeats tell of the other VMs' runs within 0.2 s;
-# what starts in that time takes some of the rest.
-IDLE_PART: Final = 0.75
-SHORTEST_TIMER_S: Final = 0.001  # a timer that fires early would spin
-# Engines are not preempted: a stream that is cut after its head was sent
-# can't be answered any more. Nothing is held for a better runner: callers of
-# the raw path tell no prefixes, so it would save no work.
+# A VM stops reporting its runs to this VM when it no longer regards this VM
+# as an owner or the successor of one. If its last report stayed in force,
+# runs that ended long ago would occupy slots once this VM becomes the owner.
+REPORTED_RUNS_TTL_S: Final = 2.0
+# VMs repeat their pending slot requests. A request that is no longer repeated
+# is withdrawn, because its VM is gone.
+REQUEST_TTL_S: Final = 1.0
+# A service is idle below this part of its slots. Heartbeats report the runs of
+# other VMs within 0.2 s; runs that start in that time use up some of the
+# remaining slots.
+IDLE_MAX_LOAD: Final = 0.75
+# A timer that fires just before its time would be set again in a busy loop.
+MIN_TIMER_S: Final = 0.001
+# Runs at engines are not preempted: once the response head is sent, the caller
+# of a stopped stream can't be given another answer. Requests are not held back
+# for a better runner: raw HTTP requests name no prompt prefixes, so waiting
+# for a runner that has the prefix cached would save no work.
 SWITCHES: Final = Switches(
     preemption=False, limits=False, floor_at_refusal=False, holding=False
 )
-# Every VM orders a plain service for itself.
+# A plain service has no owner: every VM dispatches its own requests to it.
 PLAIN_SWITCHES: Final = replace(SWITCHES, spreading=True)
 
 
 class ServiceQueue:
-    """Orders one service's requests; carries out what the policy decides."""
+    """Feeds events to one service's policy and reports its decisions."""
 
     def __init__(
         self, service: Service, clock: Clock, rng: Random, overload: Overload
     ) -> None:
-        """Start empty."""
+        """Start without requests, runs and runners."""
         self._clock = clock
         self._rng = rng
         is_plain = service.kind is ServiceKind.PLAIN
@@ -72,82 +77,97 @@
             batched=True,
             overload=overload,
         )
-        self._replies: dict[str, Reply] = {}
-        self._asked_at: dict[str, float] = {}
-        self._granted_at: dict[str, float] = {}
-        self._told: dict[str, frozenset[str]] = {}  # by VM, its runs here
-        self._told_at: dict[str, float] = {}  # by VM
+        # These three are keyed by request ID.
+        self._on_decision: dict[str, OnDecision] = {}
+        self._requested_at: dict[str, float] = {}  # when last repeated
+        self._granted_at: dict[str, float] = {}  # of unconfirmed grants
+        # These two are keyed by VM. The first holds the request IDs of the
+        # runs that the VM reported for this service.
+        self._reported_runs: dict[str, frozenset[str]] = {}
+        self._reported_at: dict[str, float] = {}
         self._timer: asyncio.TimerHandle | None = None
-        self._turn: asyncio.Handle | None = None
-        self._unacknowledged: dict[str, Acknowledge] = {}
-        self.counts: Counter[str] = Counter()  # what was asked and decided
+        self._decide_handle: asyncio.Handle | None = None
+        self._on_queued: dict[str, OnQueued] = {}  # by request ID
+        # Slot requests and decisions; `QueueLog` clears them every second.
+        self.counts: Counter[str] = Counter()
 
     def ask(
-        self, ask: Ask, reply: Reply, acknowledge: Acknowledge | None = None
+        self,
+        ask: Ask,
+        on_decision: OnDecision,
+        on_queued: OnQueued | None = None,
     ) -> None:
-        """Queue a request; said again, it only stays.
+        """Queue a request, or keep a queued one from expiring.
 
-        `acknowledge` is called unless `reply` is called in the same turn of
-        the event loop.
+        `on_queued` is called unless `on_decision` is called in the same
+        iteration of the event loop.
         """
         now = self._clock.monotonic()
-        is_repeat = ask.request_id in self._replies
+        is_repeat = ask.request_id in self._on_decision
         self.counts['repeated' if is_repeat else 'asked'] += 1
-        self._replies[ask.request_id] = reply
-        self._asked_at[ask.request_id] = now
-        if acknowledge is not None:
-            self._unacknowledged[ask.request_id] = acknowledge
-        self._act(self._policy.ask(ask, now))
-        if self._turn is None:
-            self._acknowledge()
+        self._on_decision[ask.request_id] = on_decision
+        self._requested_at[ask.request_id] = now
+        if on_queued is not None:
+            self._on_queued[ask.request_id] = on_queued
+        self._handle_actions(self._policy.ask(ask, now))
+        if self._decide_handle is None:
+            self._report_queued()
 
     def is_idle(self) -> bool:
-        """Tell whether nothing waits, and the slots are far from full."""
+        """Tell whether no request waits and load is below `IDLE_MAX_LOAD`."""
         if self._policy.is_undecided:
             self._decide()
         load = self._policy.load()
-        return not load.waiting and load.running < load.limit * IDLE_PART
+        return not load.waiting and load.running < load.limit * IDLE_MAX_LOAD
 
     def backlog(self) -> Backlog | None:
-        """Return what waits here, unless nothing does."""
+        """Return the waiting requests and free runners; none: none wait."""
         if self._policy.is_undecided:
             self._decide()
         return self._policy.backlog(self._clock.monotonic())
 
     def withdraw(self, request_id: str) -> None:
-        """Forget a request, waiting or running."""
-        self._replies.pop(request_id, None)
-        self._forget(request_id)
-        self._act(self._policy.withdraw(request_id, self._clock.monotonic()))
+        """Remove a waiting or running request."""
+        self._on_decision.pop(request_id, None)
+        self._clear_times(request_id)
+        self._handle_actions(
+            self._policy.withdraw(request_id, self._clock.monotonic())
+        )
 
-    def witness(self, ask: Ask, runner: str) -> None:
-        """Note a run of our own that another VM granted."""
+    def note_remote_grant(self, ask: Ask, runner: str) -> None:
+        """Add a run of this VM that another VM's queue granted."""
         now = self._clock.monotonic()
-        self._act(self._policy.witness(ask, runner, now))
+        self._handle_actions(self._policy.witness(ask, runner, now))
 
     def began(self, request_id: str) -> None:
-        """Note that our own request took its grant.
+        """Confirm that a request of this VM uses its grant.
 
-        No heartbeat tells of it; unconfirmed, its slot would be given away
-        while it runs, and the runner would queue what we should order.
+        VMs send no heartbeats to themselves, so nothing else confirms the
+        run. Its grant would expire while it runs, and the slot would be
+        granted again to a request that then waits at the runner.
         """
         self._granted_at.pop(request_id, None)
 
-    def filled(self, request_id: str, prompt_tokens: int) -> None:
-        """Note a run's first token."""
+    def note_first_token(self, request_id: str, prompt_tokens: int) -> None:
+        """Tell the policy that a run has returned its first token."""
         now = self._clock.monotonic()
-        self._act(self._policy.first_token(request_id, prompt_tokens, 0, now))
+        self._handle_actions(
+            self._policy.first_token(request_id, prompt_tokens, 0, now)
+        )
 
     def ended(self, request_id: str, report: RunReport) -> None:
         """Free the run's slot."""
-        self._forget(request_id)
+        self._clear_times(request_id)
         now = self._clock.monotonic()
-        self._act(self._policy.ended(request_id, report, now))
+        self._handle_actions(self._policy.ended(request_id, report, now))
 
     def take_runners(
         self, entries: Sequence[RunnerEntry], *, warm: bool
     ) -> None:
-        """Take in the service's runners."""
+        """Replace the list of the service's runners.
+
+        The slots of `warm` runners are used at once, without a slow start.
+        """
         infos = [
             RunnerInfo(
                 entry.incarnation,
@@ -157,92 +177,102 @@
             )
             for entry in entries
         ]
-        # Of runners that look alike the first is taken. In the same order at
-        # all VMs, those that reach no owner would all start at the same one.
+        # The policy takes the first of equally good runners. If all VMs had
+        # the same order, those that reach no owner would all start with the
+        # same runner.
         self._rng.shuffle(infos)
-        self._act(self._policy.runners(infos, self._clock.monotonic()))
+        self._handle_actions(
+            self._policy.runners(infos, self._clock.monotonic())
+        )
 
-    def take_rates(self, per_s: Mapping[str, float]) -> None:
-        """Take in the limits of runners; those not named have none."""
-        self._act(self._policy.start_rates(per_s, self._clock.monotonic()))
+    def update_rate_limits(self, per_s: Mapping[str, float]) -> None:
+        """Replace the limits, by runner; a runner not named has none."""
+        self._handle_actions(
+            self._policy.start_rates(per_s, self._clock.monotonic())
+        )
 
     def heard_runs(self, vm: str, runs: Iterable[RunNews]) -> None:
-        """Take in what a VM says it has running here."""
+        """Replace the runs that a VM reports for this service."""
         now = self._clock.monotonic()
         current = {run.request_id: run for run in runs}
-        before = self._told.get(vm, frozenset())
+        before = self._reported_runs.get(vm, frozenset())
         for request_id in before - current.keys():
-            self._forget(request_id)
-            self._act(self._policy.withdraw(request_id, now))
+            self._clear_times(request_id)
+            self._handle_actions(self._policy.withdraw(request_id, now))
         for request_id, run in current.items():
-            # An ask of a run that is read late would lapse, and end the run.
-            self._replies.pop(request_id, None)
-            self._forget(request_id)
+            # A repeated slot request that arrives after its grant would
+            # otherwise expire here and remove the run.
+            self._on_decision.pop(request_id, None)
+            self._clear_times(request_id)
             if request_id not in before:
-                self._act(self._policy.adopt(ask_of(run, now), run.runner, now))
-        self._told[vm] = frozenset(current)
-        self._told_at[vm] = now
+                self._handle_actions(
+                    self._policy.adopt(
+                        slot_request_of(run, now), run.runner, now
+                    )
+                )
+        self._reported_runs[vm] = frozenset(current)
+        self._reported_at[vm] = now
 
     def sweep(self) -> None:
-        """Drop asks and grants whose VM said nothing more of them."""
+        """Drop requests, grants and runs that their VM stopped confirming."""
         now = self._clock.monotonic()
-        silent = [
+        expired = [
             request_id
-            for request_id, at in self._asked_at.items()
-            if now - at > ASK_LAPSE_S
+            for request_id, at in self._requested_at.items()
+            if now - at > REQUEST_TTL_S
         ]
-        silent.extend(
+        expired.extend(
             request_id
             for request_id, at in self._granted_at.items()
             if now - at > UNCONFIRMED_S
         )
-        for request_id in silent:
+        for request_id in expired:
             self.withdraw(request_id)
-        for vm, at in tuple(self._told_at.items()):
-            if now - at > RUNS_LAPSE_S and self._told[vm]:
+        for vm, at in tuple(self._reported_at.items()):
+            if now - at > REPORTED_RUNS_TTL_S and self._reported_runs[vm]:
                 self.heard_runs(vm, ())
 
-    def _forget(self, request_id: str) -> None:
-        self._asked_at.pop(request_id, None)
+    def _clear_times(self, request_id: str) -> None:
+        self._requested_at.pop(request_id, None)
         self._granted_at.pop(request_id, None)
 
-    def _act(self, actions: Sequence[Action]) -> None:
-        self._answer_all(actions)
-        if self._policy.is_undecided and self._turn is None:
+    def _handle_actions(self, actions: Sequence[Action]) -> None:
+        self._report_decisions(actions)
+        if self._policy.is_undecided and self._decide_handle is None:
             loop = asyncio.get_running_loop()
-            self._turn = loop.call_soon(self._decide)
+            self._decide_handle = loop.call_soon(self._decide)
 
     def _decide(self) -> None:
-        """Decide once for all that came in this turn of the event loop."""
-        if self._turn is not None:
-            self._turn.cancel()
-            self._turn = None
-        self._answer_all(self._policy.tick(self._clock.monotonic()))
-        self._acknowledge()
+        """Decide once on all events of this iteration of the event loop."""
+        if self._decide_handle is not None:
+            self._decide_handle.cancel()
+            self._decide_handle = None
+        self._report_decisions(self._policy.tick(self._clock.monotonic()))
+        self._report_queued()
         self._set_timer()
 
-    def _answer_all(self, actions: Sequence[Action]) -> None:
+    def _report_decisions(self, actions: Sequence[Action]) -> None:
         for action in actions:
             if isinstance(action, Grant | Refuse):
-                self._answer(action)
+                self._report_decision(action)
 
-    def _acknowledge(self) -> None:
-        for request_id, acknowledge in self._unacknowledged.items():
-            if request_id in self._replies:
-                acknowledge()
-        self._unacknowledged.clear()
+    def _report_queued(self) -> None:
+        for request_id, on_queued in self._on_queued.items():
+            if request_id in self._on_decision:
+                on_queued()
+        self._on_queued.clear()
 
-    def _answer(self, action: Grant | Refuse) -> None:
+    def _report_decision(self, action: Grant | Refuse) -> None:
         request_id = action.request_id
-        self._asked_at.pop(request_id, None)
-        reply = self._replies.pop(request_id, None)
+        self._requested_at.pop(request_id, None)
+        on_decision = self._on_decision.pop(request_id, None)
         if isinstance(action, Grant):
             self._granted_at[request_id] = self._clock.monotonic()
             self.counts['granted'] += 1
         else:
             self.counts['refused'] += 1
-        if reply is not None:
-            reply(action)
+        if on_decision is not None:
+            on_decision(action)
 
     def _set_timer(self) -> None:
         if self._timer is not None:
@@ -253,12 +283,12 @@
         if due is not None:
             loop = asyncio.get_running_loop()
             self._timer = loop.call_later(
-                max(due - now, SHORTEST_TIMER_S), self._decide
+                max(due - now, MIN_TIMER_S), self._decide
             )
 
 
-def ask_of(run: RunNews, now: float) -> Ask:
-    """Tell what is known of a run that another VM has."""
+def slot_request_of(run: RunNews, now: float) -> Ask:
+    """Rebuild the slot request of a run that another VM reported."""
     return Ask(
         run.request_id,
         run.service,
@@ -285,6 +315,6 @@
     return ServiceQueue(Service(name, kind, slots=1), clock, rng, overload)
 
 
-def without(ask: Ask, runner: str) -> Ask:
-    """Ask again for any other runner."""
+def exclude_runner(ask: Ask, runner: str) -> Ask:
+    """Return a copy of a slot request that this runner can't be granted."""
     return replace(ask, excluded=ask.excluded | {runner})
--- a/bramleybend/direct/peers.py
+++ b/bramleybend/direct/peers.py
@@ -1,6 +1,7 @@
-"""Talks to the other entry VMs: heartbeats, digests, and asks to owners.
+"""The UDP endpoint between entry VMs: heartbeats, digests, slot requests.
 
-Owns the socket. What is heard goes to the tables that were passed in.
+Owns the socket. Keeps `Members` up to date and passes the rest of each message
+to a `MessageHandler`.
 """
 
 import asyncio
@@ -12,20 +13,30 @@
 import msgspec
 
 from bramleybend.clock import Clock
-from bramleybend.direct.audience import Audience, Receiver
+from bramleybend.direct.audience import Receiver, Recipients
 from bramleybend.direct.beat_messages import (
     Beat,
     Digest,
-    Introduced,
+    KnownVms,
+    MissingProfiles,
     Profile,
-    Roster,
+    ProfileRequest,
     Scope,
     Spent,
-    Unknown,
 )
-from bramleybend.direct.datagrams import Datagram, Endpoint, bind, waiting
-from bramleybend.direct.digests import Digests, Heard, member_of
-from bramleybend.direct.members import ALIVE_S, BEAT_S, Member, Members
+from bramleybend.direct.datagrams import (
+    Datagram,
+    Endpoint,
+    bind,
+    pending_datagrams,
+)
+from bramleybend.direct.digests import DigestEntry, Digests, member_of
+from bramleybend.direct.members import (
+    BEAT_S,
+    HEARTBEAT_TIMEOUT_S,
+    Member,
+    Members,
+)
 from bramleybend.direct.messages import Message, decode, encode
 from bramleybend.direct.traffic import Traffic
 from bramleybend.events import EventLog
@@ -33,62 +44,64 @@
 logger = logging.getLogger(__name__)
 
 
-class Listener(Protocol):
-    """What is done with messages of other VMs."""
+class MessageHandler(Protocol):
+    """Makes this VM's heartbeats and handles the messages of other VMs."""
 
     def make_beat(self, receiver: Receiver) -> Beat:
-        """Return what to tell a VM of ourselves now."""
+        """Return this VM's heartbeat for a receiver."""
 
     def take_beat(self, beat: Beat, address: str) -> None:
-        """Take in a heartbeat."""
+        """Handle a heartbeat from an address."""
 
     def take_spent(self, profile: Profile, spent: Spent) -> None:
-        """Take in what a VM told of workspaces' spending."""
+        """Handle new totals of a VM that a hub relayed."""
 
     def take(
         self, message: Message, vm: str, reply: Callable[[Message], None]
     ) -> None:
-        """Take in any other message."""
+        """Handle any other message; `reply` sends one to the sender."""
 
     def unheard(self, vm: str) -> None:
-        """Hear that a VM no longer tells us anything itself."""
+        """Handle that a VM sends this VM no more heartbeats itself."""
 
     def silent(self, vm: str) -> None:
-        """Hear that a VM was not heard for a while."""
+        """Handle that a VM is no longer alive, directly or through a hub."""
 
     def lost(self, member: Member) -> None:
-        """Hear that a VM is taken for gone."""
+        """Handle that a VM was removed after a long silence or a restart."""
 
 
 class Peers(asyncio.DatagramProtocol):
-    """The socket between entry VMs."""
+    """Sends and receives the datagrams between entry VMs."""
 
     def __init__(
         self,
         members: Members,
         services: Callable[[], Iterable[str]],
-        listener: Listener,
+        handler: MessageHandler,
         port: int,
         clock: Clock,
         events: EventLog,
     ) -> None:
-        """Know nobody; the owners of `services` are told of our runs."""
+        """Start without peers; owners of `services` get this VM's runs."""
         self._members = members
-        self._audience = Audience(members, services)
-        self.add_seeds = self._audience.add_seeds
+        self._recipients = Recipients(members, services)
+        self.add_seeds = self._recipients.add_seeds
         self._digests = Digests(members)
-        self._listener = listener
+        self._handler = handler
         self._port = port
         self._clock = clock
         self._events = events
-        self._names: dict[str, str] = {}  # address to VM
+        self._vm_by_address: dict[str, str] = {}
         self._transport: asyncio.DatagramTransport | None = None
-        self._backlog: Callable[[], Iterable[Datagram]] = tuple
-        self._beats = 0
+        self._read_pending: Callable[[], Iterable[Datagram]] = tuple
+        self._rounds = 0
+        # When the last digests of all VMs and of this VM's domain were sent.
         self._digest_at = float(0)
-        self._near_at = float(0)
-        self._alive: set[str] = set()
-        self._direct: dict[str, float] = {}  # VM to when its word is overdue
+        self._domain_digest_at = float(0)
+        self._alive_vms: set[str] = set()  # as last reported to the handler
+        # By VM, when its next direct heartbeat is overdue.
+        self._direct_until: dict[str, float] = {}
         self.sent = Traffic(events)
 
     async def start(self, address: str) -> None:
@@ -96,10 +109,10 @@
         sock = bind(address, self._port)
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, sock=sock)
-        self._backlog = partial(waiting, sock)
+        self._read_pending = partial(pending_datagrams, sock)
 
     async def run(self) -> None:
-        """Tell the others, until cancelled."""
+        """Send heartbeats and digests until cancelled."""
         while True:
             self.beat()
             await asyncio.sleep(BEAT_S)
@@ -107,21 +120,21 @@
     def beat(self) -> None:
         """Send one round of heartbeats and digests."""
         now = self._clock.monotonic()
-        for old in self._members.forget_old(now):
-            self._lose(old)
-        self._note_silent(now)
+        for expired in self._members.remove_expired(now):
+            self._report_lost(expired)
+        self._report_silent(now)
         self._members.choose_hubs(now)
-        self._send_beats(now)
+        self._send_heartbeats(now)
         self._send_digests(now)
-        hub = self._audience.next_to_compare(self._beats)
+        hub = self._recipients.next_hub_to_compare(self._rounds)
         if hub is not None:
-            self.send(self._digests.roster(), hub.address)
-        self._beats += 1
-        self.sent.note_beat(is_hub=self._members.is_hub(self._members.own.vm))
+            self.send(self._digests.known_vms(), hub.address)
+        self._rounds += 1
+        self.sent.log_burst(is_hub=self._members.is_hub(self._members.own.vm))
 
     def send(self, message: Message, address: str) -> None:
         """Send one message; it may be lost."""
-        self._write(encode(message), address)
+        self._send_payload(encode(message), address)
 
     def close(self) -> None:
         """Close the socket."""
@@ -129,158 +142,171 @@
             self._transport.close()
 
     def connection_made(self, transport: Any) -> None:
-        """Take over the bound socket."""
+        """Keep the transport of the bound socket."""
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: Endpoint) -> None:
-        """Take in a message, and those that came behind it.
+        """Handle a message and the datagrams that are pending behind it.
 
-        The event loop hands over one datagram a turn. Decided on one by one,
-        the asks of a burst would wait for each other.
+        The event loop delivers one datagram per iteration, and queues decide
+        once per iteration. The slot requests of a burst would each wait for
+        the decisions on the ones before.
         """
-        self._take(data, addr[0])
-        for payload, sender in self._backlog():
-            self._take(payload, sender[0])
+        self._handle_datagram(data, addr[0])
+        for payload, sender in self._read_pending():
+            self._handle_datagram(payload, sender[0])
 
     def error_received(self, exc: Exception) -> None:
-        """Note a refused datagram; silence tells the rest."""
-        logger.debug('a datagram was refused: %s', exc)
+        """Log a failed send or receive.
 
-    def _take(self, payload: bytes, address: str) -> None:
+        Nothing else is done: a peer that can't be reached is noticed by its
+        missing heartbeats.
+        """
+        logger.debug('sending or receiving a datagram failed: %s', exc)
+
+    def _handle_datagram(self, payload: bytes, address: str) -> None:
         try:
             message = decode(payload)
         except msgspec.MsgspecError as exc:
             self._events.record('peer_unreadable', peer=address, why=str(exc))
             return
         now = self._clock.monotonic()
-        vm = self._names.get(address, address)
+        vm = self._vm_by_address.get(address, address)
         match message:
             case Beat():
-                self._take_beat(message, address)
+                self._handle_heartbeat(message, address)
             case Digest():
-                self._take_digest(message, address)
-            case Unknown() | Roster():
+                self._handle_digest(message, address)
+            case ProfileRequest() | KnownVms():
                 for reply in self._digests.answer(message, vm, now):
                     self.send(reply, address)
-            case Introduced():
-                for profile in self._digests.strangers(message):
-                    self._greet(profile.address)
+            case MissingProfiles():
+                for profile in self._digests.unknown_profiles(message):
+                    self._send_first_heartbeat(profile.address)
             case _:
-                self._listener.take(
+                self._handler.take(
                     message, vm, partial(self.send, address=address)
                 )
 
-    def _send_beats(self, now: float) -> None:
+    def _send_heartbeats(self, now: float) -> None:
+        # Receivers with the same options get the same payload.
         payloads: dict[tuple[Scope, int, bool], bytes] = {}
-        for receiver in self._audience.receivers(self._beats, now):
-            kind = (receiver.wants, receiver.every, receiver.tells_runs)
-            payload = payloads.get(kind)
+        for receiver in self._recipients.receivers(self._rounds, now):
+            options = (receiver.wants, receiver.every, receiver.tells_runs)
+            payload = payloads.get(options)
             if payload is None:
-                payload = encode(self._listener.make_beat(receiver))
-                payloads[kind] = payload
-            self._write(payload, receiver.address)
+                payload = encode(self._handler.make_beat(receiver))
+                payloads[options] = payload
+            self._send_payload(payload, receiver.address)
 
     def _send_digests(self, now: float) -> None:
-        hubs = self._audience.subscribers(Scope.NEAR, now)
-        near = self._audience.near(now) if hubs else ()
-        if near:
-            payload = encode(self._digests.make(near, now, self._near_at))
+        hubs = self._recipients.subscribers(Scope.DOMAIN, now)
+        members = self._recipients.domain_members(now) if hubs else ()
+        if members:
+            payload = encode(
+                self._digests.make(members, now, self._domain_digest_at)
+            )
             for address in hubs:
-                self._write(payload, address)
-        self._near_at = now
-        # News of a VM that comes, stops or gets ready doesn't wait its turn.
-        if not self._audience.is_turn(self._beats):
+                self._send_payload(payload, address)
+        self._domain_digest_at = now
+        # A digest with a new or changed profile doesn't wait for its turn:
+        # other VMs learn at once of a VM that starts, stops or becomes ready.
+        if not self._recipients.is_turn(self._rounds):
             if not self._digests.changed_since(self._digest_at):
                 return
-        everyone = self._audience.subscribers(Scope.ALL, now)
-        if everyone:
+        addresses = self._recipients.subscribers(Scope.ALL, now)
+        if addresses:
             digest = self._digests.make(
                 self._members.alive(now),
                 now,
                 self._digest_at,
-                self._audience.left_to_others(self._direct),
+                self._recipients.skipped_part(self._direct_until),
             )
             payload = encode(digest)
-            for address in everyone:
-                self._write(payload, address)
+            for address in addresses:
+                self._send_payload(payload, address)
         self._digest_at = now
 
-    def _take_beat(self, beat: Beat, address: str) -> None:
-        profile = beat.profile
+    def _handle_heartbeat(self, heartbeat: Beat, address: str) -> None:
+        profile = heartbeat.profile
         if profile.vm == self._members.own.vm:
             return
         now = self._clock.monotonic()
-        self._names[address] = profile.vm
-        lasts_s = ALIVE_S + (beat.every - 1) * BEAT_S
-        self._direct[profile.vm] = now + lasts_s
+        self._vm_by_address[address] = profile.vm
+        timeout_s = HEARTBEAT_TIMEOUT_S + (heartbeat.every - 1) * BEAT_S
+        self._direct_until[profile.vm] = now + timeout_s
         before = self._members.get(profile.vm)
-        key = self._digests.note(profile, now)
-        is_new = self._note(member_of(profile, key, now, lasts_s))
-        self._digests.note_spendings(profile.vm, beat, now, now)
-        if self._audience.subscribed(profile.vm, address, beat.wants, now):
+        key = self._digests.add_profile(profile, now)
+        is_new = self._update_member(member_of(profile, key, now, timeout_s))
+        self._digests.note_spendings(profile.vm, heartbeat, now, now)
+        if self._recipients.subscribe(
+            profile.vm, address, heartbeat.wants, now
+        ):
             is_new = True
-            self.send(self._digests.missed(before, profile, now), address)
+            self.send(self._digests.make_first(before, profile, now), address)
         if is_new:
-            # A VM that has just come up learns of us now, not a beat later,
-            # and with us of all that workspaces still owe.
-            self._greet(address)
-        self._listener.take_beat(beat, address)
+            # A VM that has just started gets this VM's heartbeat at once, not
+            # one interval later. It holds the debts of all workspaces.
+            self._send_first_heartbeat(address)
+        self._handler.take_beat(heartbeat, address)
 
-    def _take_digest(self, digest: Digest, address: str) -> None:
+    def _handle_digest(self, digest: Digest, address: str) -> None:
         now = self._clock.monotonic()
-        heard, unknown = self._digests.take(digest, now)
-        for one in heard:
-            self._take_heard(one, now)
-        if unknown:
-            self.send(Unknown(unknown), address)
-
-    def _take_heard(self, heard: Heard, now: float) -> None:
-        if heard.member is not None and heard.member.is_alive(now):
-            self._note(heard.member)
-        if heard.spent is None:
+        entries, unknown_keys = self._digests.read(digest, now)
+        for entry in entries:
+            self._handle_entry(entry, now)
+        if unknown_keys:
+            self.send(ProfileRequest(unknown_keys), address)
+
+    def _handle_entry(self, entry: DigestEntry, now: float) -> None:
+        if entry.member is not None and entry.member.is_alive(now):
+            self._update_member(entry.member)
+        if entry.spent is None:
             return
-        profile, spent = heard.profile, heard.spent
-        # Several hubs tell of a change; the listener hears of it once.
-        changed = self._digests.note_spendings(profile.vm, spent, heard.at, now)
+        profile, spent = entry.profile, entry.spent
+        # Several hubs send the same change; the handler gets it once.
+        changed = self._digests.note_spendings(profile.vm, spent, entry.at, now)
         if changed or spent.tells_all:
             fresh = Spent(spent.key, changed, spent.tells_all, spent.accounts_s)
-            self._listener.take_spent(profile, fresh)
+            self._handler.take_spent(profile, fresh)
 
-    def _greet(self, address: str) -> None:
-        greeting = Receiver(address, is_new=True)
-        self.send(self._listener.make_beat(greeting), address)
+    def _send_first_heartbeat(self, address: str) -> None:
+        receiver = Receiver(address, is_new=True)
+        self.send(self._handler.make_beat(receiver), address)
 
-    def _note(self, member: Member) -> bool:
-        """Take a VM for alive; tells whether it was not."""
+    def _update_member(self, member: Member) -> bool:
+        """Store a VM that is alive; returns whether it wasn't alive before."""
         before = self._members.heard(member)
         if before is not None and before.incarnation != member.incarnation:
-            self._lose(before)
-            self._alive.discard(member.vm)
-        if member.vm in self._alive:
+            self._report_lost(before)
+            self._alive_vms.discard(member.vm)
+        if member.vm in self._alive_vms:
             return False
-        self._alive.add(member.vm)
+        self._alive_vms.add(member.vm)
         self._events.record(
             'peer_heard', peer=member.vm, incarnation_of=member.incarnation
         )
         return True
 
-    def _lose(self, member: Member) -> None:
-        self._digests.forget(member)
-        self._audience.forget(member.vm)
-        self._listener.lost(member)
+    def _report_lost(self, member: Member) -> None:
+        self._digests.remove(member)
+        self._recipients.unsubscribe(member.vm)
+        self._handler.lost(member)
 
-    def _note_silent(self, now: float) -> None:
-        overdue = [vm for vm, until in self._direct.items() if until < now]
+    def _report_silent(self, now: float) -> None:
+        overdue = [
+            vm for vm, until in self._direct_until.items() if until < now
+        ]
         for vm in overdue:
-            self._direct.pop(vm)
-            self._listener.unheard(vm)
+            self._direct_until.pop(vm)
+            self._handler.unheard(vm)
         alive = {member.vm for member in self._members.alive(now)}
-        for vm in self._alive - alive:
+        for vm in self._alive_vms - alive:
             self._events.record('peer_silent', peer=vm)
-            self._listener.silent(vm)
-        self._alive &= alive
+            self._handler.silent(vm)
+        self._alive_vms &= alive
 
-    def _write(self, payload: bytes, address: str) -> None:
+    def _send_payload(self, payload: bytes, address: str) -> None:
         if self._transport is not None:
             self.sent.count(payload)
             self._transport.sendto(payload, (address, self._port))
--- a/bramleybend/direct/placing.py
+++ b/bramleybend/direct/placing.py
@@ -1,10 +1,11 @@
-"""Gets a slot at a runner for one request, from whoever orders the service.
-
-The owner answers a first word at once. A VM that doesn't is gone, frozen or
-cut off: it is asked again twice, each time with twice the patience, as a
-datagram may be lost and a busy owner late. Then its successor is asked, which
-hears of the same runs; last, the request is placed by this VM's own queue. So
-the loss of an owner costs a caller about seven times `ACK_S`.
+"""Acquires runner slots: from the service's owner or from this VM's queue.
+
+The owner acknowledges or decides a slot request at once. An owner that does
+neither is down, frozen or unreachable. As a datagram may be lost and a busy
+owner late, the request is sent twice more, each time with twice the timeout.
+Then it goes to the owner's successor, which receives the same run reports, and
+last to this VM's own queue. So the loss of an owner delays a caller by about
+seven times `ACK_TIMEOUT_S`.
 """
 
 import asyncio
@@ -19,9 +20,9 @@
 from bramleybend.direct.ask_messages import (
     ask_from,
     ask_news,
-    ended_news,
-    report_from,
-    told,
+    decision_message,
+    run_end_message,
+    run_report_from,
 )
 from bramleybend.direct.beat_messages import RunNews
 from bramleybend.direct.book import Book
@@ -29,49 +30,53 @@
 from bramleybend.direct.messages import (
     AskNews,
     Ended,
-    Filled,
     Granted,
     Message,
+    PrefillDone,
     Queued,
     Refused,
     Withdrawn,
 )
 from bramleybend.direct.models import RunnerEntry
-from bramleybend.direct.owner import without
+from bramleybend.direct.owner import exclude_runner
 from bramleybend.direct.queues import Queues
 from bramleybend.events import EventLog
 from bramleybend.models import Ask
 
-# A round trip between failure domains takes 1 ms and a busy owner some more.
-ACK_S: Final = 0.04
-ASKS: Final = 3
-MOST_ASKED: Final = 4  # VMs; one that owns again is asked again
-REFRESH_S: Final = 0.3  # a waiting ask is said again, or it lapses
-UNKNOWN_RETRY_S: Final = 0.2  # news of a runner reaches all VMs by then
-DISTRUST_S: Final = 1.0  # an owner that didn't answer is not asked again
+# For the first attempt; doubled with each further one. A round trip between
+# failure domains takes 1 ms, and a busy owner takes some more time.
+ACK_TIMEOUT_S: Final = 0.04
+# For one owner: attempts without an answer, and grants of unknown runners.
+MAX_ATTEMPTS: Final = 3
+# Owners tried for one request; a VM counts again if it is the owner again.
+MAX_OWNERS: Final = 4
+# A waiting request is repeated this often; without repeats it would expire.
+REFRESH_S: Final = 0.3
+UNKNOWN_RETRY_S: Final = 0.2  # all VMs know of a new runner by then
+DISTRUST_S: Final = 1.0  # an owner that didn't answer is avoided this long
 
 Send = Callable[[Message, str], None]
 
 
 @dataclass(frozen=True)
 class Placement:
-    """A slot at a runner, until it is given back."""
+    """A slot at a runner, held until it is released."""
 
     ask: Ask
     runner: RunnerEntry
-    owner: Member | None  # none: our own queue granted it
+    owner: Member | None  # none: this VM's own queue granted it
 
 
 @dataclass(frozen=True)
 class NoSlot:
-    """No runner takes the request; nothing was sent."""
+    """No slot was granted; nothing was sent to a runner."""
 
     reason: str
     retry_after_s: float
 
 
 class Placer:
-    """Places this VM's requests, and answers the asks of the others."""
+    """Acquires slots for this VM's requests; handles those of other VMs."""
 
     def __init__(
         self,
@@ -81,120 +86,130 @@
         clock: Clock,
         events: EventLog,
     ) -> None:
-        """Start with nothing under way."""
+        """Start without requests; `send` and `may_own` are set later."""
         self._book = book
         self._members = members
         self._queues = queues
         self._clock = clock
         self._events = events
-        self._numbers = count()
-        self._waiting: dict[str, asyncio.Queue[Message]] = {}
-        self._runs: dict[str, RunNews] = {}
-        self.send: Send = _send_nowhere
+        self._request_numbers = count()
+        # Answers of owners, and the runs at engines, by request ID.
+        self._inboxes: dict[str, asyncio.Queue[Message]] = {}
+        self._engine_runs: dict[str, RunNews] = {}
+        self.send: Send = _discard
+        # Whether this VM may be an owner now.
         self.may_own: Callable[[], bool] = _always
 
     def next_id(self) -> str:
-        """Name one ask; unique over all VMs and their restarts."""
-        return f'{self._members.own.incarnation}.{next(self._numbers)}'
+        """Return a request ID, unique over all VMs and their restarts."""
+        return f'{self._members.own.incarnation}.{next(self._request_numbers)}'
 
     def runs(self) -> list[RunNews]:
-        """Return what we have at engines now."""
-        return list(self._runs.values())
+        """Return the runs that this VM has at engines now."""
+        return list(self._engine_runs.values())
 
     async def place(self, ask: Ask) -> Placement | NoSlot:
-        """Wait for a slot, as long as the queue's policy lets it wait."""
-        placed = None
+        """Wait for a slot until the queue's policy grants or refuses it."""
+        result = None
         if self._queues.is_engine(ask.service):
-            placed = await self._ask_owners(ask)
-        if placed is None:
-            placed = await self._ask_own(ask)
-        if isinstance(placed, Placement):
-            self._begin(placed)
-        return placed
+            result = await self._request_from_owners(ask)
+        if result is None:
+            result = await self._request_from_own_queue(ask)
+        if isinstance(result, Placement):
+            self._note_started(result)
+        return result
 
     def filled(self, placement: Placement) -> None:
-        """Note that the first token has come."""
+        """Report a run's first token to its queue and its owner."""
         ask = placement.ask
         queue = self._queues.of(ask.service)
-        queue.filled(ask.request_id, ask.prompt_tokens)
+        queue.note_first_token(ask.request_id, ask.prompt_tokens)
         if placement.owner is not None:
-            news = Filled(ask.request_id, ask.service, ask.prompt_tokens)
-            self.send(news, placement.owner.address)
+            message = PrefillDone(
+                ask.request_id, ask.service, ask.prompt_tokens
+            )
+            self.send(message, placement.owner.address)
 
     def ended(self, placement: Placement, report: RunReport) -> None:
-        """Give the slot back."""
+        """Release the slot and report how the run ended."""
         ask = placement.ask
         runner = placement.runner.incarnation
         if report.moved:
             self._book.note_moved(runner)
-        self._runs.pop(ask.request_id, None)
+        self._engine_runs.pop(ask.request_id, None)
         self._queues.of(ask.service).ended(ask.request_id, report)
         if placement.owner is not None:
-            news = ended_news(ask, report, runner)
-            self.send(news, placement.owner.address)
+            message = run_end_message(ask, report, runner)
+            self.send(message, placement.owner.address)
 
     def take(
         self, message: Message, vm: str, reply: Callable[[Message], None]
     ) -> None:
-        """Take in a message about an ask, ours or another VM's."""
+        """Handle a message about a slot request of this or another VM.
+
+        `reply` sends a message to the VM that sent this one.
+        """
         match message:
             case AskNews():
-                self._take_ask(message, reply)
+                self._handle_request(message, reply)
             case Withdrawn():
                 self._queues.of(message.service).withdraw(message.request_id)
-            case Filled():
+            case PrefillDone():
                 queue = self._queues.of(message.service)
-                queue.filled(message.request_id, message.prompt_tokens)
+                queue.note_first_token(
+                    message.request_id, message.prompt_tokens
+                )
             case Ended():
                 if message.moved_runner:
                     self._book.note_moved(message.moved_runner)
                 queue = self._queues.of(message.service)
-                queue.ended(message.request_id, report_from(message))
+                queue.ended(message.request_id, run_report_from(message))
             case Queued() | Granted() | Refused():
-                inbox = self._waiting.get(message.request_id)
+                inbox = self._inboxes.get(message.request_id)
                 if inbox is not None:
                     inbox.put_nowait(message)
 
-    def _take_ask(
-        self, news: AskNews, reply: Callable[[Message], None]
+    def _handle_request(
+        self, message: AskNews, reply: Callable[[Message], None]
     ) -> None:
-        queue = self._queues.of(news.service)
+        queue = self._queues.of(message.service)
         queue.ask(
-            ask_from(news, self._clock.monotonic()),
-            lambda action: reply(told(action)),
-            lambda: reply(Queued(news.request_id)),
+            ask_from(message, self._clock.monotonic()),
+            lambda action: reply(decision_message(action)),
+            lambda: reply(Queued(message.request_id)),
         )
 
-    async def _ask_own(self, ask: Ask) -> Placement | NoSlot:
+    async def _request_from_own_queue(self, ask: Ask) -> Placement | NoSlot:
         loop = asyncio.get_running_loop()
         fut: asyncio.Future[Grant | Refuse] = loop.create_future()
         queue = self._queues.of(ask.service)
-        reply = partial(_settle, fut)
+        on_decision = partial(_set_result, fut)
         try:
             while not fut.done():
-                queue.ask(ask, reply)
+                queue.ask(ask, on_decision)
                 await asyncio.wait((fut,), timeout=REFRESH_S)
-            return self._placed(ask, fut.result(), None)
+            return self._result_of(ask, fut.result(), None)
         except asyncio.CancelledError:
             queue.withdraw(ask.request_id)
             raise
 
-    async def _ask_owners(self, ask: Ask) -> Placement | NoSlot | None:
-        """Ask the owner, then its successor; `None`: order it ourselves.
+    async def _request_from_owners(self, ask: Ask) -> Placement | NoSlot | None:
+        """Ask the owner, then its successor.
 
-        Only these two hear of all runs. Ordered by each VM for itself, the
-        requests of all would start at the same runners.
+        Returns `None` if this VM's own queue has to decide. Only the owner and
+        its successor know of all runs; if every VM decided for itself, all
+        would start their requests at the same runners.
         """
-        for _ in range(MOST_ASKED):
+        for _ in range(MAX_OWNERS):
             owner = self._owner(ask)
             if owner is None:
                 return None
-            # Each under an id of its own: a late word of the one before would
-            # else count for the next.
-            own_ask = replace(ask, request_id=self.next_id())
-            placed = await self._ask_owner(own_ask, owner)
-            if placed is not None:
-                return placed
+            # Each owner gets a request ID of its own, so that a late answer
+            # of the previous owner isn't taken for one of the next.
+            owner_ask = replace(ask, request_id=self.next_id())
+            result = await self._request_from_owner(owner_ask, owner)
+            if result is not None:
+                return result
         return None
 
     def _owner(self, ask: Ask) -> Member | None:
@@ -205,26 +220,26 @@
         owner = self._owner(ask)
         return owner is not None and owner.vm == vm
 
-    async def _ask_owner(
+    async def _request_from_owner(
         self, ask: Ask, owner: Member
     ) -> Placement | NoSlot | None:
-        """Ask another VM; `None` if it doesn't answer.
+        """Ask another VM for a slot; `None` if it doesn't answer.
 
-        It may know runners that we have not heard of yet, or have heard to be
-        gone; then it is asked for another one.
+        The owner may grant a runner that this VM doesn't know yet or has
+        already removed; then this VM asks it for another runner.
         """
-        for _ in range(ASKS):
-            message = await self._word_of(ask, owner)
+        for _ in range(MAX_ATTEMPTS):
+            message = await self._decision_of(ask, owner)
             if isinstance(message, Refused):
                 return NoSlot(message.reason, message.retry_after_s)
             if not isinstance(message, Granted):
                 break
             grant = Grant(message.request_id, message.runner)
-            placed = self._placed(ask, grant, owner)
-            if isinstance(placed, Placement):
-                return placed
+            result = self._result_of(ask, grant, owner)
+            if isinstance(result, Placement):
+                return result
             ask = replace(
-                without(ask, message.runner), request_id=self.next_id()
+                exclude_runner(ask, message.runner), request_id=self.next_id()
             )
         else:
             return None
@@ -236,38 +251,41 @@
             )
         return None
 
-    async def _word_of(self, ask: Ask, owner: Member) -> Message | None:
-        """Return a VM's decision; `None` if it has none or owns no more."""
+    async def _decision_of(self, ask: Ask, owner: Member) -> Message | None:
+        """Return the owner's decision.
+
+        Returns `None` if the owner doesn't answer or is no longer the owner.
+        """
         inbox: asyncio.Queue[Message] = asyncio.Queue()
-        self._waiting[ask.request_id] = inbox
+        self._inboxes[ask.request_id] = inbox
         message = None
         try:
-            message = await self._answer_of(ask, owner, inbox)
+            message = await self._wait_for_decision(ask, owner, inbox)
         finally:
-            self._waiting.pop(ask.request_id, None)
+            self._inboxes.pop(ask.request_id, None)
             if not isinstance(message, Granted | Refused):
-                news = Withdrawn(ask.request_id, ask.service)
-                self.send(news, owner.address)
+                withdrawal = Withdrawn(ask.request_id, ask.service)
+                self.send(withdrawal, owner.address)
         return message
 
-    async def _answer_of(
+    async def _wait_for_decision(
         self, ask: Ask, owner: Member, inbox: 'asyncio.Queue[Message]'
     ) -> Message | None:
-        silent = 0
-        # What waits at a VM that owns no more sees slots come free only when
-        # the owner has filled them again.
-        while silent < ASKS and self._is_owner(ask, owner.vm):
+        unanswered = 0
+        # A request that waits at a former owner would starve: that VM learns
+        # of a free slot only after the new owner has granted it again.
+        while unanswered < MAX_ATTEMPTS and self._is_owner(ask, owner.vm):
             self.send(ask_news(ask, self._clock.monotonic()), owner.address)
-            message = await _next(inbox, ACK_S * 2**silent)
-            silent += 1
+            message = await _receive(inbox, ACK_TIMEOUT_S * 2**unanswered)
+            unanswered += 1
             while isinstance(message, Queued) and self._is_owner(ask, owner.vm):
-                silent = 0
-                message = await _next(inbox, REFRESH_S)
+                unanswered = 0
+                message = await _receive(inbox, REFRESH_S)
             if message is not None:
                 return message
         return None
 
-    def _placed(
+    def _result_of(
         self, ask: Ask, action: Grant | Refuse, owner: Member | None
     ) -> Placement | NoSlot:
         if isinstance(action, Refuse):
@@ -275,26 +293,26 @@
         entry = self._book.entry(action.runner)
         if entry is not None:
             return Placement(ask, entry, owner)
-        self._end_at_owner(ask, RunReport('unknown_runner'), owner)
+        self._release_at_owner(ask, RunReport('unknown_runner'), owner)
         return NoSlot('unknown_runner', UNKNOWN_RETRY_S)
 
-    def _end_at_owner(
+    def _release_at_owner(
         self, ask: Ask, report: RunReport, owner: Member | None
     ) -> None:
         if owner is None:
             self._queues.of(ask.service).ended(ask.request_id, report)
         else:
-            self.send(ended_news(ask, report), owner.address)
+            self.send(run_end_message(ask, report), owner.address)
 
-    def _begin(self, placement: Placement) -> None:
+    def _note_started(self, placement: Placement) -> None:
         ask = placement.ask
         queue = self._queues.of(ask.service)
         if placement.owner is None:
             queue.began(ask.request_id)
         else:
-            queue.witness(ask, placement.runner.incarnation)
+            queue.note_remote_grant(ask, placement.runner.incarnation)
         if self._queues.is_engine(ask.service):
-            self._runs[ask.request_id] = RunNews(
+            self._engine_runs[ask.request_id] = RunNews(
                 ask.request_id,
                 ask.service,
                 placement.runner.incarnation,
@@ -305,7 +323,7 @@
             )
 
 
-async def _next(
+async def _receive(
     inbox: 'asyncio.Queue[Message]', timeout_s: float
 ) -> Message | None:
     try:
@@ -315,15 +333,15 @@
         return None
 
 
-def _settle(
+def _set_result(
     fut: 'asyncio.Future[Grant | Refuse]', action: Grant | Refuse
 ) -> None:
     if not fut.done():
         fut.set_result(action)
 
 
-def _send_nowhere(message: Message, address: str) -> None:
-    """Drop a message before the socket is open."""
+def _discard(message: Message, address: str) -> None:
+    """Stand in for `Placer.send` until `Peers` is set up."""
 
 
 def _always() -> bool:
--- a/bramleybend/direct/queues.py
+++ b/bramleybend/direct/queues.py
@@ -14,12 +14,13 @@
 from bramleybend.direct.runner_limits import RunnerLimits
 from bramleybend.events import EventLog
 
-# VMs share a limit while each of them has a request in this time.
-SHARING_S: Final = 2.0
+# A runner's rate limit is divided among as many VMs as can each send it at
+# least one request in this time.
+LIMIT_SHARING_S: Final = 2.0
 
 
 class Queues:
-    """This VM's queue of each service."""
+    """Creates this VM's queues and passes runners and rate limits to them."""
 
     log: QueueLog
 
@@ -32,7 +33,7 @@
         rng: Random,
         overload: Overload,
     ) -> None:
-        """Start without services; they come with the manifest."""
+        """Start without queues; each is created when first used."""
         self._overload = overload
         self._book = book
         self._members = members
@@ -42,11 +43,11 @@
         self._queues: dict[str, ServiceQueue] = {}
 
     def __iter__(self) -> Iterator[tuple[str, ServiceQueue]]:
-        """Go over the queues by service."""
+        """Iterate over the queues with the names of their services."""
         return iter(self._queues.items())
 
     def of(self, service: str) -> ServiceQueue:
-        """Return a service's queue."""
+        """Return a service's queue; creates it if necessary."""
         queue = self._queues.get(service)
         if queue is None:
             queue = make_queue(
@@ -63,44 +64,49 @@
         return queue
 
     def is_engine(self, service: str) -> bool:
-        """Tell whether a service's work is ordered by one owner."""
+        """Tell whether one owner dispatches all requests of a service."""
         manifest = self._book.manifest
-        facts = manifest.services.get(service) if manifest else None
-        return facts is not None and facts.is_engine
+        declared = manifest.services.get(service) if manifest else None
+        return declared is not None and declared.is_engine
 
     def engines(self) -> list[str]:
-        """Return the services whose work is ordered by one owner."""
+        """Return the services whose requests are dispatched by one owner."""
         manifest = self._book.manifest
         services = manifest.services if manifest else {}
-        return [name for name, facts in services.items() if facts.is_engine]
+        return [
+            name for name, declared in services.items() if declared.is_engine
+        ]
 
     def take_runners(self) -> None:
-        """Tell every queue which runners it has now."""
+        """Pass the current runners to every queue."""
         for service, queue in self._queues.items():
             entries = self._book.runners.get(service, ())
             queue.take_runners(entries, warm=True)
 
     def take_limits(self) -> None:
-        """Tell every queue how often runners in need may get a request.
+        """Pass the rate limits of runners to every queue.
 
-        An engine's owner orders all of its work, so it uses the whole limit.
-        Other services are ordered by each VM for itself: of their limits each
-        of some VMs has a part, and the others send nothing there.
+        The owner of an engine service dispatches all of its requests, so it
+        uses the whole limit. Requests of other services are dispatched by
+        every VM: some VMs get an equal part of each limit, and the others send
+        no requests to that runner.
         """
-        whole = self.limits.in_force()
-        parts = {
-            runner: self._part_of(runner, per_s)
-            for runner, per_s in whole.items()
+        full_limits = self.limits.in_force()
+        own_parts = {
+            runner: self._own_part(runner, per_s)
+            for runner, per_s in full_limits.items()
         }
         for service, queue in self._queues.items():
-            queue.take_rates(whole if self.is_engine(service) else parts)
+            queue.update_rate_limits(
+                full_limits if self.is_engine(service) else own_parts
+            )
 
-    def _part_of(self, runner: str, per_s: float) -> float:
+    def _own_part(self, runner: str, per_s: float) -> float:
         others = self._members.serving(self._clock.monotonic())
         vms = len(others) + 1
-        sharing = max(min(int(per_s * SHARING_S), vms), 1)
-        ours = rank_of(runner, self._members.own)
-        ahead = sum(rank_of(runner, one) > ours for one in others)
+        sharing = max(min(int(per_s * LIMIT_SHARING_S), vms), 1)
+        own_rank = rank_of(runner, self._members.own)
+        ahead = sum(rank_of(runner, other) > own_rank for other in others)
         return per_s / sharing if ahead < sharing else 0
 
 
@@ -112,7 +118,7 @@
     rng: Random,
     overload: Overload = UNBOUNDED,
 ) -> Queues:
-    """Make the queues of a VM, which keep to what runners say they take."""
+    """Make a VM's queues, with the rate limits of runners and the log."""
     limits = RunnerLimits(clock, events, rng)
     queues = Queues(book, members, limits, clock, rng, overload)
     limits.changed = queues.take_limits
--- a/bramleybend/direct/ranks.py
+++ b/bramleybend/direct/ranks.py
@@ -1,31 +1,34 @@
-"""Which VM comes first for some work: all VMs rank alike, by a hash."""
+"""Ranks of VMs for a task, by capacity and a hash (rendezvous hashing).
+
+All VMs compute the same ranks, so they choose the same VM without agreement.
+"""
 
 from functools import lru_cache
 from typing import Final, Protocol
 
 from xxhash import xxh64_intdigest
 
-MOST_RANKS: Final = 4096  # kept hashes; some ten for each VM
+MAX_CACHED_HASHES: Final = 4096  # about ten for each VM
 
 
-class Ranked(Protocol):
-    """A VM that may do the work."""
+class RankedVm(Protocol):
+    """A VM's name and capacity."""
 
     @property
     def vm(self) -> str:
-        """Return its name."""
+        """Return the VM's name."""
 
     @property
     def capacity(self) -> int:
-        """Return how much it can carry."""
+        """Return the level of work that the VM can carry."""
 
 
-def rank_of(work: str, one: Ranked) -> tuple[int, int]:
-    """Rank a VM for some work; the one that can carry most goes first."""
-    return one.capacity, hash_of(work, one.vm)
+def rank_of(task: str, member: RankedVm) -> tuple[int, int]:
+    """Return a VM's rank for a task; the VM with the highest rank does it."""
+    return member.capacity, hash_of(task, member.vm)
 
 
-@lru_cache(MOST_RANKS)
-def hash_of(work: str, vm: str) -> int:
-    """Spread work over VMs that can carry as much."""
-    return xxh64_intdigest(f'{work}/{vm}'.encode())
+@lru_cache(MAX_CACHED_HASHES)
+def hash_of(task: str, vm: str) -> int:
+    """Return a hash that spreads tasks over VMs of the same capacity."""
+    return xxh64_intdigest(f'{task}/{vm}'.encode())
--- a/bramleybend/direct/traffic.py
+++ b/bramleybend/direct/traffic.py
@@ -1,31 +1,32 @@
-"""What a VM sends to the others, counted."""
+"""Counters of the messages and bytes that a VM sends to the others."""
 
 from dataclasses import dataclass
 from typing import Final
 
 from bramleybend.events import EventLog
 
-# Between two heartbeats; 0.2 s of a link of 5 Mbit/s.
+# In one heartbeat interval; a link of 5 Mbit/s transfers it in 0.2 s.
 LARGE_BYTES: Final = 131_072
 
 
 @dataclass
 class Traffic:
-    """Totals for the metrics; a burst is logged."""
+    """Totals for the metrics, and a log event for each burst."""
 
     events: EventLog
     messages: int = 0
     size: int = 0  # bytes
-    _messages_before: int = 0  # at the last heartbeat
+    # The totals at the end of the last heartbeat interval.
+    _messages_before: int = 0
     _size_before: int = 0
 
     def count(self, payload: bytes) -> None:
-        """Count a datagram."""
+        """Count a datagram to be sent."""
         self.messages += 1
         self.size += len(payload)
 
-    def note_beat(self, *, is_hub: bool) -> None:
-        """Log what was sent since the last heartbeat, if it is much."""
+    def log_burst(self, *, is_hub: bool) -> None:
+        """Record an event if `LARGE_BYTES` were sent since the last call."""
         size = self.size - self._size_before
         if size >= LARGE_BYTES:
             messages = self.messages - self._messages_before
