--- a/bramleybend/direct/datagrams.py
+++ b/bramleybend/direct/datagrams.py
@@ -9,7 +9,8 @@
 Datagram: TypeAlias = tuple[bytes, Endpoint]
 
 MAX_DATAGRAM_BYTES: Final = 65_535
-# Read at once, so that the event loop also serves callers' connections.
+# A bound for one pass, so that the event loop also serves callers' connections
+# between the datagrams of a burst.
 MAX_DATAGRAMS_PER_READ: Final = 64
 
 logger = logging.getLogger(__name__)
--- a/bramleybend/direct/digests.py
+++ b/bramleybend/direct/digests.py
@@ -72,12 +72,11 @@
         self._members = members
         # By profile key.
         self._profiles: dict[int, Profile] = {}
-        self._profile_added_at: dict[int, float] = {}
+        self._added_at: dict[int, float] = {}
         # By VM and workspace.
         self._totals: dict[str, dict[str, _Total]] = defaultdict(dict)
-        self._complete_vms: set[str] = (
-            set()
-        )  # with the totals of all workspaces
+        # VMs that have sent the totals of all workspaces.
+        self._complete_vms: set[str] = set()
         # By VM, the time from which on its accounts are complete.
         self._complete_since: dict[str, float] = {}
         self._requested_at: dict[int, float] = {}  # by missing profile key
@@ -88,7 +87,7 @@
         self._requested_at.pop(key, None)
         if key not in self._profiles:
             self._profiles[key] = profile
-            self._profile_added_at[key] = now
+            self._added_at[key] = now
         return key
 
     def note_spendings(
@@ -125,11 +124,11 @@
         ]
         for key in keys:
             self._profiles.pop(key)
-            self._profile_added_at.pop(key)
+            self._added_at.pop(key)
 
     def changed_since(self, since: float) -> bool:
         """Tell whether a profile was added after a point in time."""
-        return any(at > since for at in self._profile_added_at.values())
+        return any(at > since for at in self._added_at.values())
 
     def make(
         self,
@@ -144,14 +143,11 @@
         in `skipped_part` are left out unless their profile is new.
         """
         listed = [one for one in members if one.key in self._profiles]
-        fresh = [
-            one for one in listed if self._profile_added_at[one.key] > since
-        ]
+        fresh = [one for one in listed if self._added_at[one.key] > since]
         spent = [
             self._spent(one, now, since)
             for one in listed
-            if one.key % HUBS != skipped_part
-            or self._profile_added_at[one.key] > since
+            if one.key % HUBS != skipped_part or self._added_at[one.key] > since
         ]
         return Digest(
             [VmLiveness(one.key, _age_ms(one, now)) for one in listed],
@@ -175,8 +171,8 @@
         alive = self._members.alive(now)
         since = now
         if before is not None and before.incarnation == profile.incarnation:
-            if now - before.heard_at > HEARTBEAT_TIMEOUT_S:
-                since = before.heard_at - RELAYED_ALIVE_S
+            if now - before.last_heard_at > HEARTBEAT_TIMEOUT_S:
+                since = before.last_heard_at - RELAYED_ALIVE_S
         return self.make(alive, now, since)
 
     def known_vms(self) -> KnownVms:
@@ -233,7 +229,7 @@
         known = self._members.get(profile.vm)
         if known is not None and known.refresh(alive.key, at, now):
             return DigestEntry(profile, at, None, spent) if spent else None
-        if known is None or known.heard_at <= at:
+        if known is None or known.last_heard_at <= at:
             member = member_of(profile, alive.key, at, RELAYED_ALIVE_S)
             return DigestEntry(profile, at, member, spent)
         if known.incarnation == profile.incarnation and spent:
@@ -269,9 +265,8 @@
     ) -> list[Profile]:
         """Return the VMs that this VM hears and the sender doesn't know.
 
-        The sender lists silent VMs, too. It contacts those itself, and needs
-        no profile of them: this VM may have a path to them that the sender
-        lacks.
+        VMs that the sender knows but doesn't hear are left out: it tries to
+        contact them itself, and may have no path to them.
         """
         known_keys = set(known.keys)
         return [
@@ -290,7 +285,7 @@
 
     def _spent(self, member: Member, now: float, since: float) -> Spent:
         """Return a VM's changed totals; all totals if its profile is new."""
-        is_new = self._profile_added_at[member.key] > since
+        is_new = self._added_at[member.key] > since
         totals = self._totals.get(member.vm, {})
         spendings = [
             total.news
@@ -319,7 +314,7 @@
 def member_of(
     profile: Profile, key: int, heard_at: float, timeout_s: float
 ) -> Member:
-    """Return the VM of a profile that it sent at a point in time."""
+    """Make the member that a profile describes; it was heard at `heard_at`."""
     return Member(
         profile.vm,
         profile.incarnation,
@@ -337,4 +332,4 @@
 
 
 def _age_ms(member: Member, now: float) -> int:
-    return int(max(now - member.heard_at, 0) / MILLISECOND)
+    return int(max(now - member.last_heard_at, 0) / MILLISECOND)
--- a/bramleybend/direct/members.py
+++ b/bramleybend/direct/members.py
@@ -56,16 +56,17 @@
     front: str  # ip:port where callers connect
     ready: bool
     leaving: bool
-    heard_at: float  # when it last sent a heartbeat, to this VM or to a hub
-    since: float  # when this incarnation was first heard
+    # When it last sent a heartbeat, to this VM or to a hub.
+    last_heard_at: float
+    first_heard_at: float  # when this incarnation was first heard
     domain: str = ''
     capacity: int = 0
     key: int = 0  # of its profile
-    timeout_s: float = HEARTBEAT_TIMEOUT_S  # after `heard_at`
+    timeout_s: float = HEARTBEAT_TIMEOUT_S  # after `last_heard_at`
 
     def is_alive(self, now: float) -> bool:
         """Tell whether its next heartbeat is not overdue."""
-        return now - self.heard_at <= self.timeout_s
+        return now - self.last_heard_at <= self.timeout_s
 
     def refresh(self, key: int, heard_at: float, now: float) -> bool:
         """Extend the VM's life by a relayed heartbeat of the same profile.
@@ -75,8 +76,8 @@
         """
         if key != self.key or not self.is_alive(now):
             return False
-        if heard_at > self.heard_at and now - heard_at <= RELAYED_ALIVE_S:
-            self.heard_at = heard_at
+        if heard_at > self.last_heard_at and now - heard_at <= RELAYED_ALIVE_S:
+            self.last_heard_at = heard_at
             self.timeout_s = RELAYED_ALIVE_S
         return True
 
@@ -122,10 +123,10 @@
         """
         before = self._members.get(member.vm)
         if before is not None:
-            if before.heard_at > member.heard_at:
+            if before.last_heard_at > member.last_heard_at:
                 return before
             if before.incarnation == member.incarnation:
-                member.since = before.since
+                member.first_heard_at = before.first_heard_at
         self._members[member.vm] = member
         return before
 
@@ -134,7 +135,7 @@
         expired = [
             member
             for member in self._members.values()
-            if now - member.heard_at > FORGET_S
+            if now - member.last_heard_at > FORGET_S
         ]
         for member in expired:
             self._members.pop(member.vm)
@@ -225,7 +226,7 @@
     ) -> list[Member]:
         """Return the highest-ranked VMs for a service, without this VM."""
         able = [one for one in self.alive(now) if self._may_own(one, now)]
-        settled = [one for one in able if now - one.since >= SETTLE_S]
+        settled = [one for one in able if now - one.first_heard_at >= SETTLE_S]
         # If no VM has settled, either all VMs or this one have just started.
         # An unsettled owner is still better than none: if every VM decided
         # for itself, all would start their requests at the same runners.
--- a/bramleybend/direct/owner.py
+++ b/bramleybend/direct/owner.py
@@ -109,7 +109,7 @@
         self._requested_at[ask.request_id] = now
         if on_queued is not None:
             self._on_queued[ask.request_id] = on_queued
-        self._handle_actions(self._policy.ask(ask, now))
+        self._apply(self._policy.ask(ask, now))
         if self._decide_handle is None:
             self._report_queued()
 
@@ -121,7 +121,7 @@
         return not load.waiting and load.running < load.limit * IDLE_MAX_LOAD
 
     def backlog(self) -> Backlog | None:
-        """Return the waiting requests and free runners; none: none wait."""
+        """Return the backlog, or `None` if no request waits."""
         if self._policy.is_undecided:
             self._decide()
         return self._policy.backlog(self._clock.monotonic())
@@ -130,14 +130,12 @@
         """Remove a waiting or running request."""
         self._on_decision.pop(request_id, None)
         self._clear_times(request_id)
-        self._handle_actions(
-            self._policy.withdraw(request_id, self._clock.monotonic())
-        )
+        self._apply(self._policy.withdraw(request_id, self._clock.monotonic()))
 
     def note_remote_grant(self, ask: Ask, runner: str) -> None:
         """Add a run of this VM that another VM's queue granted."""
         now = self._clock.monotonic()
-        self._handle_actions(self._policy.witness(ask, runner, now))
+        self._apply(self._policy.witness(ask, runner, now))
 
     def began(self, request_id: str) -> None:
         """Confirm that a request of this VM uses its grant.
@@ -151,15 +149,13 @@
     def note_first_token(self, request_id: str, prompt_tokens: int) -> None:
         """Tell the policy that a run has returned its first token."""
         now = self._clock.monotonic()
-        self._handle_actions(
-            self._policy.first_token(request_id, prompt_tokens, 0, now)
-        )
+        self._apply(self._policy.first_token(request_id, prompt_tokens, 0, now))
 
     def ended(self, request_id: str, report: RunReport) -> None:
         """Free the run's slot."""
         self._clear_times(request_id)
         now = self._clock.monotonic()
-        self._handle_actions(self._policy.ended(request_id, report, now))
+        self._apply(self._policy.ended(request_id, report, now))
 
     def take_runners(
         self, entries: Sequence[RunnerEntry], *, warm: bool
@@ -181,15 +177,11 @@
         # the same order, those that reach no owner would all start with the
         # same runner.
         self._rng.shuffle(infos)
-        self._handle_actions(
-            self._policy.runners(infos, self._clock.monotonic())
-        )
+        self._apply(self._policy.runners(infos, self._clock.monotonic()))
 
     def update_rate_limits(self, per_s: Mapping[str, float]) -> None:
         """Replace the limits, by runner; a runner not named has none."""
-        self._handle_actions(
-            self._policy.start_rates(per_s, self._clock.monotonic())
-        )
+        self._apply(self._policy.start_rates(per_s, self._clock.monotonic()))
 
     def heard_runs(self, vm: str, runs: Iterable[RunNews]) -> None:
         """Replace the runs that a VM reports for this service."""
@@ -198,14 +190,14 @@
         before = self._reported_runs.get(vm, frozenset())
         for request_id in before - current.keys():
             self._clear_times(request_id)
-            self._handle_actions(self._policy.withdraw(request_id, now))
+            self._apply(self._policy.withdraw(request_id, now))
         for request_id, run in current.items():
             # A repeated slot request that arrives after its grant would
             # otherwise expire here and remove the run.
             self._on_decision.pop(request_id, None)
             self._clear_times(request_id)
             if request_id not in before:
-                self._handle_actions(
+                self._apply(
                     self._policy.adopt(
                         slot_request_of(run, now), run.runner, now
                     )
@@ -236,7 +228,7 @@
         self._requested_at.pop(request_id, None)
         self._granted_at.pop(request_id, None)
 
-    def _handle_actions(self, actions: Sequence[Action]) -> None:
+    def _apply(self, actions: Sequence[Action]) -> None:
         self._report_decisions(actions)
         if self._policy.is_undecided and self._decide_handle is None:
             loop = asyncio.get_running_loop()
--- a/bramleybend/direct/placing.py
+++ b/bramleybend/direct/placing.py
@@ -125,10 +125,8 @@
         queue = self._queues.of(ask.service)
         queue.note_first_token(ask.request_id, ask.prompt_tokens)
         if placement.owner is not None:
-            message = PrefillDone(
-                ask.request_id, ask.service, ask.prompt_tokens
-            )
-            self.send(message, placement.owner.address)
+            done = PrefillDone(ask.request_id, ask.service, ask.prompt_tokens)
+            self.send(done, placement.owner.address)
 
     def ended(self, placement: Placement, report: RunReport) -> None:
         """Release the slot and report how the run ended."""
--- a/bramleybend/direct/runner_list.py
+++ b/bramleybend/direct/runner_list.py
@@ -60,10 +60,10 @@
                 self._mark_expired(key)
         for record in page.records:
             self._apply(record)
-        self.drop_lapsed()
+        self.drop_expired()
         self._book.take_runners(self._entries)
 
-    def drop_lapsed(self) -> None:
+    def drop_expired(self) -> None:
         """Drop the expired entries whose grace period is over."""
         now = self._book.now()
         due = [key for key, at in self._drop_at.items() if at <= now]
--- a/bramleybend/platform/program.py
+++ b/bramleybend/platform/program.py
@@ -89,7 +89,7 @@
         runners = RunnerList(self.entry.book, decode_runner, self.entry.events)
         feed.take = runners.take
         feed.confirmed = runners.confirmed
-        self.entry.swept = runners.drop_lapsed
+        self.entry.swept = runners.drop_expired
         return feed
 
     def _feed(self, terms: FeedTerms) -> Feed:
