--- a/bramleybend/direct/ask_messages.py
+++ b/bramleybend/direct/ask_messages.py
@@ -55,8 +55,8 @@
         cancellable=False,
         suspect=message.suspect,
         excluded=frozenset(message.excluded),
-        on_time_until=now + message.on_time_s,
-        begin_by=now + message.begin_s,
+        on_time_until=now + message.on_time_left_s,
+        begin_by=now + message.begin_left_s,
         connected=frozenset(message.connected),
     )
 
--- a/bramleybend/direct/audience.py
+++ b/bramleybend/direct/audience.py
@@ -108,12 +108,12 @@
         """Return the VMs of this domain that use this VM as their hub."""
         own = self._members.own
         return [
-            one
-            for one in self._members.alive(now)
-            if one.domain == own.domain
-            and not self._members.is_hub(one.vm)
-            and one.vm in self._subscriptions
-            and self._subscriptions[one.vm].valid_until >= now
+            member
+            for member in self._members.alive(now)
+            if member.domain == own.domain
+            and not self._members.is_hub(member.vm)
+            and member.vm in self._subscriptions
+            and self._subscriptions[member.vm].valid_until >= now
         ]
 
     def next_hub_to_compare(self, interval: int) -> Member | None:
@@ -192,7 +192,7 @@
         """
         own = self._members.own
         is_hub = self._is_hub()
-        heard = {one.address for one in self._members.alive(now)}
+        heard = {member.address for member in self._members.alive(now)}
         yield from (seed for seed in self._seeds if seed not in heard)
         for member in self._members.silent(now):
             if is_hub or member.domain == own.domain:
--- a/bramleybend/direct/datagrams.py
+++ b/bramleybend/direct/datagrams.py
@@ -16,7 +16,7 @@
 logger = logging.getLogger(__name__)
 
 
-def bind(address: str, port: int) -> socket.socket:
+def bind_socket(address: str, port: int) -> socket.socket:
     """Open a non-blocking UDP socket at a local address."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.setblocking(False)
--- a/bramleybend/direct/digests.py
+++ b/bramleybend/direct/digests.py
@@ -52,7 +52,7 @@
     """The news of one VM in a digest."""
 
     profile: Profile
-    at: float  # when that VM sent its heartbeat
+    heard_at: float  # when that VM sent its heartbeat
     member: Member | None  # none: the state in `Members` is up to date
     spent: Spent | None  # none: no totals in the digest
 
@@ -142,16 +142,19 @@
         The VMs are divided into three parts by their keys. The totals of VMs
         in `skipped_part` are left out unless their profile is new.
         """
-        listed = [one for one in members if one.key in self._profiles]
-        fresh = [one for one in listed if self._added_at[one.key] > since]
+        listed = [member for member in members if member.key in self._profiles]
+        fresh = [
+            member for member in listed if self._added_at[member.key] > since
+        ]
         spent = [
-            self._spent(one, now, since)
-            for one in listed
-            if one.key % HUBS != skipped_part or self._added_at[one.key] > since
+            self._spent(member, now, since)
+            for member in listed
+            if member.key % HUBS != skipped_part
+            or self._added_at[member.key] > since
         ]
         return Digest(
-            [VmLiveness(one.key, _age_ms(one, now)) for one in listed],
-            [self._profiles[one.key] for one in fresh],
+            [VmLiveness(member.key, _age_ms(member, now)) for member in listed],
+            [self._profiles[member.key] for member in fresh],
             [news for news in spent if news.spendings or news.tells_all],
         )
 
@@ -177,7 +180,7 @@
 
     def known_vms(self) -> KnownVms:
         """List the profile keys of all VMs that this VM knows."""
-        return KnownVms([one.key for one in self._members])
+        return KnownVms([member.key for member in self._members])
 
     def answer(
         self, message: ProfileRequest | KnownVms, sender: str, now: float
@@ -207,12 +210,16 @@
         for profile in digest.profiles:
             self.add_profile(profile, now)
         spent = {news.key: news for news in digest.spent}
-        known = [one for one in digest.alive if one.key in self._profiles]
-        entries = (self._entry(one, spent.get(one.key), now) for one in known)
+        known = [alive for alive in digest.alive if alive.key in self._profiles]
+        entries = (
+            self._entry(alive, spent.get(alive.key), now) for alive in known
+        )
         unknown = [
-            one.key for one in digest.alive if one.key not in self._profiles
+            alive.key
+            for alive in digest.alive
+            if alive.key not in self._profiles
         ]
-        news = [one for one in entries if one is not None]
+        news = [entry for entry in entries if entry is not None]
         return news, self._keys_to_request(unknown, now)
 
     def _entry(
@@ -257,7 +264,8 @@
         for first in range(0, len(keys), MAX_VMS_PER_MESSAGE):
             wanted = set(keys[first : first + MAX_VMS_PER_MESSAGE])
             yield self.make(
-                (one for one in self._members if one.key in wanted), now
+                (member for member in self._members if member.key in wanted),
+                now,
             )
 
     def _profiles_missing_in(
@@ -270,11 +278,11 @@
         """
         known_keys = set(known.keys)
         return [
-            self._profiles[one.key]
-            for one in self._members.alive(now)
-            if one.key not in known_keys
-            and one.vm != sender
-            and one.key in self._profiles
+            self._profiles[member.key]
+            for member in self._members.alive(now)
+            if member.key not in known_keys
+            and member.vm != sender
+            and member.key in self._profiles
         ]
 
     def _is_known(self, profile: Profile) -> bool:
--- a/bramleybend/direct/members.py
+++ b/bramleybend/direct/members.py
@@ -225,13 +225,13 @@
         self, service: str, now: float, max_count: int
     ) -> list[Member]:
         """Return the highest-ranked VMs for a service, without this VM."""
-        able = [one for one in self.alive(now) if self._may_own(one, now)]
-        settled = [one for one in able if now - one.first_heard_at >= SETTLE_S]
+        able = [vm for vm in self.alive(now) if self._may_own(vm, now)]
+        settled = [vm for vm in able if now - vm.first_heard_at >= SETTLE_S]
         # If no VM has settled, either all VMs or this one have just started.
         # An unsettled owner is still better than none: if every VM decided
         # for itself, all would start their requests at the same runners.
         return nlargest(
-            max_count, settled or able, key=lambda one: rank_of(service, one)
+            max_count, settled or able, key=lambda vm: rank_of(service, vm)
         )
 
     def owner(self, service: str, now: float, able: bool) -> Member | None:
--- a/bramleybend/direct/messages.py
+++ b/bramleybend/direct/messages.py
@@ -38,9 +38,9 @@
     time_left_s: float  # until the answer has to be complete
     excluded: list[str]  # runners that must not be granted
     suspect: bool  # its content may crash runners; it runs alone on one
-    on_time_s: float  # within which the run has to start to be on time
+    on_time_left_s: float  # until the latest start that is on time
     # Time left until the answer has to begin. Not sent by earlier versions.
-    begin_s: float = inf
+    begin_left_s: float = inf
     # Runners to which the sender has an idle connection. Not sent by earlier
     # versions.
     connected: list[str] = msgspec.field(default_factory=list)
--- a/bramleybend/direct/peers.py
+++ b/bramleybend/direct/peers.py
@@ -27,7 +27,7 @@
 from bramleybend.direct.datagrams import (
     Datagram,
     Endpoint,
-    bind,
+    bind_socket,
     pending_datagrams,
 )
 from bramleybend.direct.digests import DigestEntry, Digests, member_of
@@ -106,7 +106,7 @@
 
     async def start(self, address: str) -> None:
         """Bind the socket."""
-        sock = bind(address, self._port)
+        sock = bind_socket(address, self._port)
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, sock=sock)
         self._read_pending = partial(pending_datagrams, sock)
@@ -265,7 +265,9 @@
             return
         profile, spent = entry.profile, entry.spent
         # Several hubs send the same change; the handler gets it once.
-        changed = self._digests.note_spendings(profile.vm, spent, entry.at, now)
+        changed = self._digests.note_spendings(
+            profile.vm, spent, entry.heard_at, now
+        )
         if changed or spent.tells_all:
             fresh = Spent(spent.key, changed, spent.tells_all, spent.accounts_s)
             self._handler.take_spent(profile, fresh)
--- a/bramleybend/direct/runner_limits.py
+++ b/bramleybend/direct/runner_limits.py
@@ -33,7 +33,7 @@
 @dataclass(frozen=True)
 class _Limit:
     per_s: float | None  # none: the runner declares no limit any more
-    at: float  # time of the answer, in monotonic seconds
+    answered_at: float  # time of the answer, in monotonic seconds
 
 
 class RunnerLimits:
@@ -67,7 +67,7 @@
         """
         known = self._limits.get(runner)
         if not limit:
-            if known is not None and known.at < sent_at:
+            if known is not None and known.answered_at < sent_at:
                 self._update(runner, _Limit(None, self.now()))
             return
         per_s = _parse_rate(limit)
@@ -81,19 +81,19 @@
     def heard(self, news: Iterable[LimitNews]) -> None:
         """Merge the limits in another VM's heartbeat."""
         now = self.now()
-        for one in news:
-            limit = _Limit(one.per_s, now - one.age_s)
-            known = self._limits.get(one.runner)
-            if known is None or known.at < limit.at:
-                self._update(one.runner, limit)
+        for report in news:
+            limit = _Limit(report.per_s, now - report.age_s)
+            known = self._limits.get(report.runner)
+            if known is None or known.answered_at < limit.answered_at:
+                self._update(report.runner, limit)
 
     def news(self) -> list[LimitNews]:
         """Return the limits to send in a heartbeat, the newest first."""
         now = self.now()
         current = [
-            LimitNews(runner, limit.per_s, now - limit.at)
+            LimitNews(runner, limit.per_s, now - limit.answered_at)
             for runner, limit in sorted(self._limits.items(), key=_newest_first)
-            if limit.per_s is not None or now - limit.at < END_TOLD_S
+            if limit.per_s is not None or now - limit.answered_at < END_TOLD_S
         ]
         if len(current) <= MOST_TOLD:
             return current
@@ -119,7 +119,7 @@
 
 
 def _newest_first(item: tuple[str, _Limit]) -> float:
-    return -item[1].at
+    return -item[1].answered_at
 
 
 def _parse_rate(text: str) -> float | None:
