--- a/bramleybend/platform/headers.py
+++ b/bramleybend/platform/headers.py
@@ -50,8 +50,10 @@
             if timeout_ms is None
             else timeout_ms / MILLISECONDS,
             prompt_tokens=prompt_count,
-            most_output=most_output,
-            likely_output=None if length_hint is None else int(length_hint),
+            max_output_tokens=most_output,
+            output_tokens_hint=None
+            if length_hint is None
+            else int(length_hint),
             resume_after=_header_text(headers, LAST_EVENT_ID),
         )
 
