--- a/bramleybend/direct/addresses.py
+++ b/bramleybend/direct/addresses.py
@@ -12,7 +12,7 @@
 Address: TypeAlias = tuple[str, int]
 
 
-def newest_at_address(
+def drop_replaced_entries(
     entries: Collection[RunnerEntry], services: Container[str]
 ) -> list[RunnerEntry]:
     """Drop the entries that another one at their address has replaced.
--- a/bramleybend/direct/answer_memory.py
+++ b/bramleybend/direct/answer_memory.py
@@ -12,9 +12,9 @@
 
 from bramleybend.clients.message_bounds import MessageTooLongError
 
-SMALL_BYTES: Final = 16_384
+UNCOUNTED_BYTES: Final = 16_384
 # The parts of an answer and the whole that is joined from them.
-COPIES: Final = 2
+COPIES_PER_ANSWER: Final = 2
 
 
 class AnswerMemory:
@@ -22,14 +22,14 @@
 
     def __init__(self, limit_bytes: float) -> None:
         """Start with all of it free."""
-        self.free = limit_bytes / COPIES
+        self.free_bytes = limit_bytes / COPIES_PER_ANSWER
 
-    def hold(self) -> 'HeldMemory':
+    def reserve(self) -> 'MemoryReservation':
         """Begin an answer."""
-        return HeldMemory(self)
+        return MemoryReservation(self)
 
 
-class HeldMemory:
+class MemoryReservation:
     """What one answer holds."""
 
     def __init__(self, memory: AnswerMemory) -> None:
@@ -39,16 +39,16 @@
 
     def resize(self, size: int) -> None:
         """Hold so many bytes; raises `MessageTooLongError`."""
-        wanted = max(size - SMALL_BYTES, 0)
-        free = self._memory.free + self._held
+        wanted = max(size - UNCOUNTED_BYTES, 0)
+        free = self._memory.free_bytes + self._held
         if wanted > self._held and wanted > free - wanted:
             raise MessageTooLongError(
                 f'no memory is left for an answer of over {size} bytes'
             )
-        self._memory.free = free - wanted
+        self._memory.free_bytes = free - wanted
         self._held = wanted
 
     def release(self) -> None:
         """Hold nothing any more."""
-        self._memory.free += self._held
+        self._memory.free_bytes += self._held
         self._held = 0
--- a/bramleybend/direct/book.py
+++ b/bramleybend/direct/book.py
@@ -7,7 +7,7 @@
 from typing import Final, TypeAlias
 
 from bramleybend.clock import Clock
-from bramleybend.direct.addresses import newest_at_address
+from bramleybend.direct.addresses import drop_replaced_entries
 from bramleybend.direct.models import Manifest, RunnerEntry
 from bramleybend.events import EventLog
 
@@ -16,7 +16,7 @@
 
 # An entry lapses after three silent heartbeats. Not for good: a runner that
 # says so once in error would be lost.
-MOVED_S: Final = 5.0
+MOVED_EXCLUSION_S: Final = 5.0
 
 
 class Book:
@@ -33,7 +33,7 @@
         self._entries: dict[str, RunnerEntry] = {}  # those that are used
         self.manifest: Manifest | None = None
         self.runners: Runners = {}
-        self.runners_known = False
+        self.has_runner_list = False
         self._completed = asyncio.Event()
 
     def now(self) -> float:
@@ -41,15 +41,15 @@
         return self._clock.monotonic()
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether requests can be served."""
-        return self.manifest is not None and self.runners_known
+        return self.manifest is not None and self.has_runner_list
 
-    def version(self) -> int:
+    def manifest_version(self) -> int:
         """Return the manifest's version; 0 before the first."""
         return self.manifest.version if self.manifest else 0
 
-    def manifest_age(self) -> float:
+    def manifest_age_s(self) -> float:
         """Return for how long a newer manifest may have been missed."""
         return self._clock.monotonic() - self._confirmed_at
 
@@ -57,13 +57,13 @@
         """Return a runner by its incarnation."""
         return self._entries.get(incarnation)
 
-    def listen(self, listener: Listener) -> None:
+    def add_listener(self, listener: Listener) -> None:
         """Call a listener after each change."""
         self._listeners.append(listener)
 
-    async def completed(self, timeout_s: float) -> bool:
+    async def wait_until_complete(self, timeout_s: float) -> bool:
         """Wait until requests can be served; tells whether they can."""
-        if self.complete:
+        if self.is_complete:
             return True
         try:
             async with asyncio.timeout(timeout_s):
@@ -76,7 +76,7 @@
         """Note that nothing newer had been accepted at a time."""
         self._confirmed_at = max(self._confirmed_at, at)
 
-    def take_manifest(self, manifest: Manifest) -> None:
+    def apply_manifest(self, manifest: Manifest) -> None:
         """Put a manifest in force, unless it is an older one."""
         current = self.manifest
         if current is not None and manifest.version <= current.version:
@@ -95,8 +95,8 @@
     def take_runners(self, known: Mapping[str, RunnerEntry]) -> None:
         """Take in the whole list of runners."""
         self._listed = {entry.incarnation: entry for entry in known.values()}
-        is_first = not self.runners_known
-        self.runners_known = True
+        is_first = not self.has_runner_list
+        self.has_runner_list = True
         if self._use_listed() or is_first:
             self._tell()
 
@@ -108,7 +108,7 @@
         """
         if incarnation not in self._moved:
             self._events.record('runner_moved', runner=incarnation)
-        self._moved[incarnation] = self.now() + MOVED_S
+        self._moved[incarnation] = self.now() + MOVED_EXCLUSION_S
         if self._use_listed():
             self._tell()
 
@@ -120,7 +120,7 @@
         }
         entries = {
             entry.incarnation: entry
-            for entry in newest_at_address(
+            for entry in drop_replaced_entries(
                 self._listed.values(), self._services()
             )
             if entry.incarnation not in self._moved
@@ -153,7 +153,7 @@
                 )
 
     def _tell(self) -> None:
-        if self.complete:
+        if self.is_complete:
             self._completed.set()
         for listener in self._listeners:
             listener()
--- a/bramleybend/direct/channels.py
+++ b/bramleybend/direct/channels.py
@@ -12,8 +12,7 @@
 from bramleybend.direct.answer_memory import AnswerMemory
 from bramleybend.direct.models import RunnerEntry
 
-
-MOST_CONNECTED: Final = 4  # runners that an ask names
+MAX_CONNECTED_RUNNERS: Final = 4  # runners that an ask names
 
 
 class RunnerChannels:
@@ -29,9 +28,9 @@
         self._idle: dict[str, list[Channel]] = defaultdict(list)
         self._open: dict[str, int] = defaultdict(int)
         self._services: dict[str, str] = {}  # by runner
-        self.most: Callable[[RunnerEntry], float] = _unbounded
+        self.max_connections: Callable[[RunnerEntry], float] = _unbounded
 
-    async def take(
+    async def acquire(
         self, runner: RunnerEntry, *, fresh: bool = False
     ) -> Channel:
         """Return a connection; an `OSError` means that nothing was sent."""
@@ -42,7 +41,7 @@
             if channel.usable:
                 return channel
             self._drop(runner.incarnation, channel)
-        if self._open[runner.incarnation] >= self.most(runner):
+        if self._open[runner.incarnation] >= self.max_connections(runner):
             raise ConnectionError('all our connections to it are in use')
         self._open[runner.incarnation] += 1
         try:
@@ -53,7 +52,7 @@
             self._open[runner.incarnation] -= 1
             raise
 
-    def connected(self, service: str) -> frozenset[str]:
+    def connected_runners(self, service: str) -> frozenset[str]:
         """Return a service's runners to which a connection is open and free.
 
         Of many, those that were used last: all of them would make an ask long.
@@ -63,9 +62,9 @@
             for name, idle in reversed(self._idle.items())
             if idle and self._services.get(name) == service and idle[-1].usable
         )
-        return frozenset(islice(free, MOST_CONNECTED))
+        return frozenset(islice(free, MAX_CONNECTED_RUNNERS))
 
-    def give_back(self, runner: RunnerEntry, channel: Channel) -> None:
+    def release(self, runner: RunnerEntry, channel: Channel) -> None:
         """Keep a connection whose exchange ended whole, else drop it."""
         if channel.release():
             # Put last, as the runner that was used last.
@@ -91,7 +90,7 @@
             for channel in self._idle.pop(gone):
                 self._drop(gone, channel)
 
-    def close(self) -> None:
+    def close_idle(self) -> None:
         """Close all that are idle."""
         self.keep_only(set())
 
--- a/bramleybend/direct/containment.py
+++ b/bramleybend/direct/containment.py
@@ -23,13 +23,13 @@
 from bramleybend.direct.replies import RawRequest
 from bramleybend.events import EventLog
 
-ALONE_FROM: Final = 2  # runners that ended under it
+ISOLATE_AFTER_CRASHES: Final = 2  # runners that ended under it
 # A record is in the heartbeats of this long, some 25 of them; only what is
 # refused is told for good, as VMs that start later have to know it.
-TOLD_S: Final = 5.0
+BROADCAST_S: Final = 5.0
 # Records in a heartbeat: a crash ends what ran on one runner, a few requests.
 # About 60 bytes each; the newest come last.
-MOST_TOLD: Final = 32
+MAX_BROADCAST_RECORDS: Final = 32
 
 
 class Containment:
@@ -51,21 +51,21 @@
         now = self._clock.monotonic()
         return self._book.verdict(fingerprint, now) is Verdict.REFUSED
 
-    def runners(self, fingerprint: str) -> frozenset[str]:
+    def crashed_runners(self, fingerprint: str) -> frozenset[str]:
         """Return the runners that ended under this content."""
         return self._book.runners(fingerprint)
 
     def runs_alone(self, fingerprint: str) -> bool:
         """Tell whether content gets a runner to itself."""
-        return len(self.runners(fingerprint)) >= ALONE_FROM
+        return len(self.crashed_runners(fingerprint)) >= ISOLATE_AFTER_CRASHES
 
-    def crashed(self, fingerprint: str, runner: RunnerEntry) -> None:
+    def record_crash(self, fingerprint: str, runner: RunnerEntry) -> None:
         """Note a runner that broke off a run of this content."""
-        before = self.runners(fingerprint)
+        before = self.crashed_runners(fingerprint)
         self._book.crashed(
             runner.incarnation, (fingerprint,), self._clock.monotonic()
         )
-        if len(before | {runner.incarnation}) >= ALONE_FROM:
+        if len(before | {runner.incarnation}) >= ISOLATE_AFTER_CRASHES:
             self._events.record(
                 'content_suspect',
                 content=fingerprint,
@@ -73,13 +73,13 @@
                 refused=self.is_refused(fingerprint),
             )
 
-    def finished(self, fingerprint: str) -> None:
+    def record_completion(self, fingerprint: str) -> None:
         """Note a run of this content that came to its end."""
         self._book.finished(fingerprint, self._clock.monotonic())
 
-    def news(self) -> list[CrashNews]:
+    def recent_news(self) -> list[CrashNews]:
         """Return what to tell the other VMs."""
-        told = self._book.recent(self._clock.monotonic() - TOLD_S)
+        told = self._book.recent(self._clock.monotonic() - BROADCAST_S)
         return [
             CrashNews(
                 record.fingerprint,
@@ -87,10 +87,10 @@
                 sorted(record.runners),
                 record.refused,
             )
-            for record in told[-MOST_TOLD:]
+            for record in told[-MAX_BROADCAST_RECORDS:]
         ]
 
-    def heard(self, news: Sequence[CrashNews]) -> None:
+    def merge_news(self, news: Sequence[CrashNews]) -> None:
         """Take in what another VM knows."""
         records = [
             CrashRecord(
--- a/bramleybend/direct/dialect.py
+++ b/bramleybend/direct/dialect.py
@@ -12,30 +12,30 @@
     """What a runner's headers say of its answer."""
 
     attempt_id: str  # of the request that it answers
-    proven: bool  # it bears the runner's proof
+    has_proof: bool  # it bears the runner's proof
     not_run: bool  # the runner says that it did not run the request
-    misdirected: bool  # because another one was meant
+    is_misdirected: bool  # because another one was meant
     limit: str | None  # requests a second it takes; '': all; none: not told
 
 
 @dataclass(frozen=True)
-class Onward:
+class ForwardingFacts:
     """What changes in a request's headers on its way to a runner."""
 
     runner: RunnerEntry
     workspace: str
-    left_s: float
+    remaining_s: float
     resume_after: str
 
 
-class Dialect(Protocol):
+class HeaderCodec(Protocol):
     """Reads and writes the platform's headers."""
 
     def request_facts(self, headers: HeaderList) -> RequestFacts:
         """Return what a caller says of its request."""
 
     def runner_headers(
-        self, headers: HeaderList, onward: Onward
+        self, headers: HeaderList, onward: ForwardingFacts
     ) -> list[tuple[bytes, bytes]]:
         """Return the headers that a runner gets, without framing."""
 
@@ -49,12 +49,12 @@
         """Tell whether the body can be what the runner meant."""
 
 
-def header(headers: HeaderList, name: bytes) -> bytes:
+def first_header(headers: HeaderList, name: bytes) -> bytes:
     """Return a header's first value, or nothing."""
     return next((text for key, text in headers if key.lower() == name), b'')
 
 
-def hop_headers(headers: HeaderList) -> frozenset[bytes]:
+def hop_by_hop_names(headers: HeaderList) -> frozenset[bytes]:
     """Return the names that concern one connection alone."""
     named = [
         part.strip().lower()
--- a/bramleybend/direct/exposition.py
+++ b/bramleybend/direct/exposition.py
@@ -13,13 +13,13 @@
 from prometheus_client.registry import Collector
 
 from bramleybend.direct.meters import (
-    BUCKETS,
+    BUCKET_BOUNDS_S,
     COUNTERS,
     GAUGES,
     HISTOGRAMS,
     PREFIX,
+    HistogramSeries,
     Meters,
-    Series,
 )
 
 
@@ -34,12 +34,12 @@
         yield from self._histograms()
         for name, info in GAUGES.items():
             reading = self._meters.gauges[name]()
-            yield GaugeMetricFamily(_full(name), info.meaning, reading)
+            yield GaugeMetricFamily(_full(name), info.description, reading)
 
     def _counters(self) -> Iterator[Metric]:
         for name, info in COUNTERS.items():
             family = CounterMetricFamily(
-                _full(name), info.meaning, labels=info.labels
+                _full(name), info.description, labels=info.labels
             )
             for labels, count in self._meters.counters[name].items():
                 family.add_metric(labels, count)
@@ -48,14 +48,14 @@
     def _histograms(self) -> Iterator[Metric]:
         for name, info in HISTOGRAMS.items():
             family = HistogramMetricFamily(
-                _full(name), info.meaning, labels=info.labels
+                _full(name), info.description, labels=info.labels
             )
             for labels, series in self._meters.histograms[name].items():
                 family.add_metric(labels, _buckets(series), series.total)
             yield family
 
 
-def exposition(meters: Meters) -> bytes:
+def render_metrics(meters: Meters) -> bytes:
     """Return all meters as text."""
     registry = CollectorRegistry()
     registry.register(_MeterCollector(meters))
@@ -66,7 +66,7 @@
     return f'{PREFIX}_{name}'
 
 
-def _buckets(series: Series) -> list[tuple[str, float]]:
-    bounds = [str(float(bound)) for bound in BUCKETS]
+def _buckets(series: HistogramSeries) -> list[tuple[str, float]]:
+    bounds = [str(float(bound)) for bound in BUCKET_BOUNDS_S]
     counts = accumulate(series.counts)
     return list(zip([*bounds, '+Inf'], counts, strict=True))
--- a/bramleybend/direct/feed.py
+++ b/bramleybend/direct/feed.py
@@ -23,13 +23,17 @@
 from bramleybend.clock import Clock
 from bramleybend.direct.beat_messages import FeedNews
 from bramleybend.direct.feed_copy import FeedCopy, Page
-from bramleybend.direct.feed_peers import NOTHING, PeerFeed, PeerFeeds
-from bramleybend.direct.feed_turns import StoreTurns
+from bramleybend.direct.feed_peers import (
+    BEFORE_FIRST_OFFSET,
+    PeerProgress,
+    PeerProgressTable,
+)
+from bramleybend.direct.feed_turns import StoreReadSchedule
 from bramleybend.errors import Problem
 from bramleybend.events import EventLog
 
 WAKE_S: Final = 0.1  # between two looks at who reads and how old it is
-MOST_AGE_S: Final = 1e6  # stands for never
+MAX_AGE_S: Final = 1e6  # stands for never
 # A page from this size on takes a thin link's time: 0.1 s of 5 Mbit/s. It is
 # logged with its source and time, as how a late change travelled is told by
 # nothing else; the small pages of each second are not.
@@ -49,7 +53,7 @@
 
 
 @dataclass(frozen=True)
-class FeedTerms:
+class FeedSettings:
     """How one log is followed."""
 
     name: str
@@ -63,7 +67,7 @@
 
     def __init__(
         self,
-        terms: FeedTerms,
+        settings: FeedSettings,
         store: FeedSource,
         peer_source: Callable[[str], FeedSource],
         clock: Clock,
@@ -71,67 +75,67 @@
         rng: Random,
     ) -> None:
         """Know nothing yet."""
-        self.terms = terms
+        self.terms = settings
         self.copy = FeedCopy()
         self.confirmed_at = -inf
-        self.take: Callable[[Page], None] = _ignore
-        self.confirmed: Callable[[float], None] = _ignore
+        self.on_page: Callable[[Page], None] = _ignore
+        self.on_confirmed: Callable[[float], None] = _ignore
         self._store = store
         self._peer_source = peer_source
         self._clock = clock
         self._events = events
-        self._peers = PeerFeeds()
-        self.turns = StoreTurns(
-            terms.name, terms.every_s, self._peers, clock, rng
+        self._peers = PeerProgressTable()
+        self.store_schedule = StoreReadSchedule(
+            settings.name, settings.every_s, self._peers, clock, rng
         )
         self._wake = asyncio.Event()
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Tell whether this VM writes for all what was read of the log."""
-        return self.turns.ranks_among(1)
+        return self.store_schedule.ranks_among(1)
 
     def wake(self) -> None:
         """Look at once at how old the news is."""
         self._wake.set()
 
-    def recall(self, page: Page) -> bool:
+    def use_backup(self, page: Page) -> bool:
         """Use older news until the log is read; tells whether it is used."""
         if self.copy.end is not None:
             return False
-        self.take(page)
+        self.on_page(page)
         return True
 
-    def news(self) -> FeedNews:
+    def make_news(self) -> FeedNews:
         """Tell how far this VM has read."""
         age_s = self._clock.monotonic() - self.confirmed_at
         return FeedNews(
             self.terms.name,
             self._end(),
-            min(age_s, MOST_AGE_S),
-            self.turns.answers,
+            min(age_s, MAX_AGE_S),
+            self.store_schedule.is_store_answering,
         )
 
-    def heard(self, vm: str, address: str, news: FeedNews) -> None:
+    def handle_news(self, vm: str, address: str, news: FeedNews) -> None:
         """Hear how far another VM has read."""
         at = self._clock.monotonic() - news.age_s
-        self._peers.heard(vm, PeerFeed(address, news.end, at, news.reads))
+        self._peers.update(vm, PeerProgress(address, news.end, at, news.reads))
         own_end = self._end()
         if news.end > own_end:
             self._wake.set()
         elif news.end == own_end:
             self._confirm(at)
 
-    def lost(self, vm: str) -> None:
+    def remove_peer(self, vm: str) -> None:
         """Drop a VM that is silent."""
-        self._peers.lost(vm)
+        self._peers.remove(vm)
 
     async def run(self) -> None:
         """Follow until cancelled."""
         while True:
-            ahead = self._peers.ahead(self._end())
-            if ahead is not None and not self.turns.must_read():
+            ahead = self._peers.furthest_beyond(self._end())
+            if ahead is not None and not self.store_schedule.must_read_store():
                 await self._read_peer(ahead)
-            elif self.turns.is_due(self._is_stale()):
+            elif self.store_schedule.is_due(self._is_stale()):
                 await self._read_store()
             else:
                 await self._sleep()
@@ -141,7 +145,7 @@
         return age_s > self.terms.stale_s
 
     def _end(self) -> int:
-        return NOTHING if self.copy.end is None else self.copy.end
+        return BEFORE_FIRST_OFFSET if self.copy.end is None else self.copy.end
 
     async def _read_store(self) -> None:
         started = self._clock.monotonic()
@@ -149,14 +153,14 @@
         page = await self._read_with_peers()
         if page is None or self._end() != begun_at:
             # A VM gave it meanwhile; a page from before that doesn't fit.
-            self.turns.done(started)
+            self.store_schedule.record_success(started)
             return
         now = self._clock.monotonic()
         self._note(page)
         if isinstance(page, Err):
-            self.turns.failed(is_fresh=not self._is_stale())
+            self.store_schedule.record_failure(is_fresh=not self._is_stale())
             return
-        self.turns.done(started)
+        self.store_schedule.record_success(started)
         self._note_large(page.ok_value, 'store', started)
         sure_at = _sure_at(page.ok_value, started, now, self.terms.wait_s)
         self._took(page.ok_value, sure_at)
@@ -184,13 +188,13 @@
     async def _until_given(self, begun_at: int) -> None:
         """Ask VMs that have read further, until one has given what it has."""
         while self._end() == begun_at:
-            ahead = self._peers.ahead(begun_at)
+            ahead = self._peers.furthest_beyond(begun_at)
             if ahead is None:
                 await self._sleep()
             else:
                 await self._read_peer(ahead)
 
-    async def _read_peer(self, peer: PeerFeed) -> None:
+    async def _read_peer(self, peer: PeerProgress) -> None:
         started = self._clock.monotonic()
         page = await self._read(self._peer_source(peer.address), 0)
         if isinstance(page, Ok):
@@ -201,8 +205,8 @@
         # be there is not waited for: three frozen VMs, a second each, and a
         # change is in force on this VM only when its news is stale. So one
         # failure is enough to ask the store.
-        peer.end = NOTHING
-        self.turns.is_missing = True
+        peer.end = BEFORE_FIRST_OFFSET
+        self.store_schedule.is_peer_page_missing = True
         self._events.record(
             'peer_feed_failed',
             feed=self.terms.name,
@@ -221,14 +225,14 @@
     def _took(self, page: Page, at: float) -> None:
         if self.copy.end is not None and page.end < self.copy.end:
             return  # a VM that is behind answered
-        self.copy.take(page)
-        self.take(page)
+        self.copy.apply(page)
+        self.on_page(page)
         self._confirm(at)
 
     def _confirm(self, at: float) -> None:
         if at > self.confirmed_at:
             self.confirmed_at = at
-            self.confirmed(at)
+            self.on_confirmed(at)
 
     async def _sleep(self) -> None:
         self._wake.clear()
@@ -252,13 +256,13 @@
 
     def _note(self, page: Result[Page, Problem]) -> None:
         match page:
-            case Err(problem) if self.turns.answers:
-                self.turns.answers = False
+            case Err(problem) if self.store_schedule.is_store_answering:
+                self.store_schedule.is_store_answering = False
                 self._events.record(
                     'store_lost', feed=self.terms.name, why=str(problem)
                 )
-            case Ok() if not self.turns.answers:
-                self.turns.answers = True
+            case Ok() if not self.store_schedule.is_store_answering:
+                self.store_schedule.is_store_answering = True
                 self._events.record('store_regained', feed=self.terms.name)
 
 
--- a/bramleybend/direct/feed_copy.py
+++ b/bramleybend/direct/feed_copy.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 # Records kept for other VMs; 2,000 are a minute of 40 runners' heartbeats.
-KEPT_RECORDS: Final = 2000
+MAX_RECENT_RECORDS: Final = 2000
 
 
 @dataclass(frozen=True)
@@ -43,9 +43,9 @@
         """Start with nothing read."""
         self.end: int | None = None
         self._newest: dict[str, KeyedRecord] = {}
-        self._recent: deque[KeyedRecord] = deque(maxlen=KEPT_RECORDS)
+        self._recent: deque[KeyedRecord] = deque(maxlen=MAX_RECENT_RECORDS)
 
-    def take(self, page: Page) -> None:
+    def apply(self, page: Page) -> None:
         """Add what was read."""
         if page.whole:
             self._newest.clear()
--- a/bramleybend/direct/ingress.py
+++ b/bramleybend/direct/ingress.py
@@ -31,12 +31,12 @@
 BODY_TIMEOUT_S: Final = 10.0
 # How long a connection that ends is read on, or the last answer may be lost.
 LINGER_S: Final = 0.5
-CHUNKS_SINCE: Final = b'1.1'  # the HTTP version
+CHUNKED_SINCE_VERSION: Final = b'1.1'  # the HTTP version
 # The body has a bound of its own, of the users' manifest.
 REQUEST_BOUNDS: Final = MessageBounds(message_bytes=inf)
 
 Handler = Callable[[RawRequest, Responder], Awaitable[None]]
-Refused = Callable[[Reply], None]
+OnUnreadable = Callable[[Reply], None]
 
 
 def _nothing(reply: Reply) -> None:
@@ -67,7 +67,7 @@
         """Serve it by a task of its own."""
         super().connection_made(transport)
         self._task = asyncio.create_task(self._serve())
-        self._ingress.opened(self, self._task)
+        self._ingress.track(self, self._task)
 
     def eof_received(self) -> bool:
         """Take a caller that writes no more for one that has left."""
@@ -81,7 +81,7 @@
         self._leave()
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no request has begun to come in."""
         return not self._answering and not self.http.trailing_data[0]
 
@@ -89,11 +89,11 @@
         """Raise if what came of this request is mostly no content."""
         self._meter.note_received(self.received)
 
-    def ends(self, wanted: bool) -> bool:
+    def closes_after_answer(self, wanted: bool) -> bool:
         """Tell whether the connection ends with the answer under way."""
-        return wanted or self._ambiguous or self._ingress.draining
+        return wanted or self._ambiguous or self._ingress.is_draining
 
-    def queue(self, event: h11.Event) -> None:
+    def enqueue(self, event: h11.Event) -> None:
         """Frame an event; `flush` sends it."""
         payload = self.http.send(event)
         if payload:
@@ -105,11 +105,14 @@
         self._out.clear()
         await self.write(payload)
 
-    def tear(self) -> None:
+    def end_incomplete(self) -> None:
         """End the connection; an answer under way must not look whole."""
-        version = self.http.their_http_version or CHUNKS_SINCE
+        version = self.http.their_http_version or CHUNKED_SINCE_VERSION
         # Without chunks, an answer ends when its connection does.
-        if self.http.our_state is h11.SEND_BODY and version < CHUNKS_SINCE:
+        if (
+            self.http.our_state is h11.SEND_BODY
+            and version < CHUNKED_SINCE_VERSION
+        ):
             self.abort()
         else:
             self.close()
@@ -131,7 +134,7 @@
             logger.exception('a request failed in our own code')
             self.abort()
         finally:
-            self.tear()
+            self.end_incomplete()
 
     async def _serve_one(self) -> bool:
         responder = Responder(self)
@@ -145,19 +148,19 @@
         try:
             if isinstance(req, Reply):
                 self._ingress.refused(req)
-                await responder.reply(req)
+                await responder.send_reply(req)
             else:
                 await self._ingress.handler(req, responder)
         finally:
             self._answering = False
-        return not responder.torn and self._next_cycle()
+        return not responder.is_incomplete and self._next_cycle()
 
     async def _refuse(self, exc: h11.RemoteProtocolError) -> bool:
         if self.http.our_state in {h11.IDLE, h11.SEND_RESPONSE}:
             status = HTTPStatus(exc.error_status_hint)
             reply = own_reply(status, str(exc), close=True)
             self._ingress.refused(reply)
-            await Responder(self).reply(reply)
+            await Responder(self).send_reply(reply)
             await self._linger()
         return False
 
@@ -209,7 +212,7 @@
         size = 0
         if self.http.they_are_waiting_for_100_continue:
             go_on = h11.InformationalResponse(status_code=100, headers=[])
-            self.queue(go_on)
+            self.enqueue(go_on)
             await self.flush()
         while isinstance(event := await self.next_event(), h11.Data):
             parts.append(bytes(event.data))
@@ -250,14 +253,14 @@
         handler: Handler,
         limits: Callable[[], IngressLimits],
         clock: Clock,
-        refused: Refused = _nothing,
+        on_unreadable: OnUnreadable = _nothing,
     ) -> None:
         """Answer by `handler` what can be read; tell of the rest."""
         self.handler = handler
-        self.refused = refused
+        self.refused = on_unreadable
         self.limits = limits
         self.clock = clock
-        self.draining = False
+        self.is_draining = False
         self._open: dict[CallerConnection, asyncio.Task[None]] = {}
         self._server: asyncio.Server | None = None
 
@@ -278,11 +281,11 @@
         return port
 
     @property
-    def busy(self) -> int:
+    def busy_count(self) -> int:
         """Count the connections with a request on them."""
-        return sum(not conn.idle for conn in self._open)
+        return sum(not conn.is_idle for conn in self._open)
 
-    def opened(self, conn: CallerConnection, task: asyncio.Task[None]) -> None:
+    def track(self, conn: CallerConnection, task: asyncio.Task[None]) -> None:
         """Keep a connection until its task ends."""
         self._open[conn] = task
         task.add_done_callback(lambda _: self._open.pop(conn, None))
@@ -295,7 +298,7 @@
     def close_idle(self) -> None:
         """Close the connections without a request."""
         for conn in tuple(self._open):
-            if conn.idle:
+            if conn.is_idle:
                 conn.close()
 
     async def stop(self) -> None:
--- a/bramleybend/direct/intake.py
+++ b/bramleybend/direct/intake.py
@@ -33,20 +33,20 @@
 from bramleybend.models import Tier
 
 # A long poll of the store and its timeout: an older manifest may be outdated.
-SURE_AGE_S: Final = 4.0
+MAX_CONFIRMED_AGE_S: Final = 4.0
 # A VM that has just started has the manifest within milliseconds, unless the
 # store is away; a caller that is sent off at once uses up its one retry on a
 # VM that knows no more. It is kept for this part of its patience, and told to
 # come back within the part of the rest that callers are ready to wait.
-HOLD_SHARE: Final = 0.4
-RETURN_SHARES: Final = (0.15, 0.33)
-UNSTATED_PATIENCE_S: Final = 1.0
+MANIFEST_WAIT_SHARE: Final = 0.4
+RETRY_AFTER_SHARES: Final = (0.15, 0.33)
+DEFAULT_PATIENCE_S: Final = 1.0
 # An unsure denial is settled by the next answer of the store.
-UNSURE_RETRY_S: Final = 0.5
+UNCONFIRMED_RETRY_AFTER_S: Final = 0.5
 
 
 @dataclass(frozen=True)
-class Admitted:
+class Admission:
     """A request that is let in, with the terms it runs under."""
 
     route: Route
@@ -57,7 +57,7 @@
     is_beyond: bool = False  # let in beyond it, as runners stood idle
 
 
-class Intake:
+class AdmissionControl:
     """Decides on each request before anything is done for it."""
 
     def __init__(
@@ -77,14 +77,14 @@
         self._clock = clock
         self._rng = rng
 
-    def admit(self, req: RawRequest, facts: RequestFacts) -> Admitted | Reply:
+    def admit(self, req: RawRequest, facts: RequestFacts) -> Admission | Reply:
         """Let a request in, or answer it."""
         manifest = self._book.manifest
-        if manifest is None or not self._book.complete:
+        if manifest is None or not self._book.is_complete:
             return own_reply(
                 HTTPStatus.SERVICE_UNAVAILABLE,
                 'this VM knows no manifest yet; nothing was run',
-                retry_in(facts, self._rng),
+                retry_after_s(facts, self._rng),
             )
         route = manifest.route_of(req.host, req.path)
         if route is None:
@@ -94,7 +94,7 @@
             return self._denied(HTTPStatus.UNAUTHORIZED, 'the key is unknown')
         return self._within_allotment(route, holder, facts)
 
-    def give_back(self, admitted: Admitted) -> None:
+    def refund(self, admitted: Admission) -> None:
         """Undo the count of a request that did not run."""
         if admitted.units:
             self._allotments.give_back(
@@ -105,15 +105,15 @@
 
     def _within_allotment(
         self, route: Route, holder: KeyHolder | None, facts: RequestFacts
-    ) -> Admitted | Reply:
+    ) -> Admission | Reply:
         service = choose_target(route.targets, self._rng)
         if holder is None or holder.allotment is None:
             name = holder.name if holder else ''
-            return Admitted(route, service, name, route.tier, 0)
+            return Admission(route, service, name, route.tier, 0)
         units = facts.units(holder.allotment)
         verdict = self._verdict(holder.name, holder.allotment, units, service)
         if verdict.is_let_in:
-            return Admitted(
+            return Admission(
                 route,
                 service,
                 holder.name,
@@ -157,38 +157,38 @@
 
     def _denied(self, status: HTTPStatus, reason: str) -> Reply:
         inputs = self._manifest_inputs()
-        if self._book.manifest_age() <= SURE_AGE_S:
+        if self._book.manifest_age_s() <= MAX_CONFIRMED_AGE_S:
             return own_reply(status, reason, inputs=inputs)
         return own_reply(
             HTTPStatus.SERVICE_UNAVAILABLE,
             f'{reason}, by a manifest that may be outdated; nothing was run',
-            UNSURE_RETRY_S,
+            UNCONFIRMED_RETRY_AFTER_S,
             inputs=inputs,
         )
 
     def _manifest_inputs(self) -> dict[str, str]:
         return {
-            'manifest': str(self._book.version()),
-            'manifest_age_s': f'{self._book.manifest_age():.2f}',
+            'manifest': str(self._book.manifest_version()),
+            'manifest_age_s': f'{self._book.manifest_age_s():.2f}',
         }
 
 
-def hold_s(facts: RequestFacts) -> float:
+def manifest_wait_s(facts: RequestFacts) -> float:
     """Return how long a request waits for a manifest."""
-    return HOLD_SHARE * _patience_s(facts)
+    return MANIFEST_WAIT_SHARE * _patience_s(facts)
 
 
-def retry_in(facts: RequestFacts, rng: Random) -> float:
+def retry_after_s(facts: RequestFacts, rng: Random) -> float:
     """Return when a request that waited in vain should come back.
 
     Spread, or all callers of an outage would be back in the same moment.
     """
-    left_s = (1 - HOLD_SHARE) * _patience_s(facts)
-    return left_s * rng.uniform(*RETURN_SHARES)
+    left_s = (1 - MANIFEST_WAIT_SHARE) * _patience_s(facts)
+    return left_s * rng.uniform(*RETRY_AFTER_SHARES)
 
 
 def _patience_s(facts: RequestFacts) -> float:
-    return facts.patience_s or UNSTATED_PATIENCE_S
+    return facts.patience_s or DEFAULT_PATIENCE_S
 
 
 def choose_target(targets: Sequence[Target], rng: Random) -> str:
--- a/bramleybend/direct/job.py
+++ b/bramleybend/direct/job.py
@@ -9,8 +9,8 @@
 from bramleybend.direct.book import Book
 from bramleybend.direct.channels import RunnerChannels
 from bramleybend.direct.containment import Containment
-from bramleybend.direct.dialect import Dialect
-from bramleybend.direct.intake import Admitted, Intake
+from bramleybend.direct.dialect import HeaderCodec
+from bramleybend.direct.intake import Admission, AdmissionControl
 from bramleybend.direct.meters import Meters
 from bramleybend.direct.models import RequestFacts
 from bramleybend.direct.placing import Placer
@@ -25,47 +25,51 @@
 
     req: RawRequest
     facts: RequestFacts
-    terms: Admitted
-    ends_at: float  # monotonic; by then the caller has an answer
+    admission: Admission
+    answer_due_at: float  # monotonic; by then the caller has an answer
     fingerprint: str = ''  # equal for equal content
     excluded: frozenset[str] = frozenset()  # runners that failed it
-    ran_on: int = 0  # runners that may have run it
-    refusals: int = 0  # runners that surely did not
-    last_event: str = ''  # the newest that was passed on
+    possible_runs: int = 0  # runners that may have run it
+    refusal_count: int = 0  # runners that surely did not
+    last_event_id: str = ''  # the newest that was passed on
     last_failure: Failure | None = None
-    failure_status: int | None = None  # a runner's own, passed on
+    runner_error_status: int | None = None  # a runner's own, passed on
     first_event_at: float | None = None  # monotonic
     last_event_at: float | None = None  # monotonic
-    left_at: float | None = None  # monotonic; its caller's leaving
-    attempt: Attempt | None = None  # under way
+    caller_left_at: float | None = None  # monotonic; its caller's leaving
+    current_attempt: Attempt | None = None  # under way
     framing: str = ''  # of the newest answer; empty before the first
     cut_bytes: int = 0  # after the last whole event of that answer
-    is_counted: bool = True  # against its workspace's allotment
-    trail: list[str] = field(default_factory=list)  # runners it was sent to
+    is_charged: bool = True  # against its workspace's allotment
+    tried_runners: list[str] = field(
+        default_factory=list
+    )  # runners it was sent to
 
     @property
-    def event_by(self) -> float:
+    def next_event_due_at(self) -> float:
         """When the caller leaves unless an answer or an event has come."""
         since = self.last_event_at or self.req.received_at
-        return min(self.ends_at, since + self.terms.route.event_patience_s)
+        return min(
+            self.answer_due_at, since + self.admission.route.event_patience_s
+        )
 
     @property
-    def is_at_runner(self) -> bool:
+    def may_be_running(self) -> bool:
         """Whether a runner may be working on it."""
-        return self.attempt is not None and self.attempt.sent
+        return self.current_attempt is not None and self.current_attempt.sent
 
 
 @dataclass(frozen=True)
-class Parts:
+class Components:
     """What serving a request needs."""
 
     book: Book
-    intake: Intake
+    intake: AdmissionControl
     placer: Placer
     containment: Containment
     limits: RunnerLimits
     channels: RunnerChannels
-    dialect: Dialect
+    dialect: HeaderCodec
     resends: ResendBudget
     vm_count: Callable[[], int]
     event_tokens: Callable[[str], int]
--- a/bramleybend/direct/last_known.py
+++ b/bramleybend/direct/last_known.py
@@ -25,40 +25,40 @@
 from bramleybend.events import EventLog
 
 # The store answers in 4 ms; a slow one, in 60 times that, is waited for.
-RECALL_AFTER_S: Final = 0.15
-RECALL_EVERY_S: Final = 1.0
+LOAD_AFTER_S: Final = 0.15
+LOAD_RETRY_S: Final = 1.0
 # Changes come in bursts (a release, a storm of manifests); one write tells of
 # all that came within this time. A VM that starts from an older list misses
 # what changed in it.
-WRITE_EVERY_S: Final = 1.0
+SAVE_EVERY_S: Final = 1.0
 
 
-class PageKeeper(Protocol):
+class PageStore(Protocol):
     """Where pages are kept, by the name of their log."""
 
-    async def keep(self, name: str, page: Page) -> Result[None, Problem]:
+    async def save(self, name: str, page: Page) -> Result[None, Problem]:
         """Keep a log's newest records in place of those kept before."""
 
-    async def kept(self, name: str) -> Result[Page | None, Problem]:
+    async def load(self, name: str) -> Result[Page | None, Problem]:
         """Return what was kept of a log."""
 
 
 @dataclass
-class KnownLog:
+class BackedUpLog:
     """One log, and how to tell that it says something new."""
 
     feed: Feed
-    mark: Callable[[], object]  # equal while there is nothing new
-    written: object = None
+    version: Callable[[], object]  # equal while there is nothing new
+    saved_version: object = None
 
 
-class LastKnown:
+class LogBackup:
     """Keeps and recalls what was last known."""
 
     def __init__(
         self,
-        logs: Sequence[KnownLog],
-        keeper: PageKeeper,
+        logs: Sequence[BackedUpLog],
+        keeper: PageStore,
         book: Book,
         events: EventLog,
     ) -> None:
@@ -72,22 +72,22 @@
         """Recall what is missing, then keep what changes, until cancelled."""
         await self._recall_until_complete()
         while True:
-            await asyncio.sleep(WRITE_EVERY_S)
+            await asyncio.sleep(SAVE_EVERY_S)
             for log in self._logs:
                 await self._keep(log)
 
     async def _recall_until_complete(self) -> None:
-        pause_s = RECALL_AFTER_S
-        while not await self._book.completed(pause_s):
+        pause_s = LOAD_AFTER_S
+        while not await self._book.wait_until_complete(pause_s):
             for log in self._logs:
                 if log.feed.copy.end is None:
                     await self._recall(log.feed)
-            pause_s = RECALL_EVERY_S
+            pause_s = LOAD_RETRY_S
 
     async def _recall(self, feed: Feed) -> None:
-        match await self._keeper.kept(feed.terms.name):
+        match await self._keeper.load(feed.terms.name):
             case Ok(Page() as page):
-                used = feed.recall(page)
+                used = feed.use_backup(page)
                 self._note(
                     'recalled',
                     feed,
@@ -99,14 +99,18 @@
             case Err(problem):
                 self._note('recall_failed', feed, why=str(problem))
 
-    async def _keep(self, log: KnownLog) -> None:
-        mark = log.mark()
+    async def _keep(self, log: BackedUpLog) -> None:
+        mark = log.version()
         page = log.feed.copy.newest()
-        if page is None or mark == log.written or not log.feed.leads():
+        if (
+            page is None
+            or mark == log.saved_version
+            or not log.feed.is_leader()
+        ):
             return
-        match await self._keeper.keep(log.feed.terms.name, page):
+        match await self._keeper.save(log.feed.terms.name, page):
             case Ok():
-                log.written = mark
+                log.saved_version = mark
             case Err(problem):
                 # Said again in a second, as the mark still differs.
                 self._note('keep_failed', log.feed, why=str(problem))
--- a/bramleybend/direct/listener.py
+++ b/bramleybend/direct/listener.py
@@ -27,13 +27,13 @@
 
 # A total is told again for this long after it changed: in each heartbeat to a
 # hub and at least once to a VM that is told each third, so one may be lost.
-TOLD_S: Final = 1.0
+REPEAT_S: Final = 1.0
 # All totals are told again, for those who missed each heartbeat of a second.
-TELL_ALL_S: Final = 5.0
+FULL_REPORT_EVERY_S: Final = 5.0
 
 
 @dataclass(frozen=True)
-class Tables:
+class SharedTables:
     """What heartbeats tell of, and what they change."""
 
     members: Members
@@ -43,10 +43,12 @@
     containment: Containment
 
 
-class PeerListener:
+class PeerMessageHandler:
     """Joins the members, the queues and the allotments to the socket."""
 
-    def __init__(self, tables: Tables, state: State, clock: Clock) -> None:
+    def __init__(
+        self, tables: SharedTables, state: State, clock: Clock
+    ) -> None:
         """Tell of these tables."""
         self._members = tables.members
         self._placer = tables.placer
@@ -56,25 +58,25 @@
         self._limits = tables.queues.limits
         self._state = state
         self._clock = clock
-        self._totals = OwnTotals()
+        self._totals = SpendingReports()
         self.feeds: list[Feed] = []
 
     def make_beat(self, receiver: Receiver) -> Beat:
         """Return what to tell a VM of ourselves now."""
         now = self._clock.monotonic()
-        tells_all = receiver.is_new or self._totals.is_time_for_all(now)
-        totals = self._totals.told(
+        tells_all = receiver.is_new or self._totals.is_full_report_due(now)
+        totals = self._totals.select(
             self._allotments.spendings(), now, tells_all=tells_all
         )
         return Beat(
             self._profile(),
             receiver.wants,
             receiver.every,
-            [feed.news() for feed in self.feeds],
+            [feed.make_news() for feed in self.feeds],
             totals,
             tells_all,
             self._placer.runs() if receiver.tells_runs else None,
-            self._containment.news(),
+            self._containment.recent_news(),
             self._limits.news(),
             self._allotments.age_s(now),
         )
@@ -85,13 +87,13 @@
         for news in beat.feeds:
             for feed in self.feeds:
                 if feed.terms.name == news.name:
-                    feed.heard(vm, address, news)
+                    feed.handle_news(vm, address, news)
         if beat.tells_all:
             self._allotments.adopt(
                 _told(beat.spendings), self._clock.monotonic(), beat.accounts_s
             )
         self._take_spendings(_peer(vm, incarnation), beat)
-        self._containment.heard(beat.crashes)
+        self._containment.merge_news(beat.crashes)
         self._limits.heard(beat.limits)
         if beat.runs is not None:
             self._take_runs(vm, beat.runs)
@@ -112,7 +114,7 @@
     def unheard(self, vm: str) -> None:
         """Hear that a VM no longer tells us anything itself."""
         for feed in self.feeds:
-            feed.lost(vm)
+            feed.remove_peer(vm)
 
     def silent(self, vm: str) -> None:
         """Hear that a VM was not heard for a while."""
@@ -163,7 +165,7 @@
             queue.heard_runs(vm, ())
 
 
-class OwnTotals:
+class SpendingReports:
     """Which of our own totals a heartbeat carries.
 
     All of them in each were most of its bytes: 16 workspaces take 0.5 kB,
@@ -176,13 +178,13 @@
         self._changed_at: dict[str, float] = {}
         self._told_all_at = -inf
 
-    def is_time_for_all(self, now: float) -> bool:
+    def is_full_report_due(self, now: float) -> bool:
         """Tell whether all totals are to be told again."""
-        if now - self._told_all_at > TELL_ALL_S:
+        if now - self._told_all_at > FULL_REPORT_EVERY_S:
             self._told_all_at = now
-        return now - self._told_all_at < TOLD_S
+        return now - self._told_all_at < REPEAT_S
 
-    def told(
+    def select(
         self,
         spendings: Mapping[str, Spending],
         now: float,
@@ -194,7 +196,7 @@
         return [
             _news(workspace, spending)
             for workspace, spending in spendings.items()
-            if tells_all or now - self._changed_at[workspace] <= TOLD_S
+            if tells_all or now - self._changed_at[workspace] <= REPEAT_S
         ]
 
     def _note_changes(
--- a/bramleybend/direct/meters.py
+++ b/bramleybend/direct/meters.py
@@ -18,7 +18,7 @@
 PREFIX: Final = 'bramleybend'
 # Seconds; the objectives of today's callers lie between 0.2 and 0.8, their
 # patience between 1 and 8.
-BUCKETS: Final = (0.01, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2, 4, 8)
+BUCKET_BOUNDS_S: Final = (0.01, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2, 4, 8)
 
 Labels: TypeAlias = tuple[str, ...]
 
@@ -27,7 +27,7 @@
 class MeterInfo:
     """What a counter or histogram means."""
 
-    meaning: str
+    description: str
     labels: Labels
 
 
@@ -89,11 +89,11 @@
 
 
 @dataclass
-class Series:
+class HistogramSeries:
     """One histogram's observations under one set of labels."""
 
     counts: list[int] = field(
-        default_factory=lambda: [0 for _ in (*BUCKETS, 0)]
+        default_factory=lambda: [0 for _ in (*BUCKET_BOUNDS_S, 0)]
     )
     total: float = 0
 
@@ -107,7 +107,7 @@
         self.counters: dict[str, Counter[Labels]] = {
             name: Counter() for name in COUNTERS
         }
-        self.histograms: dict[str, dict[Labels, Series]] = {
+        self.histograms: dict[str, dict[Labels, HistogramSeries]] = {
             name: {} for name in HISTOGRAMS
         }
 
@@ -118,6 +118,6 @@
     def observe(self, name: str, seconds: float, *labels: str | int) -> None:
         """Add an observation to a histogram."""
         key = tuple(map(str, labels))
-        series = self.histograms[name].setdefault(key, Series())
-        series.counts[bisect_left(BUCKETS, seconds)] += 1
+        series = self.histograms[name].setdefault(key, HistogramSeries())
+        series.counts[bisect_left(BUCKET_BOUNDS_S, seconds)] += 1
         series.total += seconds
--- a/bramleybend/direct/process.py
+++ b/bramleybend/direct/process.py
@@ -14,32 +14,32 @@
 from bramleybend.direct.book import Book
 from bramleybend.direct.channels import RunnerChannels
 from bramleybend.direct.containment import Containment
-from bramleybend.direct.dialect import Dialect
+from bramleybend.direct.dialect import HeaderCodec
 from bramleybend.direct.feed import Feed
 from bramleybend.direct.ingress import Ingress
-from bramleybend.direct.intake import Intake
-from bramleybend.direct.job import Parts
-from bramleybend.direct.listener import PeerListener, Tables
+from bramleybend.direct.intake import AdmissionControl
+from bramleybend.direct.job import Components
+from bramleybend.direct.listener import PeerMessageHandler, SharedTables
 from bramleybend.direct.members import Members, Self
 from bramleybend.direct.meters import Meters
 from bramleybend.direct.models import IngressLimits, RunnerEntry
 from bramleybend.direct.peers import Peers
 from bramleybend.direct.placing import Placer
 from bramleybend.direct.queues import make_queues
-from bramleybend.direct.service import DirectService
+from bramleybend.direct.service import RequestHandler
 from bramleybend.direct.suspension import WatchedSleep
 from bramleybend.entry_settings import ENTRY, EntrySettings
 from bramleybend.events import EventLog
 from bramleybend.identity import make_identity
 from bramleybend.settings_parsing import FILE_FIELD, env_of, parse_program
 
-SWEEP_S: Final = 0.2
+SWEEP_EVERY_S: Final = 0.2
 # Callers keep an answer of the directory for up to three times its lifetime;
 # until then they come over kept connections, and are served.
-TAKE_NEW_S: Final = 2.6
+ACCEPT_REQUESTS_S: Final = 2.6
 # New connections are still taken while callers may not have asked again.
-LISTEN_S: Final = 1.6
-STOP_POLL_S: Final = 0.05
+ACCEPT_CONNECTIONS_S: Final = 1.6
+DRAIN_POLL_S: Final = 0.05
 # Before the platform kills the process.
 KILL_MARGIN_S: Final = 0.5
 # Of the connections that a runner takes from all VMs; the rest is left to
@@ -56,7 +56,7 @@
         self,
         cfg: EntrySettings,
         clock: Clock,
-        dialect: Dialect,
+        dialect: HeaderCodec,
         rng: Random,
     ) -> None:
         """Put the parts together."""
@@ -97,15 +97,15 @@
         self._channels = RunnerChannels(
             clock, cfg.answer_bounds(), cfg.answer_memory()
         )
-        self._channels.most = self._most_connections
-        tables = Tables(
+        self._channels.max_connections = self._most_connections
+        tables = SharedTables(
             self.members,
             self.placer,
             self._queues,
             self._allotments,
             self._containment,
         )
-        self._listener = PeerListener(tables, self._state, clock)
+        self._listener = PeerMessageHandler(tables, self._state, clock)
         self.peers = Peers(
             self.members,
             self._queues.engines,
@@ -116,21 +116,24 @@
         )
         self.peers.add_seeds(cfg.seed_addresses())
         self.placer.send = self.peers.send
-        self._service = DirectService(self._parts(dialect, rng))
+        self._service = RequestHandler(self._parts(dialect, rng))
         self.ingress = Ingress(
-            self._service.handle, self._limits, clock, self._service.refused
+            self._service.handle,
+            self._limits,
+            clock,
+            self._service.record_unreadable,
         )
         self._tasks: list[asyncio.Task[None]] = []
         self.stopping = asyncio.Event()
-        self.leaving = False
-        self.swept: Callable[[], None] = _nothing
-        self.book.listen(self._book_changed)
+        self.is_leaving = False
+        self.on_sweep: Callable[[], None] = _nothing
+        self.book.add_listener(self._book_changed)
 
     def is_ready(self) -> bool:
         """Tell whether callers should come here."""
-        return self.book.complete and not self.leaving
+        return self.book.is_complete and not self.is_leaving
 
-    def fronts(self) -> list[str]:
+    def front_addresses(self) -> list[str]:
         """Return the addresses that callers may use now."""
         others = self.members.serving(self._clock.monotonic())
         fronts = [member.front for member in others]
@@ -147,9 +150,9 @@
         self.spawn(self._queues.log.run())
         self.events.record('started', **self._cfg.shown())
 
-    def follow(self, feed: Feed) -> None:
+    def follow_feed(self, feed: Feed) -> None:
         """Follow a log of the platform, and tell the others of it."""
-        feed.turns.ranks_first = self.members.ranks_first
+        feed.store_schedule.ranks_first = self.members.ranks_first
         self._listener.feeds.append(feed)
         self.spawn(feed.run())
 
@@ -172,19 +175,19 @@
     async def drain(self) -> None:
         """Let callers go elsewhere, then end what is in flight."""
         began = self._clock.monotonic()
-        self.events.record('stopping', in_flight=self.ingress.busy)
-        self.leaving = True
-        self.ingress.draining = True
+        self.events.record('stopping', in_flight=self.ingress.busy_count)
+        self.is_leaving = True
+        self.ingress.is_draining = True
         self.peers.beat()
-        await asyncio.sleep(LISTEN_S)
+        await asyncio.sleep(ACCEPT_CONNECTIONS_S)
         self.ingress.stop_listening()
-        await asyncio.sleep(max(TAKE_NEW_S - LISTEN_S, 0))
-        self._service.refusing = True
+        await asyncio.sleep(max(ACCEPT_REQUESTS_S - ACCEPT_CONNECTIONS_S, 0))
+        self._service.is_shutting_down = True
         self.ingress.close_idle()
         ends_at = began + self._cfg.drain_timeout_s - KILL_MARGIN_S
-        while self.ingress.busy and self._clock.monotonic() < ends_at:
-            await asyncio.sleep(STOP_POLL_S)
-        self.events.record('stopped', in_flight=self.ingress.busy)
+        while self.ingress.busy_count and self._clock.monotonic() < ends_at:
+            await asyncio.sleep(DRAIN_POLL_S)
+        self.events.record('stopped', in_flight=self.ingress.busy_count)
 
     async def close(self) -> None:
         """Close everything as it stands."""
@@ -194,7 +197,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self.peers.close()
-        self._channels.close()
+        self._channels.close_idle()
 
     def _part_ended(self, task: 'asyncio.Task[None]') -> None:
         """Stop the process rather than serve on with a part that died."""
@@ -202,10 +205,10 @@
             logger.error('a part ended', exc_info=task.exception())
             self.stopping.set()
 
-    def _parts(self, dialect: Dialect, rng: Random) -> Parts:
-        return Parts(
+    def _parts(self, dialect: HeaderCodec, rng: Random) -> Components:
+        return Components(
             self.book,
-            Intake(
+            AdmissionControl(
                 self.book,
                 self.members,
                 self._allotments,
@@ -234,13 +237,13 @@
 
     def _readings(self) -> dict[str, Callable[[], float]]:
         return {
-            'manifest_age_seconds': self.book.manifest_age,
-            'manifest_version': self.book.version,
+            'manifest_age_seconds': self.book.manifest_age_s,
+            'manifest_version': self.book.manifest_version,
             'runners': lambda: sum(map(len, self.book.runners.values())),
             'peers_alive': lambda: len(
                 self.members.alive(self._clock.monotonic())
             ),
-            'in_flight': lambda: self.ingress.busy,
+            'in_flight': lambda: self.ingress.busy_count,
             'peer_messages': lambda: self.peers.sent.messages,
             'peer_bytes': lambda: self.peers.sent.size,
         }
@@ -264,7 +267,7 @@
         return self.is_ready()
 
     def _state(self) -> tuple[bool, bool]:
-        return self.is_ready(), self.leaving
+        return self.is_ready(), self.is_leaving
 
     def _book_changed(self) -> None:
         self._queues.take_runners()
@@ -280,13 +283,13 @@
         loop = asyncio.get_running_loop()
         watched = WatchedSleep(self.events, self._clock, loop.time)
         while True:
-            if await watched.sleep(SWEEP_S):
+            if await watched.sleep(SWEEP_EVERY_S):
                 for feed in self._listener.feeds:
                     feed.wake()
             for _, queue in self._queues:
                 queue.sweep()
             self._queues.take_limits()
-            self.swept()
+            self.on_sweep()
 
 
 def _nothing() -> None:
--- a/bramleybend/direct/relay.py
+++ b/bramleybend/direct/relay.py
@@ -10,10 +10,10 @@
     Attempt,
     BrokenStreamError,
     Failure,
-    Fate,
-    Sign,
+    FailureCause,
+    RunStatus,
 )
-from bramleybend.direct.dialect import Dialect
+from bramleybend.direct.dialect import HeaderCodec
 from bramleybend.direct.job import Job
 from bramleybend.direct.placing import Placement, Placer
 from bramleybend.direct.replies import Reply
@@ -30,7 +30,7 @@
         self,
         job: Job,
         responder: Responder,
-        dialect: Dialect,
+        dialect: HeaderCodec,
         placer: Placer,
         placed: Placement,
         clock: Clock,
@@ -42,7 +42,7 @@
         self._placer = placer
         self._placed = placed
         self._clock = clock
-        self.events = 0  # that came from the runner
+        self.event_count = 0  # that came from the runner
 
     async def run(self, attempt: Attempt, head: Head) -> Failure | None:
         """Relay to the end; `None` once the caller has its final answer."""
@@ -50,53 +50,55 @@
         if _is_failure(head) or not _is_event_stream(head):
             return await self._pass_whole(attempt, head)
         try:
-            async with aclosing(attempt.events(head)) as events:
+            async with aclosing(attempt.read_events(head)) as events:
                 async for event in events:
                     await self._pass(head, event)
         except BrokenStreamError as exc:
             reason = f'the stream broke: {exc}'
-            return Failure(Fate.MAY_HAVE_RUN, reason, attempt.sign_of_end)
+            return Failure(RunStatus.MAY_HAVE_RUN, reason, attempt.cause_of_end)
         finally:
             self._job.cut_bytes = attempt.cut_bytes
-        attempt.finish()
-        if not self._responder.begun:
+        attempt.release_connection()
+        if not self._responder.has_begun:
             await self._begin(head)
-        await self._responder.end()
+        await self._responder.end_stream()
         return None
 
     async def _pass_whole(self, attempt: Attempt, head: Head) -> Failure | None:
         """Pass on a failure of the runner's own, or one document, as it is."""
-        answer = await attempt.whole(head)
+        answer = await attempt.read_whole(head)
         if isinstance(answer, Failure):
             return answer
-        if self._responder.begun:
+        if self._responder.has_begun:
             reason = f'the runner answered {head.status}'
-            return Failure(Fate.MAY_HAVE_RUN, reason, Sign.NONE)
+            return Failure(RunStatus.MAY_HAVE_RUN, reason, FailureCause.NONE)
         if _is_failure(head):
-            self._job.failure_status = head.status
+            self._job.runner_error_status = head.status
         headers = self._dialect.caller_headers(head)
-        await self._responder.reply(Reply(head.status, headers, answer.body))
+        await self._responder.send_reply(
+            Reply(head.status, headers, answer.body)
+        )
         return None
 
     async def _pass(self, head: Head, event: Event) -> None:
-        if not self.events:
+        if not self.event_count:
             self._placer.filled(self._placed)
             if self._job.first_event_at is None:
                 self._job.first_event_at = self._clock.monotonic()
-        self.events += 1
+        self.event_count += 1
         # The head waits for the first event: until then a failure can still
         # be answered as what it is, or the request sent on.
-        if not self._responder.begun:
+        if not self._responder.has_begun:
             await self._begin(head)
         self._job.last_event_at = self._clock.monotonic()
-        if is_repeat(event.number, self._job.last_event):
+        if is_repeat(event.event_id, self._job.last_event_id):
             return
-        await self._responder.part(event.raw)
-        self._job.last_event = event.number or self._job.last_event
+        await self._responder.send_chunk(event.raw)
+        self._job.last_event_id = event.event_id or self._job.last_event_id
 
     async def _begin(self, head: Head) -> None:
         headers = self._dialect.caller_headers(head)
-        await self._responder.stream(head.status, headers)
+        await self._responder.begin_stream(head.status, headers)
 
 
 def _is_failure(head: Head) -> bool:
--- a/bramleybend/direct/replies.py
+++ b/bramleybend/direct/replies.py
@@ -8,7 +8,7 @@
 from typing import Final
 
 from bramleybend.clients.channel import HeaderList
-from bramleybend.direct.dialect import header
+from bramleybend.direct.dialect import first_header
 
 HUNDREDTHS: Final = 100
 JSON_TYPE: Final = b'application/json'
@@ -32,7 +32,7 @@
     @property
     def host(self) -> str:
         """The host asked for, without a port, in lower case."""
-        text = header(self.headers, b'host').decode('latin-1').strip()
+        text = first_header(self.headers, b'host').decode('latin-1').strip()
         return text.partition(':')[0].lower()
 
 
--- a/bramleybend/direct/service.py
+++ b/bramleybend/direct/service.py
@@ -6,51 +6,51 @@
 from typing import Final
 
 from bramleybend.direct.attempt import Failure, WholeAnswer
-from bramleybend.direct.intake import Admitted, hold_s
-from bramleybend.direct.job import Job, Parts
+from bramleybend.direct.intake import Admission, manifest_wait_s
+from bramleybend.direct.job import Components, Job
 from bramleybend.direct.models import RequestFacts
 from bramleybend.direct.placing import NoSlot, Placement
 from bramleybend.direct.relay import StreamRelay
 from bramleybend.direct.replies import RawRequest, Reply, own_reply
 from bramleybend.direct.responder import Responder
 from bramleybend.direct.tries import (
-    LEFT,
-    RETRY_REFUSED_S,
-    Tries,
-    timed_out,
+    CALLER_LEFT,
+    REFUSED_RETRY_AFTER_S,
+    AttemptDispatcher,
+    timeout_failure,
 )
 
 MILLISECONDS: Final = 1000
 SERVER_ERRORS: Final = 500  # statuses from here on tell of a runner's failure
 
 
-class DirectService:
+class RequestHandler:
     """The handler of raw requests."""
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, parts: Components) -> None:
         """Serve by these parts."""
         self._parts = parts
-        self._tries = Tries(parts)
+        self._tries = AttemptDispatcher(parts)
         self._behind: set[asyncio.Task[Reply]] = set()
-        self.refusing = False  # a planned stop takes nothing new
+        self.is_shutting_down = False  # a planned stop takes nothing new
 
     async def handle(self, req: RawRequest, responder: Responder) -> None:
         """Answer one request."""
-        if self.refusing:
-            await responder.reply(_stopping())
+        if self.is_shutting_down:
+            await responder.send_reply(_stopping())
             return
         facts = self._parts.dialect.request_facts(req.headers)
-        await self._parts.book.completed(hold_s(facts))
+        await self._parts.book.wait_until_complete(manifest_wait_s(facts))
         admitted = self._parts.intake.admit(req, facts)
         if isinstance(admitted, Reply):
             self._note_denied(facts.attempt_id, req.path, admitted)
-            await responder.reply(admitted)
+            await responder.send_reply(admitted)
             return
         job = self._job(req, facts, admitted)
         if self._parts.containment.is_refused(job.fingerprint):
-            reply = self._tries.contained(job)
+            reply = self._tries.quarantined_reply(job)
             self._note_denied(facts.attempt_id, req.path, reply)
-            await responder.reply(reply)
+            await responder.send_reply(reply)
             return
         try:
             await self._serve(job, responder)
@@ -58,12 +58,12 @@
             self._note_left(job)
             raise
 
-    def refused(self, reply: Reply) -> None:
+    def record_unreadable(self, reply: Reply) -> None:
         """Log and count a request that the ingress could not read."""
         self._note_denied('', '', reply)
 
     def _job(
-        self, req: RawRequest, facts: RequestFacts, terms: Admitted
+        self, req: RawRequest, facts: RequestFacts, terms: Admission
     ) -> Job:
         if terms.is_beyond:
             self._parts.events.record(
@@ -83,18 +83,18 @@
         return Job(req, facts, terms, ends_at, fingerprint)
 
     async def _serve(self, job: Job, responder: Responder) -> None:
-        if job.terms.route.streaming:
+        if job.admission.route.streaming:
             await self._serve_stream(job, responder)
         else:
             await self._serve_plain(job, responder)
 
     async def _serve_plain(self, job: Job, responder: Responder) -> None:
-        if job.terms.route.may_repeat:
+        if job.admission.route.may_repeat:
             reply = await self._plain(job)
         else:
             reply = await self._to_its_end(job)
         self._log_answer(job, reply.status, reply.reason)
-        await responder.reply(reply)
+        await responder.send_reply(reply)
 
     async def _to_its_end(self, job: Job) -> Reply:
         """Run what may run once to its end, also when its caller leaves.
@@ -107,8 +107,8 @@
         try:
             return await asyncio.shield(task)
         except asyncio.CancelledError:
-            job.left_at = self._tries.now()
-            if not job.is_at_runner:
+            job.caller_left_at = self._tries.now()
+            if not job.may_be_running:
                 task.cancel()
             raise
 
@@ -117,12 +117,12 @@
         while True:
             placed = await self._place(job)
             if isinstance(placed, NoSlot):
-                return self._tries.no_slot(job, placed)
+                return self._tries.no_slot_reply(job, placed)
             outcome = await self._one_plain(job, placed)
             if isinstance(outcome, Failure):
                 job.last_failure = outcome
-                if not self._tries.may_resend(job, outcome):
-                    return self._tries.failed(job, outcome)
+                if not self._tries.take_retry(job, outcome):
+                    return self._tries.failure_reply(job, outcome)
             elif not self._worth_resending(job, outcome.head.status):
                 headers = self._parts.dialect.caller_headers(outcome.head)
                 return Reply(outcome.head.status, headers, outcome.body)
@@ -130,57 +130,57 @@
     async def _one_plain(
         self, job: Job, placed: Placement
     ) -> WholeAnswer | Failure:
-        attempt = self._tries.attempt(job, placed)
+        attempt = self._tries.make_attempt(job, placed)
         started = self._tries.now()
-        outcome: WholeAnswer | Failure = LEFT
+        outcome: WholeAnswer | Failure = CALLER_LEFT
         try:
-            async with asyncio.timeout(self._tries.left(job)):
-                head = await attempt.begin(
-                    partial(self._tries.outgoing, job, placed.runner),
-                    job.event_by,
+            async with asyncio.timeout(self._tries.remaining_s(job)):
+                head = await attempt.send(
+                    partial(self._tries.make_outgoing, job, placed.runner),
+                    job.next_event_due_at,
                 )
                 if isinstance(head, Failure):
                     outcome = head
                 else:
                     job.framing = head.framing
-                    outcome = await attempt.whole(head)
+                    outcome = await attempt.read_whole(head)
         except TimeoutError:
-            outcome = timed_out(attempt)
+            outcome = timeout_failure(attempt)
         finally:
-            attempt.cancel()
-            self._tries.ended(job, placed, outcome, started)
+            attempt.drop_connection()
+            self._tries.finish_attempt(job, placed, outcome, started)
         return outcome
 
     async def _serve_stream(self, job: Job, responder: Responder) -> None:
         reply = await self._stream(job, responder)
-        passed_on = job.failure_status or HTTPStatus.OK
+        passed_on = job.runner_error_status or HTTPStatus.OK
         if reply is None:
             self._log_answer(job, passed_on)
             return
         self._log_answer(job, reply.status, reply.reason)
-        if responder.begun:
+        if responder.has_begun:
             # Part of an answer is out: ended here, it must not look whole.
-            responder.tear()
+            responder.end_incomplete()
         else:
-            await responder.reply(reply)
+            await responder.send_reply(reply)
 
     async def _stream(self, job: Job, responder: Responder) -> Reply | None:
         """Relay until the stream is whole; else return why it isn't."""
         while True:
             placed = await self._place(job)
             if isinstance(placed, NoSlot):
-                return self._tries.no_slot(job, placed)
+                return self._tries.no_slot_reply(job, placed)
             failure = await self._one_stream(job, placed, responder)
             if failure is None:
                 return None
             job.last_failure = failure
-            if not self._tries.may_resend(job, failure):
-                return self._tries.failed(job, failure)
+            if not self._tries.take_retry(job, failure):
+                return self._tries.failure_reply(job, failure)
 
     async def _one_stream(
         self, job: Job, placed: Placement, responder: Responder
     ) -> Failure | None:
-        attempt = self._tries.attempt(job, placed)
+        attempt = self._tries.make_attempt(job, placed)
         started = self._tries.now()
         relay = StreamRelay(
             job,
@@ -190,12 +190,12 @@
             placed,
             self._parts.clock,
         )
-        outcome: Failure | None = LEFT
+        outcome: Failure | None = CALLER_LEFT
         try:
-            async with asyncio.timeout(self._tries.left(job)):
-                head = await attempt.begin(
-                    partial(self._tries.outgoing, job, placed.runner),
-                    job.event_by,
+            async with asyncio.timeout(self._tries.remaining_s(job)):
+                head = await attempt.send(
+                    partial(self._tries.make_outgoing, job, placed.runner),
+                    job.next_event_due_at,
                 )
                 outcome = (
                     head
@@ -203,26 +203,28 @@
                     else await relay.run(attempt, head)
                 )
         except TimeoutError:
-            outcome = timed_out(attempt)
+            outcome = timeout_failure(attempt)
         finally:
-            attempt.cancel()
-            self._tries.ended(job, placed, outcome, started, relay.events)
+            attempt.drop_connection()
+            self._tries.finish_attempt(
+                job, placed, outcome, started, relay.event_count
+            )
         return outcome
 
     async def _place(self, job: Job) -> Placement | NoSlot:
         try:
-            async with asyncio.timeout(self._tries.left_for_slot(job)):
-                return await self._tries.place(job)
+            async with asyncio.timeout(self._tries.remaining_for_slot_s(job)):
+                return await self._tries.acquire_slot(job)
         except TimeoutError:
-            return NoSlot('no slot came free in time', RETRY_REFUSED_S)
+            return NoSlot('no slot came free in time', REFUSED_RETRY_AFTER_S)
 
     def _worth_resending(self, job: Job, status: int) -> bool:
         if status < SERVER_ERRORS:
             return False
-        job.failure_status = status
-        if not job.terms.route.may_repeat:
+        job.runner_error_status = status
+        if not job.admission.route.may_repeat:
             return False
-        return self._tries.within_bounds(job)
+        return self._tries.take_rerun(job)
 
     def _note_denied(self, attempt_id: str, path: str, reply: Reply) -> None:
         self._parts.meters.count('denied', int(reply.status))
@@ -242,12 +244,12 @@
         self._parts.events.record(
             'answered',
             req=job.facts.attempt_id,
-            route=job.terms.route.name,
-            workspace=job.terms.workspace,
-            tier=int(job.terms.tier),
+            route=job.admission.route.name,
+            workspace=job.admission.workspace,
+            tier=int(job.admission.tier),
             work=int(job.facts.expected_work),
             status=int(status),
-            runners=','.join(job.trail),
+            runners=','.join(job.tried_runners),
             why=failure.reason if failure else reason,
             framing=job.framing,
             cut_bytes=job.cut_bytes,
@@ -258,23 +260,23 @@
         )
 
     def _note_left(self, job: Job) -> None:
-        job.left_at = self._tries.now()
-        if not (job.ran_on or job.is_at_runner):
-            self._tries.give_back(job)
-        stage = 'placed' if job.trail else 'queued'
-        self._parts.meters.count('callers_left', job.terms.service, stage)
+        job.caller_left_at = self._tries.now()
+        if not (job.possible_runs or job.may_be_running):
+            self._tries.refund_allotment(job)
+        stage = 'placed' if job.tried_runners else 'queued'
+        self._parts.meters.count('callers_left', job.admission.service, stage)
         self._parts.events.record(
             'caller_left',
             req=job.facts.attempt_id,
             stage=stage,
-            runners=','.join(job.trail),
+            runners=','.join(job.tried_runners),
             ms=self._tries.ms_since(job.req.received_at),
         )
 
     def _count_answer(self, job: Job, status: int) -> None:
         meters = self._parts.meters
-        service, tier = job.terms.service, int(job.terms.tier)
-        cause = job.last_failure.fate if job.last_failure else 'none'
+        service, tier = job.admission.service, int(job.admission.tier)
+        cause = job.last_failure.run_status if job.last_failure else 'none'
         meters.count('answers', service, tier, int(status), cause)
         passed = self._tries.now() - job.req.received_at
         meters.observe('answer_seconds', passed, service, tier)
--- a/bramleybend/direct/sse.py
+++ b/bramleybend/direct/sse.py
@@ -27,7 +27,7 @@
 class Event:
     """One event, as it came."""
 
-    number: str  # its id; empty if it has none
+    event_id: str  # its id; empty if it has none
     raw: bytes
 
 
@@ -39,15 +39,15 @@
         self._bounds = bounds
         self._meter = MessageMeter(bounds)
         self._rest = bytearray()
-        self.count = 0  # events that were whole
+        self.event_count = 0  # events that were whole
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """What came of an event that is not whole."""
         return bytes(self._rest)
 
     @property
-    def rest_bytes(self) -> int:
+    def remainder_bytes(self) -> int:
         """Count these."""
         return len(self._rest)
 
@@ -57,7 +57,7 @@
 
         Blank lines and comments after an event are part of none.
         """
-        rest = self.rest
+        rest = self.remainder
         return 0 if _carries_nothing(rest) else len(rest)
 
     def feed(self, chunk: bytes) -> list[Event]:
@@ -82,7 +82,7 @@
         return events
 
     def _count(self, raw: bytes) -> None:
-        self.count += 1
+        self.event_count += 1
         if raw[:1] in b':\r\n' and _carries_nothing(raw):
             self._meter.add_filler(len(raw))
         else:
--- a/bramleybend/metrics_page.py
+++ b/bramleybend/metrics_page.py
@@ -57,7 +57,7 @@
     infos = {**COUNTERS, **HISTOGRAMS, **GAUGES}
     return ''.join(
         f'| `{ENTRY_PREFIX}_{name}` | {", ".join(info.labels)} '
-        f'| {info.meaning} |\n'
+        f'| {info.description} |\n'
         for name, info in infos.items()
     )
 
--- a/bramleybend/platform/directory.py
+++ b/bramleybend/platform/directory.py
@@ -35,7 +35,7 @@
 
     async def handle(self, req: RawRequest, responder: Responder) -> None:
         """Answer one call."""
-        await responder.reply(self.answer(req.path))
+        await responder.send_reply(self.answer(req.path))
 
     def answer(self, path: str) -> Reply:
         """Return the answer to a call of a path."""
--- a/bramleybend/platform/follow.py
+++ b/bramleybend/platform/follow.py
@@ -5,7 +5,7 @@
 from result import Err, Ok
 
 from bramleybend.direct.book import Book
-from bramleybend.direct.feed import FeedTerms
+from bramleybend.direct.feed import FeedSettings
 from bramleybend.direct.feed_copy import KeyedRecord, Page
 from bramleybend.events import EventLog
 from bramleybend.platform.manifest import decode_manifest
@@ -22,7 +22,7 @@
 MANIFEST_WAIT_S: Final = 1.5
 MANIFEST_EVERY_S: Final = 0.05
 MANIFEST_STALE_S: Final = 2.2
-MANIFEST_FEED: Final = FeedTerms(
+MANIFEST_FEED: Final = FeedSettings(
     MANIFEST_TOPIC, MANIFEST_WAIT_S, MANIFEST_EVERY_S, MANIFEST_STALE_S
 )
 # The runners write about every second each, so a read that waits would come
@@ -30,7 +30,9 @@
 # nothing new within two seconds: a poll, a heartbeat and a call's time.
 RUNNER_EVERY_S: Final = 0.7
 RUNNER_STALE_S: Final = 1.45
-RUNNER_FEED: Final = FeedTerms(RUNNER_TOPIC, 0, RUNNER_EVERY_S, RUNNER_STALE_S)
+RUNNER_FEED: Final = FeedSettings(
+    RUNNER_TOPIC, 0, RUNNER_EVERY_S, RUNNER_STALE_S
+)
 
 
 class ManifestPages:
@@ -50,7 +52,7 @@
     def _apply(self, record: KeyedRecord) -> None:
         match decode_manifest(record.content):
             case Ok(manifest):
-                self._book.take_manifest(manifest)
+                self._book.apply_manifest(manifest)
             case Err(problem):
                 self._events.record(
                     'manifest_refused', offset=record.offset, why=str(problem)
--- a/bramleybend/platform/headers.py
+++ b/bramleybend/platform/headers.py
@@ -5,10 +5,10 @@
 from bramleybend.clients.channel import Head, HeaderList
 from bramleybend.direct.dialect import (
     AnswerFacts,
-    Dialect,
-    Onward,
-    header,
-    hop_headers,
+    ForwardingFacts,
+    HeaderCodec,
+    first_header,
+    hop_by_hop_names,
 )
 from bramleybend.direct.models import RequestFacts
 from bramleybend.platform.names import (
@@ -54,14 +54,14 @@
         )
 
     def runner_headers(
-        self, headers: HeaderList, onward: Onward
+        self, headers: HeaderList, onward: ForwardingFacts
     ) -> list[tuple[bytes, bytes]]:
         """Return the headers that a runner gets, without framing."""
-        dropped = _DROPPED | hop_headers(headers)
+        dropped = _DROPPED | hop_by_hop_names(headers)
         kept = [
             (key, text) for key, text in headers if key.lower() not in dropped
         ]
-        left_ms = max(int(onward.left_s * MILLISECONDS), 1)
+        left_ms = max(int(onward.remaining_s * MILLISECONDS), 1)
         ours = [
             (PATIENCE_MS, str(left_ms)),
             (EXPECT_RUNNER, onward.runner.name),
@@ -87,7 +87,7 @@
 
     def caller_headers(self, head: Head) -> list[tuple[bytes, bytes]]:
         """Return the headers that a caller gets, without framing."""
-        dropped = hop_headers(head.headers)
+        dropped = hop_by_hop_names(head.headers)
         return [
             (key, text)
             for key, text in head.headers
@@ -103,13 +103,13 @@
         return head.get(ENCODING) is None
 
 
-def make_dialect() -> Dialect:
+def make_header_codec() -> HeaderCodec:
     """Make the dialect of the platform."""
     return PlatformDialect()
 
 
 def _text(headers: HeaderList, name: str) -> str:
-    return header(headers, name.encode()).decode('latin-1').strip()
+    return first_header(headers, name.encode()).decode('latin-1').strip()
 
 
 def _key(credentials: str) -> str:
--- a/bramleybend/platform/kept_pages.py
+++ b/bramleybend/platform/kept_pages.py
@@ -30,7 +30,7 @@
         self._store = store
         self._dropped: set[str] = set()
 
-    async def keep(self, name: str, page: Page) -> Result[None, Problem]:
+    async def save(self, name: str, page: Page) -> Result[None, Problem]:
         """Keep a log's newest records in place of those kept before."""
         content = deflate(pack_page(page))
         if len(content) > MOST_BYTES:
@@ -44,7 +44,7 @@
         self._dropped.discard(name)
         return await self._store.put(KEPT_TOPIC, name, content)
 
-    async def kept(self, name: str) -> Result[Page | None, Problem]:
+    async def load(self, name: str) -> Result[Page | None, Problem]:
         """Return what was kept of a log."""
         answer = await self._store.newest(KEPT_TOPIC)
         if isinstance(answer, Err):
--- a/bramleybend/platform/mirror.py
+++ b/bramleybend/platform/mirror.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from bramleybend.direct.dialect import header
+from bramleybend.direct.dialect import first_header
 from bramleybend.direct.feed_copy import FeedCopy, Page
 from bramleybend.direct.replies import RawRequest, Reply, own_reply
 from bramleybend.direct.responder import Responder
@@ -49,10 +49,10 @@
     async def handle(self, req: RawRequest, responder: Responder) -> None:
         """Answer one read."""
         reply = self.answer(req)
-        accepted = header(req.headers, b'accept-encoding')
+        accepted = first_header(req.headers, b'accept-encoding')
         if DEFLATE in accepted and len(reply.body) >= LEAST_DEFLATED:
             reply = self._deflate(req, reply)
-        await responder.reply(reply)
+        await responder.send_reply(reply)
 
     def answer(self, req: RawRequest) -> Reply:
         """Return the answer to one read."""
--- a/bramleybend/platform/program.py
+++ b/bramleybend/platform/program.py
@@ -4,9 +4,9 @@
 from random import Random
 
 from bramleybend.clock import Clock
-from bramleybend.direct.feed import Feed, FeedTerms
+from bramleybend.direct.feed import Feed, FeedSettings
 from bramleybend.direct.ingress import Ingress
-from bramleybend.direct.last_known import KnownLog, LastKnown
+from bramleybend.direct.last_known import BackedUpLog, LogBackup
 from bramleybend.direct.models import IngressLimits
 from bramleybend.direct.process import EntryProcess
 from bramleybend.direct.runner_list import RunnerList
@@ -17,7 +17,7 @@
     RUNNER_FEED,
     ManifestPages,
 )
-from bramleybend.platform.headers import make_dialect
+from bramleybend.platform.headers import make_header_codec
 from bramleybend.platform.kept_pages import KeptPages
 from bramleybend.platform.mirror import Mirror
 from bramleybend.platform.runner_entry import decode_runner
@@ -32,7 +32,7 @@
         self._cfg = cfg
         self._clock = clock
         self._rng = Random()
-        self.entry = EntryProcess(cfg, clock, make_dialect(), self._rng)
+        self.entry = EntryProcess(cfg, clock, make_header_codec(), self._rng)
         self.stopping = self.entry.stopping
         self.reload = self.entry.reload
         self.store = StoreClient(cfg.store.host, cfg.store.port, clock)
@@ -45,7 +45,7 @@
         for door, host, port in self._doors:
             await door.start(host, port)
         for feed in self.feeds:
-            self.entry.follow(feed)
+            self.entry.follow_feed(feed)
         self.entry.spawn(self._last_known().run())
         await self.entry.start()
 
@@ -62,15 +62,15 @@
         for client in (self.store, *self._mirrors.values()):
             client.close()
 
-    def _last_known(self) -> LastKnown:
+    def _last_known(self) -> LogBackup:
         book = self.entry.book
         manifests, runners = self.feeds
         logs = (
-            KnownLog(manifests, book.version),
-            KnownLog(runners, lambda: book.runners),
+            BackedUpLog(manifests, book.manifest_version),
+            BackedUpLog(runners, lambda: book.runners),
         )
         keeper = KeptPages(self.store)
-        return LastKnown(logs, keeper, book, self.entry.events)
+        return LogBackup(logs, keeper, book, self.entry.events)
 
     def _metrics(self) -> bytes:
         # Imported at the first scrape; `meters` tells why.
@@ -80,19 +80,19 @@
     def _manifest_feed(self) -> Feed:
         feed = self._feed(MANIFEST_FEED)
         book = self.entry.book
-        feed.take = ManifestPages(book, self.entry.events).take
-        feed.confirmed = book.confirm_manifest
+        feed.on_page = ManifestPages(book, self.entry.events).take
+        feed.on_confirmed = book.confirm_manifest
         return feed
 
     def _runner_feed(self) -> Feed:
         feed = self._feed(RUNNER_FEED)
         runners = RunnerList(self.entry.book, decode_runner, self.entry.events)
-        feed.take = runners.take
-        feed.confirmed = runners.confirmed
-        self.entry.swept = runners.drop_lapsed
+        feed.on_page = runners.take
+        feed.on_confirmed = runners.confirmed
+        self.entry.on_sweep = runners.drop_lapsed
         return feed
 
-    def _feed(self, terms: FeedTerms) -> Feed:
+    def _feed(self, terms: FeedSettings) -> Feed:
         return Feed(
             terms,
             self.store,
@@ -114,7 +114,10 @@
     def _make_doors(self) -> list[tuple[Ingress, str, int]]:
         cfg = self._cfg
         directory = Directory(
-            self.entry.fronts, self.entry.is_ready, self._metrics, self._rng
+            self.entry.front_addresses,
+            self.entry.is_ready,
+            self._metrics,
+            self._rng,
         )
         mirror = Mirror({feed.terms.name: feed.copy for feed in self.feeds})
         doors = [
--- a/tests/direct/test_asking_owners.py
+++ b/tests/direct/test_asking_owners.py
@@ -44,7 +44,7 @@
             members.heard(member)
         book = Book(clock, events)
         services = {SERVICE: ServiceFacts(SERVICE, 10, True, 7)}
-        book.take_manifest(Manifest(1, {}, services, {}, keyed=False))
+        book.apply_manifest(Manifest(1, {}, services, {}, keyed=False))
         book.take_runners({'r1': RUNNER})
         queues = make_queues(book, members, clock, events, Random(1))
         self.placer = Placer(book, members, queues, clock, events)
--- a/tests/direct/test_attempt.py
+++ b/tests/direct/test_attempt.py
@@ -11,12 +11,12 @@
 from bramleybend.clients.message_bounds import MessageBounds
 from bramleybend.clock import SystemClock
 from bramleybend.direct.answer_memory import AnswerMemory
-from bramleybend.direct.attempt import Attempt, Failure, Fate
+from bramleybend.direct.attempt import Attempt, Failure, RunStatus
 from bramleybend.direct.channels import RunnerChannels
 from bramleybend.direct.models import RunnerEntry, RunnerState
 from bramleybend.direct.runner_limits import RunnerLimits
 from bramleybend.events import EventLog
-from bramleybend.platform.headers import make_dialect
+from bramleybend.platform.headers import make_header_codec
 
 OPENING_S = 0.1
 RUNNER = RunnerEntry('r1', 1, 'app', '127.0.0.1', 80, 'a', 4, RunnerState.READY)
@@ -51,17 +51,17 @@
     channels = SlowChannels()
     attempt = Attempt(
         cast(RunnerChannels, channels),
-        make_dialect(),
+        make_header_codec(),
         RunnerLimits(clock, cast(EventLog, cast(Any, None)), Random(1)),
         RUNNER,
         'a1',
     )
     send_by = clock.monotonic() + OPENING_S / 2
-    outcome = await attempt.begin(unused, send_by)
+    outcome = await attempt.send(unused, send_by)
     assert isinstance(outcome, Failure)
-    assert outcome.fate is Fate.NOT_RUN
+    assert outcome.run_status is RunStatus.NOT_RUN
     assert not attempt.sent
-    attempt.cancel()
+    attempt.drop_connection()
     assert channels.kept
 
 
@@ -72,20 +72,20 @@
     limits = RunnerLimits(clock, cast(EventLog, cast(Any, None)), Random(1))
     with socket.create_server(('127.0.0.1', 0)) as listener:
         runner = replace(RUNNER, port=listener.getsockname()[1])
-        channel = await channels.take(runner)
+        channel = await channels.acquire(runner)
         closing, _ = listener.accept()
         channels.drop(runner, channel)
         closing.close()
-        attempt = Attempt(channels, make_dialect(), limits, runner, 'a1')
+        attempt = Attempt(channels, make_header_codec(), limits, runner, 'a1')
         begun = asyncio.create_task(
-            attempt.begin(request, clock.monotonic() + OPENING_S)
+            attempt.send(request, clock.monotonic() + OPENING_S)
         )
         await asyncio.sleep(OPENING_S)
         conn, _ = listener.accept()
         conn.settimeout(1)
         assert conn.recv(4) == b'POST'
         begun.cancel()
-        attempt.cancel()
+        attempt.drop_connection()
         conn.close()
 
 
--- a/tests/direct/test_cluster.py
+++ b/tests/direct/test_cluster.py
@@ -252,8 +252,8 @@
         assert 'connection' not in (await kept.answer()).headers
         draining = asyncio.create_task(stopping.entry.drain())
         await asyncio.sleep(0.3)
-        assert len(world.vms[1].entry.fronts()) == 1
-        assert len(stopping.entry.fronts()) == 1
+        assert len(world.vms[1].entry.front_addresses()) == 1
+        assert len(stopping.entry.front_addresses()) == 1
         await kept.send('/read/x')
         answer = await kept.answer()
         assert answer.status == 200
--- a/tests/direct/test_connected_runners.py
+++ b/tests/direct/test_connected_runners.py
@@ -7,7 +7,7 @@
 from bramleybend.clients.message_bounds import MessageBounds
 from bramleybend.clock import SystemClock
 from bramleybend.direct.answer_memory import AnswerMemory
-from bramleybend.direct.channels import MOST_CONNECTED, RunnerChannels
+from bramleybend.direct.channels import MAX_CONNECTED_RUNNERS, RunnerChannels
 from bramleybend.direct.models import RunnerEntry, RunnerState
 
 RUNNER = RunnerEntry('r', 1, 'app', '127.0.0.1', 80, 'a', 4, RunnerState.READY)
@@ -20,18 +20,18 @@
         port = listener.getsockname()[1]
         runners = [
             replace(RUNNER, name=f'r{number}', port=port)
-            for number in range(MOST_CONNECTED + 2)
+            for number in range(MAX_CONNECTED_RUNNERS + 2)
         ]
         engine = replace(RUNNER, name='e', service='lm', port=port)
         for runner in (*runners, engine):
-            channels.drop(runner, await channels.take(runner))
-        busy = await channels.take(runners[-1])
+            channels.drop(runner, await channels.acquire(runner))
+        busy = await channels.acquire(runners[-1])
         await busy.send(Outgoing(b'GET', b'/', [(b'Host', b'x')], b''))
-        assert channels.connected('lm') == {engine.incarnation}
-        named = channels.connected('app')
-        assert len(named) == MOST_CONNECTED
+        assert channels.connected_runners('lm') == {engine.incarnation}
+        named = channels.connected_runners('app')
+        assert len(named) == MAX_CONNECTED_RUNNERS
         assert runners[-1].incarnation not in named
         channels.keep_only({engine.incarnation})
-        assert not channels.connected('app')
+        assert not channels.connected_runners('app')
         channels.drop(runners[-1], busy)
-        channels.close()
+        channels.close_idle()
--- a/tests/direct/test_containment.py
+++ b/tests/direct/test_containment.py
@@ -6,7 +6,7 @@
 
 from bramleybend.clock import ManualClock
 from bramleybend.decisions.quarantine import CONDEMNED
-from bramleybend.direct.containment import TOLD_S, Containment
+from bramleybend.direct.containment import BROADCAST_S, Containment
 from bramleybend.direct.models import (
     RequestFacts,
     RunnerEntry,
@@ -171,14 +171,14 @@
     clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
     containment = Containment(clock, EventLog('vm', 'i', clock, kept=0))
     for number in range(CONDEMNED):
-        containment.crashed('refused', runner(number))
-    containment.crashed('broken', runner(0))
-    containment.crashed('cleared', runner(0))
-    containment.finished('cleared')
-    told = {one.fingerprint for one in containment.news()}
+        containment.record_crash('refused', runner(number))
+    containment.record_crash('broken', runner(0))
+    containment.record_crash('cleared', runner(0))
+    containment.record_completion('cleared')
+    told = {one.fingerprint for one in containment.recent_news()}
     assert told == {'refused', 'broken', 'cleared'}
-    clock.advance(TOLD_S + 1)
-    assert [one.fingerprint for one in containment.news()] == ['refused']
+    clock.advance(BROADCAST_S + 1)
+    assert [one.fingerprint for one in containment.recent_news()] == ['refused']
 
 
 def test_content_is_told_apart_by_caller_target_and_body() -> None:
--- a/tests/direct/test_endless_answers.py
+++ b/tests/direct/test_endless_answers.py
@@ -175,7 +175,7 @@
         one['timeoutMs'] = timeout_ms
     world.publish(declared)
     await wait_until(
-        lambda: world.vms[0].entry.book.version() == 2, 'the manifest'
+        lambda: world.vms[0].entry.book.manifest_version() == 2, 'the manifest'
     )
 
 
@@ -268,7 +268,7 @@
         await world.add_runner('good', PLAIN)
         await world.knows(PLAIN, 11)
         memory = world.vms[0].entry._channels.memory
-        assert memory.free == memory_mb * MEGABYTE * ANSWERS_SHARE / 2
+        assert memory.free_bytes == memory_mb * MEGABYTE * ANSWERS_SHARE / 2
 
 
 def test_events_are_told_from_comments() -> None:
@@ -276,4 +276,4 @@
     splitter = EventSplitter()
     for number in range(5000):
         splitter.feed(event(number) + COMMENT)
-    assert splitter.count == 10_000
+    assert splitter.event_count == 10_000
--- a/tests/direct/test_last_known.py
+++ b/tests/direct/test_last_known.py
@@ -84,7 +84,7 @@
         ]
         world.publish(manifest(2, routes=[*manifest()['routes'], *added]))
         book = world.vms[0].entry.book
-        await wait_until(lambda: book.version() == 2, 'the change')
+        await wait_until(lambda: book.manifest_version() == 2, 'the change')
         await asyncio.sleep(SOON_S * 2)
         world.store.silent_topics.add(MANIFEST_TOPIC)
         await lose_power(world)
@@ -107,15 +107,15 @@
     client = StoreClient('127.0.0.1', store.server.port, SystemClock())
     keeper = KeptPages(client)
     small = Page((KeyedRecord(0, 'k', b'old'),), 1, whole=True)
-    (await keeper.keep('log', small)).unwrap()
-    recalled = (await keeper.kept('log')).unwrap()
+    (await keeper.save('log', small)).unwrap()
+    recalled = (await keeper.load('log')).unwrap()
     assert recalled is not None
     assert recalled.records[0].content == b'old'
     large = KeyedRecord(1, 'k', Random(1).randbytes(300_000))
     for _ in range(3):
-        refused = await keeper.keep('log', Page((large,), 2, whole=True))
+        refused = await keeper.save('log', Page((large,), 2, whole=True))
         assert refused.is_err()
-    assert (await keeper.kept('log')).unwrap() is None
+    assert (await keeper.load('log')).unwrap() is None
     assert store.calls.count('/log-append') == 2
     client.close()
     await store.server.stop()
--- a/tests/direct/test_left_callers.py
+++ b/tests/direct/test_left_callers.py
@@ -148,7 +148,7 @@
         await world.knows(PLAIN)
         given_back = Mock()
         parts = world.vms[0].entry._service._parts
-        parts.intake.give_back = given_back  # type: ignore[method-assign]
+        parts.intake.refund = given_back  # type: ignore[method-assign]
         callers = [await world.connect() for _ in range(2 * SLOTS)]
         for number, caller in enumerate(callers):
             await caller.send('/book/x', attempt=f'a{number}')
@@ -174,7 +174,7 @@
             await asyncio.sleep(10)
 
         parts = entry._service._parts
-        parts.channels.take = take  # type: ignore[method-assign,assignment]
+        parts.channels.acquire = take  # type: ignore[method-assign,assignment]
         ended = Mock()
         entry.placer.ended = ended  # type: ignore[method-assign]
         caller = await world.connect()
--- a/tests/direct/test_long_answers.py
+++ b/tests/direct/test_long_answers.py
@@ -24,7 +24,7 @@
     async with playing() as world:
         world.publish(manifest(2, routes=[ROUTE]))
         book = world.vms[0].entry.book
-        await wait_until(lambda: book.version() == 2, 'the route')
+        await wait_until(lambda: book.manifest_version() == 2, 'the route')
         await world.add_runner('r1', ENGINE, begins)
         await world.knows(ENGINE)
         other, caller = await world.connect(), await world.connect()
--- a/tests/direct/test_moved_runners.py
+++ b/tests/direct/test_moved_runners.py
@@ -85,7 +85,7 @@
     """Return a book with a manifest that names the services."""
     clock = SystemClock()
     book = Book(clock, EventLog('vm', 'i', clock, 0))
-    book.take_manifest(Manifest(1, {}, SERVICES, {}, keyed=False))
+    book.apply_manifest(Manifest(1, {}, SERVICES, {}, keyed=False))
     return book
 
 
--- a/tests/direct/test_news.py
+++ b/tests/direct/test_news.py
@@ -9,7 +9,7 @@
 
 from bramleybend.clock import ManualClock, SystemClock
 from bramleybend.direct.book import Book
-from bramleybend.direct.feed import Feed, FeedTerms
+from bramleybend.direct.feed import Feed, FeedSettings
 from bramleybend.direct.feed_copy import FeedCopy, KeyedRecord, Page
 from bramleybend.direct.members import Member, Members, Self
 from bramleybend.direct.models import RunnerState
@@ -126,8 +126,8 @@
     """Older offsets than it holds are read anew, whole."""
     copy = FeedCopy()
     assert copy.newest() is None
-    copy.take(page(record(4, 'a', 'x'), whole=True))
-    copy.take(page(record(5, 'b', 'y'), record(6, 'a')))
+    copy.apply(page(record(4, 'a', 'x'), whole=True))
+    copy.apply(page(record(5, 'b', 'y'), record(6, 'a')))
     since = copy.changes(6)
     assert since is not None
     assert [one.key for one in since.records] == ['a']
@@ -252,7 +252,7 @@
     clock = SystemClock()
     source = _Quiet()
     feed = Feed(
-        FeedTerms('t', wait_s, 0, 2.2),
+        FeedSettings('t', wait_s, 0, 2.2),
         source,
         lambda _: source,
         clock,
@@ -264,6 +264,6 @@
     ages = []
     for _ in range(40):
         await asyncio.sleep(0.02)
-        ages.append(feed.news().age_s)
+        ages.append(feed.make_news().age_s)
     following.cancel()
     assert max(ages) < wait_s * 1.5
--- a/tests/direct/test_own_records.py
+++ b/tests/direct/test_own_records.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from bramleybend.direct.process import SWEEP_S
+from bramleybend.direct.process import SWEEP_EVERY_S
 from bramleybend.direct.traffic import LARGE_BYTES
 from bramleybend.loop_watch import TOLD_FROM_S
 from tests.direct.world import PLAIN, playing
@@ -32,9 +32,9 @@
 ) -> None:
     caplog.set_level(logging.INFO)
     async with playing():
-        await asyncio.sleep(SWEEP_S / 2)
-        _stand_still(SWEEP_S + 2 * TOLD_FROM_S)
-        await asyncio.sleep(2 * SWEEP_S)
+        await asyncio.sleep(SWEEP_EVERY_S / 2)
+        _stand_still(SWEEP_EVERY_S + 2 * TOLD_FROM_S)
+        await asyncio.sleep(2 * SWEEP_EVERY_S)
     assert _events(caplog, 'loop_late')[0]['late_ms'] >= TOLD_FROM_S * 1000
 
 
--- a/tests/direct/test_sse.py
+++ b/tests/direct/test_sse.py
@@ -20,16 +20,16 @@
             events.extend(splitter.feed(STREAM[at:end]))
             at = end
         assert b''.join(event.raw for event in events) == STREAM
-        assert [event.number for event in events] == ['1', '2', '']
-        assert not splitter.rest
+        assert [event.event_id for event in events] == ['1', '2', '']
+        assert not splitter.remainder
 
 
 def test_half_an_event_is_kept_back() -> None:
     """It is passed on only once its end has come."""
     splitter = EventSplitter()
     assert not splitter.feed(b'id: 1\ndata: a\n')
-    assert splitter.rest
-    assert splitter.feed(b'\n')[0].number == '1'
+    assert splitter.remainder
+    assert splitter.feed(b'\n')[0].event_id == '1'
 
 
 def test_an_event_that_the_caller_has_is_a_repeat() -> None:
--- a/tests/direct/test_suspension.py
+++ b/tests/direct/test_suspension.py
@@ -67,7 +67,7 @@
         async with asyncio.timeout(2):
             await world.knows(PLAIN)
             await wait_until(
-                lambda: world.vms[0].entry.book.version() == 2,
+                lambda: world.vms[0].entry.book.manifest_version() == 2,
                 'the new manifest',
             )
         assert (await world.call('/book/x', key='new')).status == 200
--- a/tests/direct/world.py
+++ b/tests/direct/world.py
@@ -110,7 +110,8 @@
         """Wait until every VM is ready and hears all others."""
         await wait_until(
             lambda: all(
-                len(vm.entry.fronts()) == len(self.vms) for vm in self.vms
+                len(vm.entry.front_addresses()) == len(self.vms)
+                for vm in self.vms
             ),
             'all VMs ready',
         )
--- a/tests/failures/test_large_manifest.py
+++ b/tests/failures/test_large_manifest.py
@@ -85,11 +85,11 @@
         return clients[address]
 
     feed = Feed(MANIFEST_FEED, store, peer_source, clock, events, Random(name))
-    feed.take = ManifestPages(book, events).take
-    feed.copy.take(Page((record(0, manifest(1)),), 1, whole=True))
-    feed.take(Page((record(0, manifest(1)),), 1, whole=True))
+    feed.on_page = ManifestPages(book, events).take
+    feed.copy.apply(Page((record(0, manifest(1)),), 1, whole=True))
+    feed.on_page(Page((record(0, manifest(1)),), 1, whole=True))
     feed.confirmed_at = clock.monotonic()
-    feed.turns.ranks_first = lambda *_: False
+    feed.store_schedule.ranks_first = lambda *_: False
     return Follower(book, feed)
 
 
@@ -146,7 +146,7 @@
         for number, relay in enumerate(relays):
             news = FeedNews(MANIFEST_TOPIC, 2, 0, reads=True)
             for one in followers:
-                one.feed.heard(f'hub-{number}', relay.host, news)
+                one.feed.handle_news(f'hub-{number}', relay.host, news)
         await asyncio.sleep(BEAT_S)
 
 
@@ -188,8 +188,8 @@
     """
     clock = SystemClock()
     copy = FeedCopy()
-    copy.take(Page((record(0, manifest(1)),), 1, whole=True))
-    copy.take(Page((record(1, large_manifest(2)),), 2, whole=False))
+    copy.apply(Page((record(0, manifest(1)),), 1, whole=True))
+    copy.apply(Page((record(1, large_manifest(2)),), 2, whole=False))
     store = PlatformStore('127.0.0.1')
     store.status = 503
     await store.server.start()
@@ -255,7 +255,7 @@
     """
     clock = SystemClock()
     copy = FeedCopy()
-    copy.take(Page((record(1, large_manifest(2)),), 2, whole=True))
+    copy.apply(Page((record(1, large_manifest(2)),), 2, whole=True))
     links = [Link(THIN_LINK), Link(THIN_LINK)]
     async with store_over(links[0]) as (store, way):
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, manifest(1))
@@ -282,7 +282,7 @@
     clock = SystemClock()
     large = large_manifest(2, added=3000)
     copy = FeedCopy()
-    copy.take(Page((record(1, large),), 2, whole=True))
+    copy.apply(Page((record(1, large),), 2, whole=True))
     link = Link(THIN_LINK / 2)
     async with store_over(link) as (store, way):
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, manifest(1))
@@ -303,7 +303,7 @@
     """
     clock = SystemClock()
     copy = FeedCopy()
-    copy.take(Page((record(1, large_manifest(2)),), 2, whole=True))
+    copy.apply(Page((record(1, large_manifest(2)),), 2, whole=True))
     link = Link(THIN_LINK)
     async with store_over(link) as (store, way):
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, manifest(1))
--- a/tests/utils/peer_network.py
+++ b/tests/utils/peer_network.py
@@ -19,7 +19,7 @@
 )
 from bramleybend.direct.book import Book
 from bramleybend.direct.containment import Containment
-from bramleybend.direct.listener import PeerListener, Tables
+from bramleybend.direct.listener import PeerMessageHandler, SharedTables
 from bramleybend.direct.members import BEAT_S, Members, Self
 from bramleybend.direct.peers import Peers
 from bramleybend.direct.placing import Placer
@@ -207,8 +207,8 @@
     )
     vm: Vm
     containment = Containment(clock, events)
-    listener = PeerListener(
-        Tables(members, placer, queues, allotments, containment),
+    listener = PeerMessageHandler(
+        SharedTables(members, placer, queues, allotments, containment),
         lambda: vm.state(),  # noqa: PLW0108
         clock,
     )
