--- a/bramleybend/direct/answer_memory.py
+++ b/bramleybend/direct/answer_memory.py
@@ -1,11 +1,12 @@
-"""How much of a VM's memory answers that are still being read may take.
+"""Limits the memory that answers in progress may take on a VM.
 
-Failure: many runners send answers without end at once. Each stays under the
-bound of one answer, and together they fill the VM's memory.
+Failure: many runners send endless answers at once. Each stays under the limit
+of one answer, and together they fill the VM's memory.
 
-An answer may take as much as is left for all others, so a few large ones fit,
-and many endless ones leave room for the usual. The first `SMALL_BYTES` of
-each are not counted: they are bounded by the number of connections.
+An answer may take as much memory as stays free for all others. So a few large
+answers fit, and many endless ones leave room for answers of the usual size. The
+first `UNCOUNTED_BYTES` of each answer are not counted: the number of
+connections bounds them.
 """
 
 from typing import Final
@@ -13,42 +14,48 @@
 from bramleybend.clients.message_bounds import MessageTooLongError
 
 UNCOUNTED_BYTES: Final = 16_384
-# The parts of an answer and the whole that is joined from them.
+# The chunks of an answer, and the body that is joined from them.
 COPIES_PER_ANSWER: Final = 2
 
 
 class AnswerMemory:
-    """The memory that all answers of a VM share."""
+    """The memory that all answers in progress on a VM share."""
 
     def __init__(self, limit_bytes: float) -> None:
-        """Start with all of it free."""
+        """Create an unused pool of `limit_bytes`."""
         self.free_bytes = limit_bytes / COPIES_PER_ANSWER
 
     def reserve(self) -> 'MemoryReservation':
-        """Begin an answer."""
+        """Return an empty reservation for one answer."""
         return MemoryReservation(self)
 
 
 class MemoryReservation:
-    """What one answer holds."""
+    """The memory that one answer has reserved."""
 
     def __init__(self, memory: AnswerMemory) -> None:
-        """Hold nothing."""
+        """Create an empty reservation."""
         self._memory = memory
-        self._held = 0
+        self._reserved_bytes = 0
 
     def resize(self, size: int) -> None:
-        """Hold so many bytes; raises `MessageTooLongError`."""
-        wanted = max(size - UNCOUNTED_BYTES, 0)
-        free = self._memory.free_bytes + self._held
-        if wanted > self._held and wanted > free - wanted:
+        """Reserve `size` bytes in total.
+
+        Raises `MessageTooLongError` if too little memory is free.
+        """
+        wanted_bytes = max(size - UNCOUNTED_BYTES, 0)
+        free = self._memory.free_bytes + self._reserved_bytes
+        if (
+            wanted_bytes > self._reserved_bytes
+            and wanted_bytes > free - wanted_bytes
+        ):
             raise MessageTooLongError(
                 f'no memory is left for an answer of over {size} bytes'
             )
-        self._memory.free_bytes = free - wanted
-        self._held = wanted
+        self._memory.free_bytes = free - wanted_bytes
+        self._reserved_bytes = wanted_bytes
 
     def release(self) -> None:
-        """Hold nothing any more."""
-        self._memory.free_bytes += self._held
-        self._held = 0
+        """Return the reserved memory to the pool."""
+        self._memory.free_bytes += self._reserved_bytes
+        self._reserved_bytes = 0
--- a/bramleybend/direct/attempt.py
+++ b/bramleybend/direct/attempt.py
@@ -1,4 +1,4 @@
-"""One request at one runner, and what is certain of it afterwards."""
+"""Sends one request to one runner and classifies how it ended."""
 
 import asyncio
 from collections.abc import AsyncGenerator, Callable
@@ -18,40 +18,39 @@
 from bramleybend.direct.sse import Event, EventSplitter
 
 TIMEOUT: Final = 'timeout'
-# Answers of earlier requests that are passed over before a connection is
-# given up; a runner sends one late or second answer, not a series.
+# Answers to other requests that are skipped before the connection is dropped. A
+# runner sends at most one late or duplicate answer, not a series of them.
 MAX_FOREIGN_ANSWERS: Final = 2
-# Turns of the event loop: the first one polls the sockets, the second one
-# tells a task that its caller left, the third one whoever works for that task.
+# Turns of the event loop until a caller's disconnect has cancelled its request:
+# the first turn polls the sockets, the second runs the task that serves the
+# caller, and the third runs the task that it waits for.
 LOOP_TURNS_TO_CATCH_UP: Final = 3
-# The rest of a refusal is a few bytes that came with its head.
+# The body of a refusal is a few bytes that arrive with its head.
 DISCARD_TIMEOUT_S: Final = 0.1
 MAX_DISCARDED_BYTES: Final = 16_384  # bytes
 CONNECTION_ERRORS: Final = (OSError, EOFError, h11.ProtocolError)
 
 
 class RunStatus(StrEnum):
-    """What is certain of a request that got no answer."""
+    """Whether a request that got no answer may have been run."""
 
     NOT_RUN = 'not_run'
     MAY_HAVE_RUN = 'may_have_run'
 
 
 class FailureCause(StrEnum):
-    """What a try without an answer shows of its runner."""
+    """What a failed attempt tells about its runner."""
 
     NONE = 'none'
-    FULL = 'full'  # it turned the request away
-    MOVED = 'moved'  # another process answers at its address
+    FULL = 'full'  # the runner refused the request
+    MOVED = 'moved'  # another process listens at the runner's address
     UNREACHABLE = 'unreachable'
-    CONNECTION_CLOSED = (
-        'broke_off'  # the connection ended before the answer did
-    )
+    CONNECTION_CLOSED = 'broke_off'  # before the answer was complete
 
 
 @dataclass(frozen=True)
 class Failure:
-    """Why there is no answer that could be passed on."""
+    """Why an attempt has no answer that can be relayed."""
 
     run_status: RunStatus
     reason: str
@@ -60,18 +59,18 @@
 
 @dataclass(frozen=True)
 class WholeAnswer:
-    """An answer of a runner, complete."""
+    """A complete answer of a runner."""
 
     head: Head
     body: bytes
 
 
 class BrokenStreamError(Exception):
-    """A stream ended before its end."""
+    """A stream ended before it was complete."""
 
 
 class Attempt:
-    """Owns the connection of one request at one runner."""
+    """One request at one runner; owns the connection that it uses."""
 
     def __init__(
         self,
@@ -81,20 +80,20 @@
         runner: RunnerEntry,
         attempt_id: str,
     ) -> None:
-        """Prepare; nothing is opened yet."""
+        """Create an attempt; `send` opens the connection."""
         self._channels = channels
         self._dialect = dialect
         self._limits = limits
         self._attempt_id = attempt_id
-        self._held = channels.memory.reserve()
+        self._memory = channels.memory.reserve()
         self._channel: Channel | None = None
         self.runner = runner
         self.sent = False
-        self.cut_bytes = 0  # of an event whose end did not come
+        self.cut_bytes = 0  # received of an incomplete last event
 
     @property
     def cause_of_end(self) -> FailureCause:
-        """Tell what an answer that ends now shows of its runner."""
+        """Return the failure cause if the answer ends at this point."""
         has_ended = self._channel is not None and self._channel.peer_ended
         return (
             FailureCause.CONNECTION_CLOSED if has_ended else FailureCause.NONE
@@ -105,10 +104,10 @@
     ) -> Head | Failure:
         """Send the request and read the head of its answer.
 
-        Nothing is sent after `send_by`, monotonic seconds.
+        Nothing is sent at or after `send_by`, in monotonic seconds.
         """
         try:
-            channel = await self._open()
+            channel = await self._open_connection()
         except OSError as exc:
             reason = f'no connection: {exc}'
             return Failure(RunStatus.NOT_RUN, reason, FailureCause.UNREACHABLE)
@@ -117,65 +116,66 @@
             return Failure(RunStatus.NOT_RUN, TIMEOUT, FailureCause.NONE)
         try:
             await self._send(channel, make_outgoing())
-            head = await self._own_head(channel)
+            head = await self._read_own_head(channel)
         except CONNECTION_ERRORS as exc:
-            return self._broken(exc)
-        self._note_limit(head, sent_at)
-        return await self._checked(head)
+            return self._connection_failure(exc)
+        self._record_limit(head, sent_at)
+        return await self._check_head(head)
 
     async def read_whole(self, head: Head) -> WholeAnswer | Failure:
-        """Read the body; the runner's connection is free afterwards."""
+        """Read the whole body and release the runner's connection."""
         assert self._channel is not None
         try:
             body = await self._channel.body(
-                self._channels.bounds.message_bytes, self._held.resize
+                self._channels.bounds.message_bytes, self._memory.resize
             )
         except CONNECTION_ERRORS as exc:
-            return self._broken(exc)
+            return self._connection_failure(exc)
         finally:
-            self._held.release()
+            self._memory.release()
         self.release_connection()
         return WholeAnswer(head, body)
 
     async def read_events(self, head: Head) -> AsyncGenerator[Event, None]:
-        """Yield whole events; raises unless the stream came to its end.
+        """Yield complete events.
 
-        A runner that crashes may close its connection in order, which looks
-        like the end of an answer that has neither a length nor chunks.
+        Raises `BrokenStreamError` if the stream is incomplete. A runner that
+        crashes may close its connection in an orderly way, which looks like the
+        end of an answer that has neither a length nor chunks.
         """
         assert self._channel is not None
         splitter = EventSplitter(self._channels.bounds)
         try:
             async for chunk in self._channel.chunks():
                 read_events = splitter.feed(chunk)
-                self._held.resize(splitter.remainder_bytes)
+                self._memory.resize(splitter.remainder_bytes)
                 for event in read_events:
                     yield event
         except CONNECTION_ERRORS as exc:
             raise BrokenStreamError(str(exc) or type(exc).__name__) from exc
         finally:
-            self._held.release()
+            self._memory.release()
             self.cut_bytes = splitter.cut_bytes
-        _check_end(head, splitter)
+        _check_stream_end(head, splitter)
         if splitter.remainder:
             yield Event('', splitter.remainder)
 
     def release_connection(self) -> None:
-        """Give the connection back after a whole answer."""
+        """Release the connection for reuse after a complete answer."""
         if self._channel is not None:
             self._channels.release(self.runner, self._channel)
             self._channel = None
 
     def drop_connection(self) -> None:
-        """Drop the connection; the runner then drops the request."""
+        """Drop the connection, which makes the runner abort the request."""
         if self._channel is not None:
             self._channels.drop(self.runner, self._channel)
             self._channel = None
 
-    async def _open(self) -> Channel:
-        """Return a connection that stands, and the news of the meantime."""
+    async def _open_connection(self) -> Channel:
+        """Return an open connection, after pending events were processed."""
         self._channel = await self._channels.acquire(self.runner)
-        await _catch_up()
+        await _run_pending_callbacks()
         if not self._channel.usable:
             self.drop_connection()
             self._channel = await self._channels.acquire(self.runner)
@@ -185,32 +185,32 @@
         self.sent = True
         await channel.send(outgoing)
 
-    async def _own_head(self, channel: Channel) -> Head:
-        """Read the head of our answer, past those of other requests.
+    async def _read_own_head(self, channel: Channel) -> Head:
+        """Read the head of the answer to this request.
 
-        A runner's late or second answer to an earlier request comes where
-        ours is expected. It would reach the wrong caller; the id that
-        runners echo tells the two apart.
+        A runner's late or duplicate answer to an earlier request arrives where
+        this answer is expected and would reach the wrong caller. Runners echo
+        the attempt id, which identifies such an answer; it is skipped.
         """
         for _ in range(MAX_FOREIGN_ANSWERS):
             head = await channel.head()
-            answered = self._dialect.answer_facts(head).attempt_id
-            if answered == self._attempt_id or not answered:
+            answered_id = self._dialect.answer_facts(head).attempt_id
+            if answered_id == self._attempt_id or not answered_id:
                 return head
             await channel.body(MAX_DISCARDED_BYTES)
             channel.expect_another()
         raise EOFError('the runner answers other requests in place of ours')
 
-    def _note_limit(self, head: Head, sent_at: float) -> None:
+    def _record_limit(self, head: Head, sent_at: float) -> None:
         facts = self._dialect.answer_facts(head)
         if facts.attempt_id == self._attempt_id and facts.limit is not None:
             runner = self.runner.incarnation
             self._limits.answered(runner, facts.limit, sent_at)
 
-    async def _checked(self, head: Head) -> Head | Failure:
+    async def _check_head(self, head: Head) -> Head | Failure:
         facts = self._dialect.answer_facts(head)
         if facts.not_run:
-            await self._discard()
+            await self._discard_body()
             reason = f'the runner answered {head.status}'
             sign = (
                 FailureCause.MOVED
@@ -219,51 +219,52 @@
             )
             return Failure(RunStatus.NOT_RUN, reason, sign)
         is_success = head.status < HTTPStatus.MULTIPLE_CHOICES
-        owned = facts.attempt_id == self._attempt_id
+        is_own = facts.attempt_id == self._attempt_id
         if is_success and not (
-            facts.has_proof and owned and self._dialect.is_whole(head)
+            facts.has_proof and is_own and self._dialect.is_whole(head)
         ):
             self.drop_connection()
             reason = 'the answer bears no proof'
             return Failure(RunStatus.MAY_HAVE_RUN, reason, FailureCause.NONE)
         return head
 
-    async def _discard(self) -> None:
-        """Read an answer that is not passed on, to keep the connection."""
+    async def _discard_body(self) -> None:
+        """Read the body of a refusal so that the connection can be reused."""
         assert self._channel is not None
         try:
             async with asyncio.timeout(DISCARD_TIMEOUT_S):
                 await self._channel.body(MAX_DISCARDED_BYTES)
         except CONNECTION_ERRORS:
-            # The answer's head told all there was to know.
+            # The head already told that the request was not run.
             self.drop_connection()
             return
         self.release_connection()
 
-    def _broken(self, exc: Exception) -> Failure:
+    def _connection_failure(self, exc: Exception) -> Failure:
         sign = self.cause_of_end
         if isinstance(exc, TimeoutError):
-            # A reset may concern one connection; bytes that nobody
-            # acknowledges tell that the runner itself is cut off.
+            # A reset may concern this connection alone. A timeout means that
+            # the sent bytes were not acknowledged, so the runner itself is cut
+            # off.
             sign = FailureCause.UNREACHABLE
         self.drop_connection()
         reason = str(exc) or type(exc).__name__
         return Failure(RunStatus.MAY_HAVE_RUN, reason, sign)
 
 
-def _check_end(head: Head, splitter: EventSplitter) -> None:
-    """Raise if a stream whose bytes have ended is not whole."""
+def _check_stream_end(head: Head, splitter: EventSplitter) -> None:
+    """Raise `BrokenStreamError` if the stream ended incomplete."""
     if splitter.cut_bytes:
         raise BrokenStreamError('it ended inside an event')
     if head.framing is Framing.CONNECTION and not splitter.event_count:
         raise BrokenStreamError('its connection ended before an event')
 
 
-async def _catch_up() -> None:
-    """Let the event loop take in what has come, a caller's close among it.
+async def _run_pending_callbacks() -> None:
+    """Let the event loop process pending events, such as a disconnect.
 
-    Where the loop is late, a grant may be read before the close that makes
-    it void.
+    If the loop is late, a task may read the grant of a slot before it learns
+    that its caller has disconnected.
     """
     for _ in range(LOOP_TURNS_TO_CATCH_UP):
         await asyncio.sleep(0)
--- a/bramleybend/direct/containment.py
+++ b/bramleybend/direct/containment.py
@@ -1,14 +1,14 @@
-"""Requests whose content crashes the runners that run it, over all VMs.
+"""Tracks request content that crashes runners, across all VMs.
 
-Load pattern: one request ends its runner, and its caller sends it again, to
-any VM, with the same content.
-Without it: one prompt takes down a service, a runner at a time, with all that
-ran beside it.
+Load pattern: a request crashes its runner, and its caller sends the same
+content again, to any VM. Without containment, one prompt takes down a service,
+one runner after another, together with everything that runs beside it.
 
-`CrashBook` keeps the records. Here a request runs alone only from its second
-crash on: on a day when runners break many connections, all that broke once
-would else wait for an empty runner. An innocent request that was in company
-twice runs to its end alone, and is cleared.
+`CrashBook` keeps the records. Here, a request gets a runner to itself only from
+its second crash on: on a day when runners drop many connections, every request
+whose connection dropped once would otherwise wait for an empty runner. An
+innocent request that was running at two crashes then runs alone to its end, and
+its record is cleared.
 """
 
 from collections.abc import Sequence
@@ -23,63 +23,64 @@
 from bramleybend.direct.replies import RawRequest
 from bramleybend.events import EventLog
 
-ISOLATE_AFTER_CRASHES: Final = 2  # runners that ended under it
-# A record is in the heartbeats of this long, some 25 of them; only what is
-# refused is told for good, as VMs that start later have to know it.
+ISOLATE_AFTER_CRASHES: Final = 2  # crashes after which it runs alone
+# Heartbeats carry a record for this long, which is about 25 of them. Only
+# records of refused content are sent indefinitely, because VMs that start later
+# need them.
 BROADCAST_S: Final = 5.0
-# Records in a heartbeat: a crash ends what ran on one runner, a few requests.
-# About 60 bytes each; the newest come last.
+# Maximum number of records in a heartbeat, about 60 bytes each; the newest are
+# kept. A crash ends what ran on one runner, which is a few requests.
 MAX_BROADCAST_RECORDS: Final = 32
 
 
 class Containment:
-    """What this VM knows of content that crashes runners."""
+    """This VM's records of content that crashes runners."""
 
     def __init__(self, clock: Clock, events: EventLog) -> None:
-        """Start with nothing suspect."""
+        """Create an empty set of records."""
         self._clock = clock
         self._events = events
-        self._book = CrashBook()
+        self._crash_book = CrashBook()
 
     def fingerprint(self, req: RawRequest, facts: RequestFacts) -> str:
-        """Name the content: equal for equal caller, target and body."""
+        """Return a hash that is equal for equal caller, target and body."""
         head = b'\n'.join((req.method, req.target, facts.key.encode()))
         return xxh64_hexdigest(b'\n'.join((head, req.body)))
 
     def is_refused(self, fingerprint: str) -> bool:
-        """Tell whether content is not to be run again."""
+        """Return whether content must not be run again."""
         now = self._clock.monotonic()
-        return self._book.verdict(fingerprint, now) is Verdict.REFUSED
+        return self._crash_book.verdict(fingerprint, now) is Verdict.REFUSED
 
     def crashed_runners(self, fingerprint: str) -> frozenset[str]:
-        """Return the runners that ended under this content."""
-        return self._book.runners(fingerprint)
+        """Return the incarnations of runners that crashed on this content."""
+        return self._crash_book.runners(fingerprint)
 
     def runs_alone(self, fingerprint: str) -> bool:
-        """Tell whether content gets a runner to itself."""
+        """Return whether content gets a runner to itself."""
         return len(self.crashed_runners(fingerprint)) >= ISOLATE_AFTER_CRASHES
 
     def record_crash(self, fingerprint: str, runner: RunnerEntry) -> None:
-        """Note a runner that broke off a run of this content."""
-        before = self.crashed_runners(fingerprint)
-        self._book.crashed(
+        """Record a runner that closed the connection while running content."""
+        crashed_before = self.crashed_runners(fingerprint)
+        self._crash_book.crashed(
             runner.incarnation, (fingerprint,), self._clock.monotonic()
         )
-        if len(before | {runner.incarnation}) >= ISOLATE_AFTER_CRASHES:
+        if len(crashed_before | {runner.incarnation}) >= ISOLATE_AFTER_CRASHES:
             self._events.record(
                 'content_suspect',
                 content=fingerprint,
-                crashed=','.join(sorted(before | {runner.incarnation})),
+                crashed=','.join(sorted(crashed_before | {runner.incarnation})),
                 refused=self.is_refused(fingerprint),
             )
 
     def record_completion(self, fingerprint: str) -> None:
-        """Note a run of this content that came to its end."""
-        self._book.finished(fingerprint, self._clock.monotonic())
+        """Record a run of this content that completed."""
+        self._crash_book.finished(fingerprint, self._clock.monotonic())
 
     def recent_news(self) -> list[CrashNews]:
-        """Return what to tell the other VMs."""
-        told = self._book.recent(self._clock.monotonic() - BROADCAST_S)
+        """Return the records that the next heartbeat carries."""
+        recent = self._crash_book.recent(self._clock.monotonic() - BROADCAST_S)
         return [
             CrashNews(
                 record.fingerprint,
@@ -87,18 +88,18 @@
                 sorted(record.runners),
                 record.refused,
             )
-            for record in told[-MAX_BROADCAST_RECORDS:]
+            for record in recent[-MAX_BROADCAST_RECORDS:]
         ]
 
     def merge_news(self, news: Sequence[CrashNews]) -> None:
-        """Take in what another VM knows."""
+        """Merge the records of another VM's heartbeat."""
         records = [
             CrashRecord(
-                one.fingerprint,
-                one.generation,
-                frozenset(one.runners),
-                one.refused,
+                record.fingerprint,
+                record.generation,
+                frozenset(record.runners),
+                record.refused,
             )
-            for one in news
+            for record in news
         ]
-        self._book.merge(records, self._clock.monotonic())
+        self._crash_book.merge(records, self._clock.monotonic())
--- a/bramleybend/direct/intake.py
+++ b/bramleybend/direct/intake.py
@@ -1,10 +1,11 @@
-"""Which requests are let in, and under which terms.
-
-Load pattern: changes of the manifest, and a VM that is cut off from them.
-Without care: a VM with an old manifest tells a caller that its route or key
-doesn't exist, and the caller gives up on what all other VMs would serve. So
-an unknown host, path or key is denied only by a manifest that was confirmed
-a moment ago; else the caller is told to come back.
+"""Admission control: which requests may run, and under which limits.
+
+Load pattern: the manifest changes while a VM cannot receive the changes. If
+that VM answered from its old manifest, it would tell a caller that a route or
+key doesn't exist, and the caller would give up on a request that all other VMs
+serve. So an unknown host, path or key is denied only if the manifest was
+confirmed as current within `MAX_CONFIRMED_AGE_S`; otherwise the caller is asked
+to retry.
 """
 
 from collections.abc import Sequence
@@ -32,33 +33,37 @@
 from bramleybend.direct.replies import RawRequest, Reply, own_reply
 from bramleybend.models import Tier
 
-# A long poll of the store and its timeout: an older manifest may be outdated.
+# The duration of a long poll of the store plus its timeout. A manifest that was
+# confirmed longer ago may be outdated.
 MAX_CONFIRMED_AGE_S: Final = 4.0
-# A VM that has just started has the manifest within milliseconds, unless the
-# store is away; a caller that is sent off at once uses up its one retry on a
-# VM that knows no more. It is kept for this part of its patience, and told to
-# come back within the part of the rest that callers are ready to wait.
+# A VM that has just started receives the manifest within milliseconds unless
+# the store is down. A caller rejected at once would spend its only retry on
+# another VM that has no manifest either. So a request waits for the manifest
+# for this share of its caller's timeout, and is then told to retry within the
+# following shares of the remaining time, which is how long callers are willing
+# to wait before they retry.
 MANIFEST_WAIT_SHARE: Final = 0.4
 RETRY_AFTER_SHARES: Final = (0.15, 0.33)
 DEFAULT_PATIENCE_S: Final = 1.0
-# An unsure denial is settled by the next answer of the store.
+# By then the store has confirmed the manifest or sent a newer one.
 UNCONFIRMED_RETRY_AFTER_S: Final = 0.5
 
 
 @dataclass(frozen=True)
 class Admission:
-    """A request that is let in, with the terms it runs under."""
+    """An admitted request's route, service, workspace, tier and units."""
 
     route: Route
     service: str
     workspace: str
     tier: Tier
-    units: float  # counted against the workspace's allotment; 0: none
-    is_beyond: bool = False  # let in beyond it, as runners stood idle
+    units: float  # charged to the workspace's allotment; 0: no allotment
+    # admitted beyond the allotment because runners are idle
+    is_beyond: bool = False
 
 
 class AdmissionControl:
-    """Decides on each request before anything is done for it."""
+    """Admits or rejects each request before it is queued."""
 
     def __init__(
         self,
@@ -69,7 +74,7 @@
         clock: Clock,
         rng: Random,
     ) -> None:
-        """Decide by what the book holds."""
+        """Create admission control over the current manifest and runners."""
         self._book = book
         self._members = members
         self._allotments = allotments
@@ -78,7 +83,7 @@
         self._rng = rng
 
     def admit(self, req: RawRequest, facts: RequestFacts) -> Admission | Reply:
-        """Let a request in, or answer it."""
+        """Admit a request, or return the answer that rejects it."""
         manifest = self._book.manifest
         if manifest is None or not self._book.is_complete:
             return own_reply(
@@ -88,28 +93,28 @@
             )
         route = manifest.route_of(req.host, req.path)
         if route is None:
-            return self._denied(HTTPStatus.NOT_FOUND, 'no route fits')
+            return self._denial(HTTPStatus.NOT_FOUND, 'no route fits')
         holder = manifest.key_holders.get(facts.key)
         if holder is None and manifest.keyed and not route.public:
-            return self._denied(HTTPStatus.UNAUTHORIZED, 'the key is unknown')
-        return self._within_allotment(route, holder, facts)
+            return self._denial(HTTPStatus.UNAUTHORIZED, 'the key is unknown')
+        return self._check_allotment(route, holder, facts)
 
-    def refund(self, admitted: Admission) -> None:
-        """Undo the count of a request that did not run."""
-        if admitted.units:
+    def refund(self, admission: Admission) -> None:
+        """Refund the units of a request that did not run."""
+        if admission.units:
             self._allotments.give_back(
-                admitted.workspace,
-                admitted.units,
-                is_beyond=admitted.is_beyond,
+                admission.workspace,
+                admission.units,
+                is_beyond=admission.is_beyond,
             )
 
-    def _within_allotment(
+    def _check_allotment(
         self, route: Route, holder: KeyHolder | None, facts: RequestFacts
     ) -> Admission | Reply:
-        service = choose_target(route.targets, self._rng)
+        service = choose_service(route.targets, self._rng)
         if holder is None or holder.allotment is None:
-            name = holder.name if holder else ''
-            return Admission(route, service, name, route.tier, 0)
+            workspace = holder.name if holder else ''
+            return Admission(route, service, workspace, route.tier, 0)
         units = facts.units(holder.allotment)
         verdict = self._verdict(holder.name, holder.allotment, units, service)
         if verdict.is_let_in:
@@ -131,31 +136,31 @@
                 'owed': f'{verdict.owed:.0f}',
                 'rate_per_s': f'{holder.allotment.rate_per_s:.0f}',
                 'burst': f'{holder.allotment.burst:.0f}',
-                'accounts_s': f'{self._accounts_s():.2f}',
-                'vms_heard': f'{self._share():.2f}',
+                'accounts_s': f'{self._account_age_s():.2f}',
+                'vms_heard': f'{self._live_share():.2f}',
                 'retry_after_s': f'{verdict.retry_after_s:.2f}',
             },
         )
 
     def _verdict(
-        self, workspace: str, terms: Allotment, units: float, service: str
+        self, workspace: str, allotment: Allotment, units: float, service: str
     ) -> Verdict:
         return self._allotments.admit(
             workspace,
-            Allowance(terms.rate_per_s, terms.burst),
+            Allowance(allotment.rate_per_s, allotment.burst),
             units,
             self._clock.monotonic(),
-            self._share(),
+            self._live_share(),
             are_runners_idle=self._queues.of(service).is_idle(),
         )
 
-    def _accounts_s(self) -> float:
+    def _account_age_s(self) -> float:
         return self._allotments.age_s(self._clock.monotonic())
 
-    def _share(self) -> float:
+    def _live_share(self) -> float:
         return self._members.share(self._clock.monotonic())
 
-    def _denied(self, status: HTTPStatus, reason: str) -> Reply:
+    def _denial(self, status: HTTPStatus, reason: str) -> Reply:
         inputs = self._manifest_inputs()
         if self._book.manifest_age_s() <= MAX_CONFIRMED_AGE_S:
             return own_reply(status, reason, inputs=inputs)
@@ -174,25 +179,26 @@
 
 
 def manifest_wait_s(facts: RequestFacts) -> float:
-    """Return how long a request waits for a manifest."""
+    """Return the seconds for which a request waits for the manifest."""
     return MANIFEST_WAIT_SHARE * _patience_s(facts)
 
 
 def retry_after_s(facts: RequestFacts, rng: Random) -> float:
-    """Return when a request that waited in vain should come back.
+    """Return the seconds after which a caller without a manifest retries.
 
-    Spread, or all callers of an outage would be back in the same moment.
+    They are random, so that the callers of an outage don't all return at the
+    same moment.
     """
-    left_s = (1 - MANIFEST_WAIT_SHARE) * _patience_s(facts)
-    return left_s * rng.uniform(*RETRY_AFTER_SHARES)
+    remaining_s = (1 - MANIFEST_WAIT_SHARE) * _patience_s(facts)
+    return remaining_s * rng.uniform(*RETRY_AFTER_SHARES)
 
 
 def _patience_s(facts: RequestFacts) -> float:
     return facts.patience_s or DEFAULT_PATIENCE_S
 
 
-def choose_target(targets: Sequence[Target], rng: Random) -> str:
-    """Pick a service by the weights of the split."""
+def choose_service(targets: Sequence[Target], rng: Random) -> str:
+    """Choose a target's service at random by the weights of the split."""
     if len(targets) == 1:
         return targets[0].service
     weights = [max(target.weight, 0) for target in targets]
--- a/bramleybend/direct/job.py
+++ b/bramleybend/direct/job.py
@@ -1,4 +1,4 @@
-"""One request under way, and the parts that serve it."""
+"""The state of a request in progress, and the components that serve it."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -21,33 +21,31 @@
 
 @dataclass
 class Job:
-    """A request that was let in, until it is answered."""
+    """An admitted request until it is answered."""
 
     req: RawRequest
     facts: RequestFacts
     admission: Admission
-    answer_due_at: float  # monotonic; by then the caller has an answer
-    fingerprint: str = ''  # equal for equal content
-    excluded: frozenset[str] = frozenset()  # runners that failed it
-    possible_runs: int = 0  # runners that may have run it
-    refusal_count: int = 0  # runners that surely did not
-    last_event_id: str = ''  # the newest that was passed on
+    answer_due_at: float  # monotonic; when the caller times out
+    fingerprint: str = ''  # hash of the content
+    excluded: frozenset[str] = frozenset()  # runners that were tried
+    possible_runs: int = 0  # attempts that may have run it
+    refusal_count: int = 0  # by runners, `MOVED` ones not included
+    last_event_id: str = ''  # id of the last event that was relayed
     last_failure: Failure | None = None
-    runner_error_status: int | None = None  # a runner's own, passed on
+    runner_error_status: int | None = None  # the latest, 500 or above
     first_event_at: float | None = None  # monotonic
     last_event_at: float | None = None  # monotonic
-    caller_left_at: float | None = None  # monotonic; its caller's leaving
-    current_attempt: Attempt | None = None  # under way
-    framing: str = ''  # of the newest answer; empty before the first
-    cut_bytes: int = 0  # after the last whole event of that answer
-    is_charged: bool = True  # against its workspace's allotment
-    tried_runners: list[str] = field(
-        default_factory=list
-    )  # runners it was sent to
+    caller_left_at: float | None = None  # monotonic
+    current_attempt: Attempt | None = None  # the one in progress
+    framing: str = ''  # of the latest answer; empty before the first
+    cut_bytes: int = 0  # of an incomplete event at its end
+    is_charged: bool = True  # units count against the allotment
+    tried_runners: list[str] = field(default_factory=list)  # names, in order
 
     @property
     def next_event_due_at(self) -> float:
-        """When the caller leaves unless an answer or an event has come."""
+        """When the caller gives up unless an answer or event has arrived."""
         since = self.last_event_at or self.req.received_at
         return min(
             self.answer_due_at, since + self.admission.route.event_patience_s
@@ -55,22 +53,22 @@
 
     @property
     def may_be_running(self) -> bool:
-        """Whether a runner may be working on it."""
+        """Whether the request was sent to a runner and is not answered yet."""
         return self.current_attempt is not None and self.current_attempt.sent
 
 
 @dataclass(frozen=True)
 class Components:
-    """What serving a request needs."""
+    """The components that serve requests."""
 
     book: Book
-    intake: AdmissionControl
+    admission_control: AdmissionControl
     placer: Placer
     containment: Containment
-    limits: RunnerLimits
+    runner_limits: RunnerLimits
     channels: RunnerChannels
     dialect: HeaderCodec
-    resends: ResendBudget
+    resend_budget: ResendBudget
     vm_count: Callable[[], int]
     event_tokens: Callable[[str], int]
     clock: Clock
--- a/bramleybend/direct/process.py
+++ b/bramleybend/direct/process.py
@@ -116,12 +116,14 @@
         )
         self.peers.add_seeds(cfg.seed_addresses())
         self.placer.send = self.peers.send
-        self._service = RequestHandler(self._parts(dialect, rng))
+        self._request_handler = RequestHandler(
+            self._make_components(dialect, rng)
+        )
         self.ingress = Ingress(
-            self._service.handle,
+            self._request_handler.handle,
             self._limits,
             clock,
-            self._service.record_unreadable,
+            self._request_handler.record_unreadable,
         )
         self._tasks: list[asyncio.Task[None]] = []
         self.stopping = asyncio.Event()
@@ -182,7 +184,7 @@
         await asyncio.sleep(ACCEPT_CONNECTIONS_S)
         self.ingress.stop_listening()
         await asyncio.sleep(max(ACCEPT_REQUESTS_S - ACCEPT_CONNECTIONS_S, 0))
-        self._service.is_shutting_down = True
+        self._request_handler.is_shutting_down = True
         self.ingress.close_idle()
         ends_at = began + self._cfg.drain_timeout_s - KILL_MARGIN_S
         while self.ingress.busy_count and self._clock.monotonic() < ends_at:
@@ -205,7 +207,7 @@
             logger.error('a part ended', exc_info=task.exception())
             self.stopping.set()
 
-    def _parts(self, dialect: HeaderCodec, rng: Random) -> Components:
+    def _make_components(self, dialect: HeaderCodec, rng: Random) -> Components:
         return Components(
             self.book,
             AdmissionControl(
--- a/bramleybend/direct/relay.py
+++ b/bramleybend/direct/relay.py
@@ -1,4 +1,4 @@
-"""Passes one runner's stream of events on to a caller."""
+"""Relays a runner's event stream to a caller."""
 
 from contextlib import aclosing
 from http import HTTPStatus
@@ -20,11 +20,11 @@
 from bramleybend.direct.responder import Responder
 from bramleybend.direct.sse import Event
 
-EVENT_STREAM: Final = 'text/event-stream'
+EVENT_STREAM_TYPE: Final = 'text/event-stream'
 
 
 class StreamRelay:
-    """Relays one run; a job whose run broke off gets another relay."""
+    """Relays one run; a job that is retried gets a new relay."""
 
     def __init__(
         self,
@@ -32,27 +32,27 @@
         responder: Responder,
         dialect: HeaderCodec,
         placer: Placer,
-        placed: Placement,
+        placement: Placement,
         clock: Clock,
     ) -> None:
-        """Relay to a responder."""
+        """Create a relay to a responder."""
         self._job = job
         self._responder = responder
         self._dialect = dialect
         self._placer = placer
-        self._placed = placed
+        self._placed = placement
         self._clock = clock
-        self.event_count = 0  # that came from the runner
+        self.event_count = 0  # received from the runner
 
     async def run(self, attempt: Attempt, head: Head) -> Failure | None:
-        """Relay to the end; `None` once the caller has its final answer."""
+        """Relay to the end; return `None` if the caller got a full answer."""
         self._job.framing = head.framing
         if _is_failure(head) or not _is_event_stream(head):
-            return await self._pass_whole(attempt, head)
+            return await self._relay_buffered(attempt, head)
         try:
             async with aclosing(attempt.read_events(head)) as events:
                 async for event in events:
-                    await self._pass(head, event)
+                    await self._relay_event(head, event)
         except BrokenStreamError as exc:
             reason = f'the stream broke: {exc}'
             return Failure(RunStatus.MAY_HAVE_RUN, reason, attempt.cause_of_end)
@@ -60,12 +60,14 @@
             self._job.cut_bytes = attempt.cut_bytes
         attempt.release_connection()
         if not self._responder.has_begun:
-            await self._begin(head)
+            await self._begin_answer(head)
         await self._responder.end_stream()
         return None
 
-    async def _pass_whole(self, attempt: Attempt, head: Head) -> Failure | None:
-        """Pass on a failure of the runner's own, or one document, as it is."""
+    async def _relay_buffered(
+        self, attempt: Attempt, head: Head
+    ) -> Failure | None:
+        """Relay a runner's error answer, or a single document, unchanged."""
         answer = await attempt.read_whole(head)
         if isinstance(answer, Failure):
             return answer
@@ -80,23 +82,23 @@
         )
         return None
 
-    async def _pass(self, head: Head, event: Event) -> None:
+    async def _relay_event(self, head: Head, event: Event) -> None:
         if not self.event_count:
             self._placer.filled(self._placed)
             if self._job.first_event_at is None:
                 self._job.first_event_at = self._clock.monotonic()
         self.event_count += 1
-        # The head waits for the first event: until then a failure can still
-        # be answered as what it is, or the request sent on.
+        # The head is sent with the first event: until then a failure can still
+        # be answered with its own status, or the request can be retried.
         if not self._responder.has_begun:
-            await self._begin(head)
+            await self._begin_answer(head)
         self._job.last_event_at = self._clock.monotonic()
         if is_repeat(event.event_id, self._job.last_event_id):
             return
         await self._responder.send_chunk(event.raw)
         self._job.last_event_id = event.event_id or self._job.last_event_id
 
-    async def _begin(self, head: Head) -> None:
+    async def _begin_answer(self, head: Head) -> None:
         headers = self._dialect.caller_headers(head)
         await self._responder.begin_stream(head.status, headers)
 
@@ -107,11 +109,11 @@
 
 def _is_event_stream(head: Head) -> bool:
     stated = head.get('content-type')
-    return stated is None or stated.lower().startswith(EVENT_STREAM)
+    return stated is None or stated.lower().startswith(EVENT_STREAM_TYPE)
 
 
 def is_repeat(number: str, last: str) -> bool:
-    """Tell whether the caller has an event already."""
+    """Return whether the caller has already received an event."""
     if not (number.isdecimal() and last.isdecimal()):
         return False
     return int(number) <= int(last)
--- a/bramleybend/direct/replies.py
+++ b/bramleybend/direct/replies.py
@@ -1,4 +1,4 @@
-"""A caller's whole request, and whole answers to one."""
+"""Complete requests of callers, and complete answers to them."""
 
 import json
 from collections.abc import Mapping
@@ -16,36 +16,37 @@
 
 @dataclass(frozen=True)
 class RawRequest:
-    """A whole request; header names as the caller wrote them."""
+    """A complete request; header names are spelled as the caller sent them."""
 
     method: bytes
     target: bytes
     headers: HeaderList
     body: bytes
-    received_at: float  # monotonic seconds, when its head was read
+    received_at: float  # monotonic seconds; when its head was read
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """The target without its query string."""
         return self.target.partition(b'?')[0].decode('latin-1')
 
     @property
     def host(self) -> str:
-        """The host asked for, without a port, in lower case."""
+        """The `Host` header without a port, in lower case."""
         text = first_header(self.headers, b'host').decode('latin-1').strip()
         return text.partition(':')[0].lower()
 
 
 @dataclass(frozen=True)
 class Reply:
-    """An answer of our own, or a whole one of a runner."""
+    """A complete answer, made by this VM or received from a runner."""
 
     status: int
     headers: HeaderList = field(default_factory=tuple)
     body: bytes = b''
     close: bool = False
-    reason: str = ''  # of an answer of our own, for the log
-    inputs: Mapping[str, str] = field(default_factory=dict)  # what decided it
+    reason: str = ''  # why this VM gave it; for the event log
+    # what the decision was based on, for the event log
+    inputs: Mapping[str, str] = field(default_factory=dict)
 
 
 def own_reply(
@@ -56,11 +57,12 @@
     close: bool = False,
     inputs: Mapping[str, str] | None = None,
 ) -> Reply:
-    """Make an answer that tells what was wrong and when to come back."""
+    """Make an answer that states what was wrong and when to retry."""
     body: dict[str, object] = {'reason': reason}
     headers = [(b'Content-Type', JSON_TYPE)]
     if retry_after_s is not None:
-        # Rounded up: who returns a moment too soon is refused again.
+        # Rounded up: a caller that returned a moment too early would be
+        # rejected again.
         seconds = ceil(retry_after_s * HUNDREDTHS) / HUNDREDTHS
         headers.append((b'Retry-After', f'{seconds:.2f}'.encode()))
         body['retry_after_s'] = seconds
--- a/bramleybend/direct/responder.py
+++ b/bramleybend/direct/responder.py
@@ -1,4 +1,4 @@
-"""Writes one answer to a caller."""
+"""Sends one answer to a caller."""
 
 from typing import Protocol
 
@@ -9,56 +9,56 @@
 
 
 class AnswerWriter(Protocol):
-    """The connection that an answer goes out on."""
+    """The connection on which an answer is sent."""
 
     def closes_after_answer(self, wanted: bool) -> bool:
-        """Tell whether the connection ends with the answer under way."""
+        """Return whether the connection closes after the current answer."""
 
     def enqueue(self, event: h11.Event) -> None:
-        """Frame an event; `flush` sends it."""
+        """Serialize an event; `flush` sends it."""
 
     async def flush(self) -> None:
-        """Send what was framed, at the caller's pace."""
+        """Send what was queued, as fast as the caller reads it."""
 
     def end_incomplete(self) -> None:
-        """End the connection as it stands."""
+        """Close the connection so that the answer doesn't look complete."""
 
 
 class Responder:
-    """Writes one answer; owned by the request that it answers."""
+    """Sends one answer; each request has its own responder."""
 
     def __init__(self, conn: AnswerWriter) -> None:
-        """Answer on a connection."""
+        """Create a responder for the next answer on a connection."""
         self._conn = conn
         self.has_begun = False
         self.is_incomplete = False
 
     async def send_reply(self, send_reply: Reply) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         length = str(len(send_reply.body)).encode()
         headers = [*send_reply.headers, (b'Content-Length', length)]
-        await self._head(send_reply.status, headers, send_reply.close)
+        await self._send_head(send_reply.status, headers, send_reply.close)
         await self._send(h11.Data(data=send_reply.body), h11.EndOfMessage())
 
     async def begin_stream(self, status: int, headers: HeaderList) -> None:
-        """Begin an answer whose parts follow."""
+        """Send the head of an answer whose body is sent in chunks."""
         framed = [*headers, (b'Transfer-Encoding', b'chunked')]
-        await self._head(status, framed, close=False)
+        await self._send_head(status, framed, close=False)
 
     async def send_chunk(self, payload: bytes) -> None:
-        """Send one part."""
+        """Send one chunk of the body."""
         await self._send(h11.Data(data=payload))
 
     async def end_stream(self) -> None:
-        """Tell that the answer is whole."""
+        """Send the end of the body."""
         await self._send(h11.EndOfMessage())
 
     def end_incomplete(self) -> None:
-        """End the connection so that the answer doesn't look whole."""
+        """Close the connection so that the answer doesn't look complete."""
         self.is_incomplete = True
         self._conn.end_incomplete()
 
-    async def _head(
+    async def _send_head(
         self, status: int, headers: HeaderList, close: bool
     ) -> None:
         self.has_begun = True
--- a/bramleybend/direct/service.py
+++ b/bramleybend/direct/service.py
@@ -1,4 +1,4 @@
-"""Serves one request of the raw path from its arrival to its answer."""
+"""Handles a request of the raw path from its arrival to its answer."""
 
 import asyncio
 from functools import partial
@@ -20,123 +20,129 @@
     timeout_failure,
 )
 
-MILLISECONDS: Final = 1000
-SERVER_ERRORS: Final = 500  # statuses from here on tell of a runner's failure
+MS_PER_SECOND: Final = 1000
+MIN_SERVER_ERROR_STATUS: Final = 500  # a runner answered with a failure
 
 
 class RequestHandler:
-    """The handler of raw requests."""
+    """Admits requests, runs them on runners and answers their callers."""
 
-    def __init__(self, parts: Components) -> None:
-        """Serve by these parts."""
-        self._parts = parts
-        self._tries = AttemptDispatcher(parts)
-        self._behind: set[asyncio.Task[Reply]] = set()
-        self.is_shutting_down = False  # a planned stop takes nothing new
+    def __init__(self, components: Components) -> None:
+        """Create a handler that uses the given components."""
+        self._components = components
+        self._dispatcher = AttemptDispatcher(components)
+        self._background_tasks: set[asyncio.Task[Reply]] = set()
+        self.is_shutting_down = False  # set during a planned stop
 
     async def handle(self, req: RawRequest, responder: Responder) -> None:
-        """Answer one request."""
+        """Admit and serve one request, or answer why it was rejected."""
         if self.is_shutting_down:
-            await responder.send_reply(_stopping())
+            await responder.send_reply(_shutdown_reply())
             return
-        facts = self._parts.dialect.request_facts(req.headers)
-        await self._parts.book.wait_until_complete(manifest_wait_s(facts))
-        admitted = self._parts.intake.admit(req, facts)
-        if isinstance(admitted, Reply):
-            self._note_denied(facts.attempt_id, req.path, admitted)
-            await responder.send_reply(admitted)
+        facts = self._components.dialect.request_facts(req.headers)
+        await self._components.book.wait_until_complete(manifest_wait_s(facts))
+        admission = self._components.admission_control.admit(req, facts)
+        if isinstance(admission, Reply):
+            self._record_denied(facts.attempt_id, req.path, admission)
+            await responder.send_reply(admission)
             return
-        job = self._job(req, facts, admitted)
-        if self._parts.containment.is_refused(job.fingerprint):
-            reply = self._tries.quarantined_reply(job)
-            self._note_denied(facts.attempt_id, req.path, reply)
+        job = self._make_job(req, facts, admission)
+        if self._components.containment.is_refused(job.fingerprint):
+            reply = self._dispatcher.quarantined_reply(job)
+            self._record_denied(facts.attempt_id, req.path, reply)
             await responder.send_reply(reply)
             return
         try:
             await self._serve(job, responder)
         except asyncio.CancelledError:
-            self._note_left(job)
+            self._record_caller_left(job)
             raise
 
     def record_unreadable(self, reply: Reply) -> None:
         """Log and count a request that the ingress could not read."""
-        self._note_denied('', '', reply)
+        self._record_denied('', '', reply)
 
-    def _job(
-        self, req: RawRequest, facts: RequestFacts, terms: Admission
+    def _make_job(
+        self, req: RawRequest, facts: RequestFacts, admission: Admission
     ) -> Job:
-        if terms.is_beyond:
-            self._parts.events.record(
+        if admission.is_beyond:
+            self._components.events.record(
                 'beyond_allotment',
                 req=facts.attempt_id,
-                workspace=terms.workspace,
-                units=int(terms.units),
+                workspace=admission.workspace,
+                units=int(admission.units),
             )
-        patience_s = terms.route.timeout_s
+        timeout_s = admission.route.timeout_s
         if facts.patience_s is not None:
-            patience_s = min(patience_s, facts.patience_s)
-        self._parts.resends.requested(
-            terms.service, self._parts.vm_count(), self._tries.now()
+            timeout_s = min(timeout_s, facts.patience_s)
+        self._components.resend_budget.requested(
+            admission.service,
+            self._components.vm_count(),
+            self._dispatcher.now(),
         )
-        fingerprint = self._parts.containment.fingerprint(req, facts)
-        ends_at = req.received_at + patience_s
-        return Job(req, facts, terms, ends_at, fingerprint)
+        fingerprint = self._components.containment.fingerprint(req, facts)
+        ends_at = req.received_at + timeout_s
+        return Job(req, facts, admission, ends_at, fingerprint)
 
     async def _serve(self, job: Job, responder: Responder) -> None:
         if job.admission.route.streaming:
             await self._serve_stream(job, responder)
         else:
-            await self._serve_plain(job, responder)
+            await self._serve_buffered(job, responder)
 
-    async def _serve_plain(self, job: Job, responder: Responder) -> None:
+    async def _serve_buffered(self, job: Job, responder: Responder) -> None:
         if job.admission.route.may_repeat:
-            reply = await self._plain(job)
+            reply = await self._run_buffered(job)
         else:
-            reply = await self._to_its_end(job)
-        self._log_answer(job, reply.status, reply.reason)
+            reply = await self._run_uncancelled(job)
+        self._record_answer(job, reply.status, reply.reason)
         await responder.send_reply(reply)
 
-    async def _to_its_end(self, job: Job) -> Reply:
-        """Run what may run once to its end, also when its caller leaves.
+    async def _run_uncancelled(self, job: Job) -> Reply:
+        """Run a non-idempotent request to its end even if its caller leaves.
 
-        Cut off at a runner, it would be half done, and nobody could tell.
+        Cancelling it at a runner could leave it half done, and nobody could
+        tell whether it took effect. A request that is not at a runner yet is
+        cancelled.
         """
-        task = asyncio.create_task(self._plain(job))
-        self._behind.add(task)
-        task.add_done_callback(self._behind.discard)
+        task = asyncio.create_task(self._run_buffered(job))
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
         try:
             return await asyncio.shield(task)
         except asyncio.CancelledError:
-            job.caller_left_at = self._tries.now()
+            job.caller_left_at = self._dispatcher.now()
             if not job.may_be_running:
                 task.cancel()
             raise
 
-    async def _plain(self, job: Job) -> Reply:
-        """Send until there is an answer to pass on."""
+    async def _run_buffered(self, job: Job) -> Reply:
+        """Run the request on one runner after another until one answers it."""
         while True:
-            placed = await self._place(job)
-            if isinstance(placed, NoSlot):
-                return self._tries.no_slot_reply(job, placed)
-            outcome = await self._one_plain(job, placed)
+            placement = await self._acquire_slot(job)
+            if isinstance(placement, NoSlot):
+                return self._dispatcher.no_slot_reply(job, placement)
+            outcome = await self._try_buffered(job, placement)
             if isinstance(outcome, Failure):
                 job.last_failure = outcome
-                if not self._tries.take_retry(job, outcome):
-                    return self._tries.failure_reply(job, outcome)
-            elif not self._worth_resending(job, outcome.head.status):
-                headers = self._parts.dialect.caller_headers(outcome.head)
+                if not self._dispatcher.take_retry(job, outcome):
+                    return self._dispatcher.failure_reply(job, outcome)
+            elif not self._should_rerun(job, outcome.head.status):
+                headers = self._components.dialect.caller_headers(outcome.head)
                 return Reply(outcome.head.status, headers, outcome.body)
 
-    async def _one_plain(
-        self, job: Job, placed: Placement
+    async def _try_buffered(
+        self, job: Job, placement: Placement
     ) -> WholeAnswer | Failure:
-        attempt = self._tries.make_attempt(job, placed)
-        started = self._tries.now()
+        attempt = self._dispatcher.make_attempt(job, placement)
+        started = self._dispatcher.now()
         outcome: WholeAnswer | Failure = CALLER_LEFT
         try:
-            async with asyncio.timeout(self._tries.remaining_s(job)):
+            async with asyncio.timeout(self._dispatcher.remaining_s(job)):
                 head = await attempt.send(
-                    partial(self._tries.make_outgoing, job, placed.runner),
+                    partial(
+                        self._dispatcher.make_outgoing, job, placement.runner
+                    ),
                     job.next_event_due_at,
                 )
                 if isinstance(head, Failure):
@@ -148,53 +154,57 @@
             outcome = timeout_failure(attempt)
         finally:
             attempt.drop_connection()
-            self._tries.finish_attempt(job, placed, outcome, started)
+            self._dispatcher.finish_attempt(job, placement, outcome, started)
         return outcome
 
     async def _serve_stream(self, job: Job, responder: Responder) -> None:
-        reply = await self._stream(job, responder)
+        reply = await self._run_stream(job, responder)
         passed_on = job.runner_error_status or HTTPStatus.OK
         if reply is None:
-            self._log_answer(job, passed_on)
+            self._record_answer(job, passed_on)
             return
-        self._log_answer(job, reply.status, reply.reason)
+        self._record_answer(job, reply.status, reply.reason)
         if responder.has_begun:
-            # Part of an answer is out: ended here, it must not look whole.
+            # Part of the answer was already sent, so the connection is closed
+            # without the end of the message: the caller must not take it for
+            # complete.
             responder.end_incomplete()
         else:
             await responder.send_reply(reply)
 
-    async def _stream(self, job: Job, responder: Responder) -> Reply | None:
-        """Relay until the stream is whole; else return why it isn't."""
+    async def _run_stream(self, job: Job, responder: Responder) -> Reply | None:
+        """Relay the stream to its end; return an error reply if that fails."""
         while True:
-            placed = await self._place(job)
-            if isinstance(placed, NoSlot):
-                return self._tries.no_slot_reply(job, placed)
-            failure = await self._one_stream(job, placed, responder)
+            placement = await self._acquire_slot(job)
+            if isinstance(placement, NoSlot):
+                return self._dispatcher.no_slot_reply(job, placement)
+            failure = await self._try_stream(job, placement, responder)
             if failure is None:
                 return None
             job.last_failure = failure
-            if not self._tries.take_retry(job, failure):
-                return self._tries.failure_reply(job, failure)
+            if not self._dispatcher.take_retry(job, failure):
+                return self._dispatcher.failure_reply(job, failure)
 
-    async def _one_stream(
-        self, job: Job, placed: Placement, responder: Responder
+    async def _try_stream(
+        self, job: Job, placement: Placement, responder: Responder
     ) -> Failure | None:
-        attempt = self._tries.make_attempt(job, placed)
-        started = self._tries.now()
+        attempt = self._dispatcher.make_attempt(job, placement)
+        started = self._dispatcher.now()
         relay = StreamRelay(
             job,
             responder,
-            self._parts.dialect,
-            self._parts.placer,
-            placed,
-            self._parts.clock,
+            self._components.dialect,
+            self._components.placer,
+            placement,
+            self._components.clock,
         )
         outcome: Failure | None = CALLER_LEFT
         try:
-            async with asyncio.timeout(self._tries.remaining_s(job)):
+            async with asyncio.timeout(self._dispatcher.remaining_s(job)):
                 head = await attempt.send(
-                    partial(self._tries.make_outgoing, job, placed.runner),
+                    partial(
+                        self._dispatcher.make_outgoing, job, placement.runner
+                    ),
                     job.next_event_due_at,
                 )
                 outcome = (
@@ -206,29 +216,31 @@
             outcome = timeout_failure(attempt)
         finally:
             attempt.drop_connection()
-            self._tries.finish_attempt(
-                job, placed, outcome, started, relay.event_count
+            self._dispatcher.finish_attempt(
+                job, placement, outcome, started, relay.event_count
             )
         return outcome
 
-    async def _place(self, job: Job) -> Placement | NoSlot:
+    async def _acquire_slot(self, job: Job) -> Placement | NoSlot:
         try:
-            async with asyncio.timeout(self._tries.remaining_for_slot_s(job)):
-                return await self._tries.acquire_slot(job)
+            async with asyncio.timeout(
+                self._dispatcher.remaining_for_slot_s(job)
+            ):
+                return await self._dispatcher.acquire_slot(job)
         except TimeoutError:
             return NoSlot('no slot came free in time', REFUSED_RETRY_AFTER_S)
 
-    def _worth_resending(self, job: Job, status: int) -> bool:
-        if status < SERVER_ERRORS:
+    def _should_rerun(self, job: Job, status: int) -> bool:
+        if status < MIN_SERVER_ERROR_STATUS:
             return False
         job.runner_error_status = status
         if not job.admission.route.may_repeat:
             return False
-        return self._tries.take_rerun(job)
+        return self._dispatcher.take_rerun(job)
 
-    def _note_denied(self, attempt_id: str, path: str, reply: Reply) -> None:
-        self._parts.meters.count('denied', int(reply.status))
-        self._parts.events.record(
+    def _record_denied(self, attempt_id: str, path: str, reply: Reply) -> None:
+        self._components.meters.count('denied', int(reply.status))
+        self._components.events.record(
             'denied',
             req=attempt_id,
             status=int(reply.status),
@@ -237,11 +249,11 @@
             **reply.inputs,
         )
 
-    def _log_answer(self, job: Job, status: int, reason: str = '') -> None:
-        self._count_answer(job, status)
+    def _record_answer(self, job: Job, status: int, reason: str = '') -> None:
+        self._update_answer_meters(job, status)
         failure = job.last_failure
         first_at = job.first_event_at
-        self._parts.events.record(
+        self._components.events.record(
             'answered',
             req=job.facts.attempt_id,
             route=job.admission.route.name,
@@ -255,37 +267,39 @@
             cut_bytes=job.cut_bytes,
             first_event_ms=''
             if first_at is None
-            else int((first_at - job.req.received_at) * MILLISECONDS),
-            ms=self._tries.ms_since(job.req.received_at),
+            else int((first_at - job.req.received_at) * MS_PER_SECOND),
+            ms=self._dispatcher.ms_since(job.req.received_at),
         )
 
-    def _note_left(self, job: Job) -> None:
-        job.caller_left_at = self._tries.now()
+    def _record_caller_left(self, job: Job) -> None:
+        job.caller_left_at = self._dispatcher.now()
         if not (job.possible_runs or job.may_be_running):
-            self._tries.refund_allotment(job)
+            self._dispatcher.refund_allotment(job)
         stage = 'placed' if job.tried_runners else 'queued'
-        self._parts.meters.count('callers_left', job.admission.service, stage)
-        self._parts.events.record(
+        self._components.meters.count(
+            'callers_left', job.admission.service, stage
+        )
+        self._components.events.record(
             'caller_left',
             req=job.facts.attempt_id,
             stage=stage,
             runners=','.join(job.tried_runners),
-            ms=self._tries.ms_since(job.req.received_at),
+            ms=self._dispatcher.ms_since(job.req.received_at),
         )
 
-    def _count_answer(self, job: Job, status: int) -> None:
-        meters = self._parts.meters
+    def _update_answer_meters(self, job: Job, status: int) -> None:
+        meters = self._components.meters
         service, tier = job.admission.service, int(job.admission.tier)
         cause = job.last_failure.run_status if job.last_failure else 'none'
         meters.count('answers', service, tier, int(status), cause)
-        passed = self._tries.now() - job.req.received_at
+        passed = self._dispatcher.now() - job.req.received_at
         meters.observe('answer_seconds', passed, service, tier)
         if job.first_event_at is not None:
             passed = job.first_event_at - job.req.received_at
             meters.observe('first_event_seconds', passed, service, tier)
 
 
-def _stopping() -> Reply:
+def _shutdown_reply() -> Reply:
     return own_reply(
         HTTPStatus.SERVICE_UNAVAILABLE,
         'this VM is stopping; nothing was run',
--- a/bramleybend/direct/sse.py
+++ b/bramleybend/direct/sse.py
@@ -1,10 +1,11 @@
-"""Splits a stream of server-sent events into whole events.
+"""Splits a stream of server-sent events into complete events.
 
-A runner may stop in the middle of an event. Only whole events are passed on,
-so that a stream which goes on at another runner repeats and misses nothing.
+A runner may stop in the middle of an event. Only complete events are relayed,
+so that a stream that continues at another runner neither repeats nor loses
+data.
 
-An event whose end doesn't come, and comments without an event, are read no
-further than the bounds say. The cost is linear in the bytes.
+An event without an end, and comments without an event, are read only up to the
+configured bounds. The cost is linear in the number of bytes.
 """
 
 import re
@@ -18,78 +19,83 @@
     MessageTooLongError,
 )
 
-_END: Final = re.compile(rb'\r\n\r\n|\n\n|\r\r')
-_OVERLAP: Final = 3  # bytes of an end that may have come before
+_EVENT_END: Final = re.compile(rb'\r\n\r\n|\n\n|\r\r')
+# bytes of a separator that an earlier chunk may hold
+_END_OVERLAP_BYTES: Final = 3
 _ID: Final = re.compile(rb'^id:[ ]?(.*?)\r?$', re.MULTILINE)
 
 
 @dataclass(frozen=True)
 class Event:
-    """One event, as it came."""
+    """One event, as the runner sent it."""
 
-    event_id: str  # its id; empty if it has none
+    event_id: str  # empty if the event has none
     raw: bytes
 
 
 class EventSplitter:
-    """Cuts bytes into events."""
+    """Splits received bytes into events."""
 
     def __init__(self, bounds: MessageBounds = USUAL_BOUNDS) -> None:
-        """Start between two events."""
+        """Create a splitter for the start of a stream."""
         self._bounds = bounds
         self._meter = MessageMeter(bounds)
-        self._rest = bytearray()
-        self.event_count = 0  # events that were whole
+        self._remainder = bytearray()
+        self.event_count = 0  # complete events so far
 
     @property
     def remainder(self) -> bytes:
-        """What came of an event that is not whole."""
-        return bytes(self._rest)
+        """The bytes received of an incomplete event."""
+        return bytes(self._remainder)
 
     @property
     def remainder_bytes(self) -> int:
-        """Count these."""
-        return len(self._rest)
+        """The number of bytes in `remainder`."""
+        return len(self._remainder)
 
     @property
     def cut_bytes(self) -> int:
-        """Count what came of an event that is not whole.
+        """The number of content bytes received of an incomplete event.
 
-        Blank lines and comments after an event are part of none.
+        Blank lines and comments after an event don't belong to an event.
         """
-        rest = self.remainder
-        return 0 if _carries_nothing(rest) else len(rest)
+        remainder = self.remainder
+        return 0 if _has_no_content(remainder) else len(remainder)
 
     def feed(self, chunk: bytes) -> list[Event]:
-        """Return the events that are whole now.
+        """Return the events that a chunk completes.
 
-        Raises `MessageTooLongError` beyond the bounds.
+        Raises `MessageTooLongError` if the stream exceeds the bounds.
         """
-        searched = max(len(self._rest) - _OVERLAP, 0)
-        self._rest += chunk
+        search_from = max(len(self._remainder) - _END_OVERLAP_BYTES, 0)
+        self._remainder += chunk
         events: list[Event] = []
-        at = 0
-        while end := _END.search(self._rest, max(at, searched)):
-            events.append(_event(bytes(self._rest[at : end.end()])))
-            at = end.end()
-            self._count(events[-1].raw)
-        if at:
-            self._rest = self._rest[at:]
-        if len(self._rest) > self._bounds.event_bytes:
+        start = 0
+        while end := _EVENT_END.search(
+            self._remainder, max(start, search_from)
+        ):
+            events.append(
+                _parse_event(bytes(self._remainder[start : end.end()]))
+            )
+            start = end.end()
+            self._meter_event(events[-1].raw)
+        if start:
+            self._remainder = self._remainder[start:]
+        if len(self._remainder) > self._bounds.event_bytes:
             raise MessageTooLongError(
                 f'an event is over {self._bounds.event_bytes} bytes'
             )
         return events
 
-    def _count(self, raw: bytes) -> None:
+    def _meter_event(self, raw: bytes) -> None:
         self.event_count += 1
-        if raw[:1] in b':\r\n' and _carries_nothing(raw):
+        if raw[:1] in b':\r\n' and _has_no_content(raw):
             self._meter.add_filler(len(raw))
         else:
             self._meter.add_content(len(raw))
 
 
-def _carries_nothing(raw: bytes) -> bool:
+def _has_no_content(raw: bytes) -> bool:
     lines = raw.splitlines(keepends=True)
     return all(_is_blank_or_comment(line) for line in lines)
 
@@ -98,6 +104,6 @@
     return line[:1] in b':\r\n' and line.endswith((b'\r', b'\n'))
 
 
-def _event(raw: bytes) -> Event:
+def _parse_event(raw: bytes) -> Event:
     found = _ID.search(raw)
     return Event(found.group(1).decode('latin-1') if found else '', raw)
--- a/bramleybend/direct/tries.py
+++ b/bramleybend/direct/tries.py
@@ -1,4 +1,4 @@
-"""Sends a job to runners, one after another, within its bounds."""
+"""Sends a job to one runner after another, within the retry limits."""
 
 from datetime import timedelta
 from http import HTTPStatus
@@ -21,17 +21,19 @@
 from bramleybend.direct.replies import Reply, own_reply
 from bramleybend.models import Ask
 
-# Sends of one request that no runner began to run. A refusal is answered in
-# about a millisecond; after three the service is full, and the caller waits
-# better than the request does.
+# Attempts of one request that runners refused to run. A refusal takes about a
+# millisecond. After three of them the service is full, and the caller is told
+# to retry later instead of the request being kept.
 MAX_REFUSALS: Final = 3
-# What is left of a caller's patience when an answer must be on its way.
+# The time before a caller's timeout at which its answer must be sent.
 ANSWER_MARGIN_S: Final = 0.02
-# The queue refuses earlier than we give up on it: it knows when to come back.
+# The queue rejects a request before the dispatcher gives up on it, because the
+# queue knows when the caller should retry.
 QUEUE_MARGIN_S: Final = 2 * ANSWER_MARGIN_S
-# Runners that turned a request away are full for about one run's time.
+# A runner that refused a request stays full for about the time of one run.
 REFUSED_RETRY_AFTER_S: Final = 0.3
-# Of the time left for a stream: its pace falls as others join its runner.
+# Share of the remaining time that is kept in reserve for a stream: its token
+# rate falls as other runs join its runner.
 PACE_RESERVE: Final = 0.3
 DONE: Final = 'done'
 FAILED: Final = 'failed'
@@ -45,93 +47,97 @@
 
 
 class AttemptDispatcher:
-    """Places a job, and decides whether it may go on to another runner."""
+    """Acquires slots for a job and decides whether it may be retried."""
 
-    def __init__(self, parts: Components) -> None:
-        """Serve by these parts."""
-        self._parts = parts
+    def __init__(self, components: Components) -> None:
+        """Create a dispatcher that uses the given components."""
+        self._components = components
 
     async def acquire_slot(self, job: Job) -> Placement | NoSlot:
-        """Wait for a slot at a runner."""
-        ask = self._ask(job)
-        placed = await self._parts.placer.place(ask)
-        if isinstance(placed, Placement):
-            job.tried_runners.append(placed.runner.name)
-            self._parts.meters.observe(
+        """Wait for the owner to grant a slot at a runner."""
+        slot_ask = self._ask(job)
+        placement = await self._components.placer.place(slot_ask)
+        if isinstance(placement, Placement):
+            job.tried_runners.append(placement.runner.name)
+            self._components.meters.observe(
                 'queue_seconds',
                 self.now() - job.req.received_at,
                 job.admission.service,
                 int(job.admission.tier),
             )
-            self._parts.events.record(
+            self._components.events.record(
                 'placed',
                 req=job.facts.attempt_id,
                 service=job.admission.service,
                 tokens=job.facts.prompt_tokens,
                 output=job.facts.expected_output,
-                runner=placed.runner.name,
-                owner=placed.owner.vm if placed.owner else 'own',
+                runner=placement.runner.name,
+                owner=placement.owner.vm if placement.owner else 'own',
                 waited_ms=self.ms_since(job.req.received_at),
             )
-        return placed
+        return placement
 
-    def make_attempt(self, job: Job, placed: Placement) -> Attempt:
-        """Prepare to send a job to a runner."""
+    def make_attempt(self, job: Job, placement: Placement) -> Attempt:
+        """Create the attempt that sends a job to the runner of its slot."""
         job.current_attempt = Attempt(
-            self._parts.channels,
-            self._parts.dialect,
-            self._parts.limits,
-            placed.runner,
+            self._components.channels,
+            self._components.dialect,
+            self._components.runner_limits,
+            placement.runner,
             job.facts.attempt_id,
         )
         return job.current_attempt
 
     def make_outgoing(self, job: Job, runner: RunnerEntry) -> Outgoing:
-        """Return the request as the runner gets it."""
+        """Return the request with the headers rewritten for the runner."""
         onward = ForwardingFacts(
             runner,
             job.admission.workspace,
             max(self.remaining_s(job), 0),
             job.last_event_id or job.facts.resume_after,
         )
-        headers = self._parts.dialect.runner_headers(job.req.headers, onward)
+        headers = self._components.dialect.runner_headers(
+            job.req.headers, onward
+        )
         return Outgoing(job.req.method, job.req.target, headers, job.req.body)
 
     def finish_attempt(
         self,
         job: Job,
-        placed: Placement,
+        placement: Placement,
         outcome: WholeAnswer | Failure | None,
-        started: float,
-        events: int = 0,
+        started_at: float,
+        event_count: int = 0,
     ) -> None:
-        """Give the slot back and tell how the run went."""
+        """Release the slot and report the outcome of the attempt."""
         if outcome is CALLER_LEFT and not job.may_be_running:
             outcome = CALLER_LEFT_BEFORE_SEND
         job.current_attempt = None
         failure = outcome if isinstance(outcome, Failure) else None
         if failure is None or failure.run_status is RunStatus.MAY_HAVE_RUN:
             job.possible_runs += 1
-        job.excluded |= {placed.runner.incarnation}
+        job.excluded |= {placement.runner.incarnation}
         if failure is None:
-            self._parts.containment.record_completion(job.fingerprint)
+            self._components.containment.record_completion(job.fingerprint)
         else:
-            self._note_failure(job, placed, failure)
-        sign = failure.cause if failure else FailureCause.NONE
-        made = events * self._parts.event_tokens(job.admission.service)
+            self._record_failure(job, placement, failure)
+        cause = failure.cause if failure else FailureCause.NONE
+        generated_tokens = event_count * self._components.event_tokens(
+            job.admission.service
+        )
         report = RunReport(
             _outcome_of(job, outcome),
-            refused=sign is FailureCause.FULL,
-            crashed=sign is FailureCause.UNREACHABLE,
-            moved=sign is FailureCause.MOVED,
+            refused=cause is FailureCause.FULL,
+            crashed=cause is FailureCause.UNREACHABLE,
+            moved=cause is FailureCause.MOVED,
             prompt_tokens=job.facts.prompt_tokens,
-            completion_tokens=made or 1,
-            seconds=self.now() - started,
+            completion_tokens=generated_tokens or 1,
+            seconds=self.now() - started_at,
         )
-        self._parts.placer.ended(placed, report)
+        self._components.placer.ended(placement, report)
 
     def take_retry(self, job: Job, failure: Failure) -> bool:
-        """Tell whether a job without an answer may go to another runner."""
+        """Decide whether a failed job is retried; count the retry if so."""
         if (
             job.caller_left_at is not None
             or self.remaining_for_slot_s(job) <= 0
@@ -143,20 +149,23 @@
             job.refusal_count += 1
         if job.refusal_count >= MAX_REFUSALS or self.remaining_s(job) <= 0:
             return False
-        # What reached no runner counts as no arrival anywhere.
-        return failure.cause is FailureCause.UNREACHABLE or self._spend(job)
+        # An attempt that could not connect put no load on a runner, so it is
+        # not counted against the resend budget.
+        return failure.cause is FailureCause.UNREACHABLE or self._spend_resend(
+            job
+        )
 
     def take_rerun(self, job: Job) -> bool:
-        """Tell whether one more run is allowed, and count it."""
+        """Decide whether a job that may have run runs again; count it if so."""
         return (
-            not self._parts.containment.is_refused(job.fingerprint)
+            not self._components.containment.is_refused(job.fingerprint)
             and job.possible_runs < job.admission.route.most_runners
             and self.remaining_s(job) > ANSWER_MARGIN_S
-            and self._spend(job)
+            and self._spend_resend(job)
         )
 
     def no_slot_reply(self, job: Job, refusal: NoSlot) -> Reply:
-        """Answer a job that no runner took."""
+        """Return the answer to a job that got no slot."""
         if job.possible_runs:
             return own_reply(
                 HTTPStatus.BAD_GATEWAY,
@@ -170,7 +179,7 @@
         )
 
     def quarantined_reply(self, job: Job) -> Reply:
-        """Answer a job whose content crashed runner after runner."""
+        """Return the answer to a job whose content is quarantined."""
         self.refund_allotment(job)
         return own_reply(
             HTTPStatus.SERVICE_UNAVAILABLE,
@@ -179,13 +188,13 @@
         )
 
     def refund_allotment(self, job: Job) -> None:
-        """Undo the count against an allotment, once."""
+        """Refund the job's units to its workspace's allotment, at most once."""
         if job.is_charged:
             job.is_charged = False
-            self._parts.intake.refund(job.admission)
+            self._components.admission_control.refund(job.admission)
 
     def failure_reply(self, job: Job, failure: Failure) -> Reply:
-        """Answer a job whose last try failed."""
+        """Return the answer to a job whose last attempt failed."""
         if not job.possible_runs:
             return self.no_slot_reply(
                 job, NoSlot(failure.reason, REFUSED_RETRY_AFTER_S)
@@ -198,63 +207,64 @@
         return own_reply(status, f'{failure.reason}; it may have run')
 
     def remaining_s(self, job: Job) -> float:
-        """Return the seconds until the caller must have an answer."""
+        """Return the seconds until the caller must have its answer."""
         return job.answer_due_at - self.now()
 
     def remaining_for_slot_s(self, job: Job) -> float:
-        """Return the seconds until its caller no longer waits for a start.
+        """Return the seconds until it is too late to start the job at a runner.
 
-        Held on in the queue, requests of callers who had left took slots of
-        others: of a heavy load on 84 VMs, 3,545 of 26,000 tries ended so.
+        Requests that stayed in the queue after their caller had left took slots
+        from others: under a heavy load on 84 VMs, 3,545 of 26,000 attempts
+        ended that way.
         """
         return job.next_event_due_at - ANSWER_MARGIN_S - self.now()
 
     def now(self) -> float:
         """Return monotonic seconds."""
-        return self._parts.clock.monotonic()
+        return self._components.clock.monotonic()
 
     def ms_since(self, moment: float) -> int:
-        """Return the milliseconds since a moment, for the log."""
+        """Return the milliseconds since a monotonic time, for the event log."""
         passed = timedelta(seconds=self.now() - moment)
         return passed // timedelta(milliseconds=1)
 
     def _ask(self, job: Job) -> Ask:
         facts = job.facts
         return Ask(
-            request_id=self._parts.placer.next_id(),
+            request_id=self._components.placer.next_id(),
             service=job.admission.service,
             tier=job.admission.tier,
             workspace=job.admission.workspace,
             cost=facts.expected_work,
             prompt_tokens=facts.prompt_tokens,
             prefixes=(),
-            deadline=self._ends_by(job),
+            deadline=self._answer_deadline(job),
             begin_by=job.next_event_due_at - QUEUE_MARGIN_S,
             cancellable=False,
-            suspect=self._parts.containment.runs_alone(job.fingerprint),
-            excluded=self._excluded(job),
+            suspect=self._components.containment.runs_alone(job.fingerprint),
+            excluded=self._excluded_runners(job),
             on_time_until=job.req.received_at + job.admission.route.objective_s,
-            connected=self._parts.channels.connected_runners(
+            connected=self._components.channels.connected_runners(
                 job.admission.service
             ),
         )
 
-    def _ends_by(self, job: Job) -> float:
-        """Return by when the answer should end at its runner's present pace."""
-        ends_by = job.answer_due_at - QUEUE_MARGIN_S
+    def _answer_deadline(self, job: Job) -> float:
+        """Return when the answer should end at its runner's current rate."""
+        deadline = job.answer_due_at - QUEUE_MARGIN_S
         if job.admission.route.streaming:
-            ends_by -= max(self.remaining_s(job), 0) * PACE_RESERVE
-        return ends_by
+            deadline -= max(self.remaining_s(job), 0) * PACE_RESERVE
+        return deadline
 
-    def _excluded(self, job: Job) -> frozenset[str]:
-        """Leave out runners that failed this content, while others remain.
+    def _excluded_runners(self, job: Job) -> frozenset[str]:
+        """Return the runners to avoid, as long as others remain.
 
-        One that breaks off again and again may itself be the fault. But where
-        it is the only one, a run that failed by chance is tried there again:
-        refused for want of another, callers would get the failure.
+        A runner that fails this content again and again may itself be faulty.
+        But if it is the only runner, a run that failed by chance is retried
+        there, because the caller would otherwise get the failure.
         """
-        crashed = self._parts.containment.crashed_runners(job.fingerprint)
-        entries = self._parts.book.runners.get(job.admission.service, ())
+        crashed = self._components.containment.crashed_runners(job.fingerprint)
+        entries = self._components.book.runners.get(job.admission.service, ())
         known = {entry.incarnation for entry in entries}
         if not known <= job.excluded | crashed:
             return job.excluded | crashed
@@ -262,23 +272,25 @@
             return frozenset()
         return job.excluded
 
-    def _spend(self, job: Job) -> bool:
-        return self._parts.resends.spend(
-            job.admission.service, self._parts.vm_count(), self.now()
+    def _spend_resend(self, job: Job) -> bool:
+        return self._components.resend_budget.spend(
+            job.admission.service, self._components.vm_count(), self.now()
         )
 
-    def _note_failure(
-        self, job: Job, placed: Placement, failure: Failure
+    def _record_failure(
+        self, job: Job, placement: Placement, failure: Failure
     ) -> None:
         if failure.cause is FailureCause.CONNECTION_CLOSED:
-            self._parts.containment.record_crash(job.fingerprint, placed.runner)
-        self._parts.meters.count(
+            self._components.containment.record_crash(
+                job.fingerprint, placement.runner
+            )
+        self._components.meters.count(
             'tries_failed', job.admission.service, failure.run_status
         )
-        self._parts.events.record(
+        self._components.events.record(
             'try_failed',
             req=job.facts.attempt_id,
-            runner=placed.runner.name,
+            runner=placement.runner.name,
             fate=failure.run_status,
             why=failure.reason,
         )
@@ -286,7 +298,7 @@
 
 def _outcome_of(job: Job, outcome: WholeAnswer | Failure | None) -> str:
     if not isinstance(outcome, Failure):
-        return FAILED if _is_failure(job, outcome) else DONE
+        return FAILED if _is_runner_failure(job, outcome) else DONE
     is_unsent = (
         outcome.run_status is RunStatus.NOT_RUN
         and outcome.cause is FailureCause.NONE
@@ -294,11 +306,11 @@
     return UNSENT if is_unsent else FAILED
 
 
-def _is_failure(job: Job, outcome: WholeAnswer | Failure | None) -> bool:
-    """Tell whether an answer that is passed on is a runner's failure.
+def _is_runner_failure(job: Job, outcome: WholeAnswer | Failure | None) -> bool:
+    """Return whether the answer that was relayed is a runner's failure.
 
-    Taken for a run like others, one that failed at once would make its
-    runner look fast, and draw more work to it.
+    If it were counted as a success, a runner that fails at once would look fast
+    and would be given more work.
     """
     if isinstance(outcome, WholeAnswer):
         return outcome.head.status >= HTTPStatus.INTERNAL_SERVER_ERROR
@@ -306,6 +318,6 @@
 
 
 def timeout_failure(attempt: Attempt) -> Failure:
-    """Tell what is certain of a try whose time is up."""
+    """Return the failure of an attempt that ran out of time."""
     fate = RunStatus.MAY_HAVE_RUN if attempt.sent else RunStatus.NOT_RUN
     return Failure(fate, TIMEOUT, FailureCause.NONE)
--- a/tests/direct/test_left_callers.py
+++ b/tests/direct/test_left_callers.py
@@ -147,8 +147,8 @@
         runner = await world.add_runner('r1', PLAIN, books)
         await world.knows(PLAIN)
         given_back = Mock()
-        parts = world.vms[0].entry._service._parts
-        parts.intake.refund = given_back  # type: ignore[method-assign]
+        components = world.vms[0].entry._request_handler._components
+        components.admission_control.refund = given_back  # type: ignore[method-assign]
         callers = [await world.connect() for _ in range(2 * SLOTS)]
         for number, caller in enumerate(callers):
             await caller.send('/book/x', attempt=f'a{number}')
@@ -173,8 +173,8 @@
             opening.set()
             await asyncio.sleep(10)
 
-        parts = entry._service._parts
-        parts.channels.acquire = take  # type: ignore[method-assign,assignment]
+        components = entry._request_handler._components
+        components.channels.acquire = take  # type: ignore[method-assign,assignment]
         ended = Mock()
         entry.placer.ended = ended  # type: ignore[method-assign]
         caller = await world.connect()
