--- a/bramleybend/direct/addresses.py
+++ b/bramleybend/direct/addresses.py
@@ -1,7 +1,7 @@
-"""Which of several entries at one address is the runner that is there.
+"""Selects the current runner among several entries with one address.
 
-The entry of a runner that crashed stands until it lapses, and its successor
-may be listed before that, at the same address.
+The entry of a crashed runner stays listed until it expires, and its successor
+at the same address may be listed before that.
 """
 
 from collections.abc import Collection, Container
@@ -15,16 +15,16 @@
 def drop_replaced_entries(
     entries: Collection[RunnerEntry], services: Container[str]
 ) -> list[RunnerEntry]:
-    """Drop the entries that another one at their address has replaced.
+    """Drop entries that a newer entry with the same address replaces.
 
-    Only a runner of one of the `services`, by the start that it tells,
-    replaces another.
+    Only an entry of one of `services` replaces others; the one with the latest
+    `started_ms` stays, and so do entries without it.
     """
     newest: dict[Address, int] = {}
-    for named in entries:
-        if named.service in services:
-            at = _address_of(named)
-            newest[at] = max(newest.get(at, 0), named.started_ms)
+    for replacing in entries:
+        if replacing.service in services:
+            address = _address_of(replacing)
+            newest[address] = max(newest.get(address, 0), replacing.started_ms)
     return [
         entry
         for entry in entries
--- a/bramleybend/direct/book.py
+++ b/bramleybend/direct/book.py
@@ -1,4 +1,4 @@
-"""What this VM knows of the manifest and the runners, and how old it is."""
+"""The manifest and runners that a VM knows, and their age."""
 
 import asyncio
 from collections import defaultdict
@@ -14,23 +14,25 @@
 Runners: TypeAlias = Mapping[str, Sequence[RunnerEntry]]  # by service
 Listener: TypeAlias = Callable[[], None]
 
-# An entry lapses after three silent heartbeats. Not for good: a runner that
-# says so once in error would be lost.
+# Longer than the three heartbeats after which a stale entry expires. The
+# exclusion is temporary, because a runner that says once in error that it is
+# not the one meant would otherwise be lost.
 MOVED_EXCLUSION_S: Final = 5.0
 
 
 class Book:
-    """One process's knowledge; listeners hear of each change."""
+    """The manifest and runners in use; listeners are called on changes."""
 
     def __init__(self, clock: Clock, events: EventLog) -> None:
-        """Know nothing."""
+        """Create a book without a manifest or runners."""
         self._clock = clock
         self._events = events
         self._listeners: list[Listener] = []
-        self._confirmed_at = -inf
+        self._manifest_confirmed_at = -inf
         self._listed: Mapping[str, RunnerEntry] = {}  # by incarnation
-        self._moved: dict[str, float] = {}  # by incarnation, until when
-        self._entries: dict[str, RunnerEntry] = {}  # those that are used
+        # By incarnation, the monotonic end of its exclusion.
+        self._moved_until: dict[str, float] = {}
+        self._entries: dict[str, RunnerEntry] = {}  # in use, by incarnation
         self.manifest: Manifest | None = None
         self.runners: Runners = {}
         self.has_runner_list = False
@@ -42,7 +44,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether requests can be served."""
+        """Whether both the manifest and the runner list are known."""
         return self.manifest is not None and self.has_runner_list
 
     def manifest_version(self) -> int:
@@ -50,19 +52,19 @@
         return self.manifest.version if self.manifest else 0
 
     def manifest_age_s(self) -> float:
-        """Return for how long a newer manifest may have been missed."""
-        return self._clock.monotonic() - self._confirmed_at
+        """Return the seconds since the manifest was confirmed as current."""
+        return self._clock.monotonic() - self._manifest_confirmed_at
 
     def entry(self, incarnation: str) -> RunnerEntry | None:
-        """Return a runner by its incarnation."""
+        """Return a runner in use by its incarnation."""
         return self._entries.get(incarnation)
 
     def add_listener(self, listener: Listener) -> None:
-        """Call a listener after each change."""
+        """Register a listener that is called after each change."""
         self._listeners.append(listener)
 
     async def wait_until_complete(self, timeout_s: float) -> bool:
-        """Wait until requests can be served; tells whether they can."""
+        """Wait until the book is complete; return whether it is."""
         if self.is_complete:
             return True
         try:
@@ -73,57 +75,63 @@
         return True
 
     def confirm_manifest(self, at: float) -> None:
-        """Note that nothing newer had been accepted at a time."""
-        self._confirmed_at = max(self._confirmed_at, at)
+        """Record a time at which the manifest was confirmed as current."""
+        self._manifest_confirmed_at = max(self._manifest_confirmed_at, at)
 
     def apply_manifest(self, manifest: Manifest) -> None:
-        """Put a manifest in force, unless it is an older one."""
-        current = self.manifest
-        if current is not None and manifest.version <= current.version:
+        """Put a manifest in force unless a newer one or the same one is."""
+        manifest_in_force = self.manifest
+        if (
+            manifest_in_force is not None
+            and manifest.version <= manifest_in_force.version
+        ):
             return
         self.manifest = manifest
         self._events.record(
             'manifest',
             version=manifest.version,
-            before=current.version if current else 0,
+            before=manifest_in_force.version if manifest_in_force else 0,
             routes=sum(len(routes) for routes in manifest.routes.values()),
             keys=len(manifest.key_holders),
         )
-        self._use_listed()
-        self._tell()
+        self._update_entries()
+        self._notify_listeners()
 
     def take_runners(self, known: Mapping[str, RunnerEntry]) -> None:
-        """Take in the whole list of runners."""
+        """Replace the list of runners."""
         self._listed = {entry.incarnation: entry for entry in known.values()}
-        is_first = not self.has_runner_list
+        is_first_list = not self.has_runner_list
         self.has_runner_list = True
-        if self._use_listed() or is_first:
-            self._tell()
+        if self._update_entries() or is_first_list:
+            self._notify_listeners()
 
     def note_moved(self, incarnation: str) -> None:
-        """Use a runner no more: another process answers at its address.
+        """Stop using a runner at whose address another process answers.
 
-        Its entry stands until it lapses. To the queue a runner that refuses
-        at once is always free, so it would draw everything that waits.
+        Its entry stays listed until it expires. A runner that refuses at once
+        always looks free to the queue, so it would attract all waiting
+        requests.
         """
-        if incarnation not in self._moved:
+        if incarnation not in self._moved_until:
             self._events.record('runner_moved', runner=incarnation)
-        self._moved[incarnation] = self.now() + MOVED_EXCLUSION_S
-        if self._use_listed():
-            self._tell()
+        self._moved_until[incarnation] = self.now() + MOVED_EXCLUSION_S
+        if self._update_entries():
+            self._notify_listeners()
 
-    def _use_listed(self) -> bool:
-        """Choose the listed runners to use; tells whether they changed."""
+    def _update_entries(self) -> bool:
+        """Select the listed runners to use; return whether they changed."""
         now = self.now()
-        self._moved = {
-            name: until for name, until in self._moved.items() if until > now
+        self._moved_until = {
+            name: until
+            for name, until in self._moved_until.items()
+            if until > now
         }
         entries = {
             entry.incarnation: entry
             for entry in drop_replaced_entries(
                 self._listed.values(), self._services()
             )
-            if entry.incarnation not in self._moved
+            if entry.incarnation not in self._moved_until
         }
         if entries == self._entries:
             return False
@@ -152,7 +160,7 @@
                     state=entry.state,
                 )
 
-    def _tell(self) -> None:
+    def _notify_listeners(self) -> None:
         if self.is_complete:
             self._completed.set()
         for listener in self._listeners:
--- a/bramleybend/direct/channels.py
+++ b/bramleybend/direct/channels.py
@@ -1,4 +1,4 @@
-"""The connections to runners, kept and shared by all requests of a VM."""
+"""Pools of connections to runners, shared by all requests of a VM."""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -12,28 +12,35 @@
 from bramleybend.direct.answer_memory import AnswerMemory
 from bramleybend.direct.models import RunnerEntry
 
-MAX_CONNECTED_RUNNERS: Final = 4  # runners that an ask names
+# Runners with a free connection that an ask names.
+MAX_CONNECTED_RUNNERS: Final = 4
 
 
 class RunnerChannels:
-    """One VM's connections, by runner."""
+    """The VM's connections to runners, pooled by incarnation."""
 
     def __init__(
         self, clock: Clock, bounds: MessageBounds, memory: AnswerMemory
     ) -> None:
-        """Start without connections."""
+        """Create empty pools."""
         self._clock = clock
         self.bounds = bounds
         self.memory = memory
         self._idle: dict[str, list[Channel]] = defaultdict(list)
-        self._open: dict[str, int] = defaultdict(int)
+        self._open_counts: dict[str, int] = defaultdict(int)
         self._services: dict[str, str] = {}  # by runner
-        self.max_connections: Callable[[RunnerEntry], float] = _unbounded
+        self.max_connections: Callable[[RunnerEntry], float] = (
+            _no_max_connections
+        )
 
     async def acquire(
         self, runner: RunnerEntry, *, fresh: bool = False
     ) -> Channel:
-        """Return a connection; an `OSError` means that nothing was sent."""
+        """Return a pooled or new connection.
+
+        An `OSError` means that nothing was sent. With `fresh`, the connection
+        is a new one.
+        """
         self._services[runner.incarnation] = runner.service
         idle = self._idle[runner.incarnation]
         while idle and not fresh:
@@ -41,21 +48,24 @@
             if channel.usable:
                 return channel
             self._drop(runner.incarnation, channel)
-        if self._open[runner.incarnation] >= self.max_connections(runner):
+        if self._open_counts[runner.incarnation] >= self.max_connections(
+            runner
+        ):
             raise ConnectionError('all our connections to it are in use')
-        self._open[runner.incarnation] += 1
+        self._open_counts[runner.incarnation] += 1
         try:
             return await connect(
                 runner.address, runner.port, self._clock, bounds=self.bounds
             )
         except BaseException:
-            self._open[runner.incarnation] -= 1
+            self._open_counts[runner.incarnation] -= 1
             raise
 
     def connected_runners(self, service: str) -> frozenset[str]:
-        """Return a service's runners to which a connection is open and free.
+        """Return the service's runners that have a free, open connection.
 
-        Of many, those that were used last: all of them would make an ask long.
+        Only those that were used last are named, since naming all would make an
+        ask long.
         """
         free = (
             name
@@ -65,18 +75,19 @@
         return frozenset(islice(free, MAX_CONNECTED_RUNNERS))
 
     def release(self, runner: RunnerEntry, channel: Channel) -> None:
-        """Keep a connection whose exchange ended whole, else drop it."""
+        """Return a connection to its pool, or drop it if it can't be reused."""
         if channel.release():
-            # Put last, as the runner that was used last.
+            # Reinserted at the end of the dict, which orders runners by last
+            # use.
             idle = self._idle.pop(runner.incarnation, [])
             self._idle[runner.incarnation] = [*idle, channel]
         else:
-            self._open[runner.incarnation] -= 1
+            self._open_counts[runner.incarnation] -= 1
 
     def drop(self, runner: RunnerEntry, channel: Channel) -> None:
-        """Drop a connection in the middle of an exchange.
+        """Close a connection in the middle of an exchange.
 
-        One on which nothing was sent is kept.
+        A connection on which nothing was sent returns to its pool.
         """
         if channel.usable:
             self._idle[runner.incarnation].append(channel)
@@ -84,20 +95,20 @@
             self._drop(runner.incarnation, channel)
 
     def keep_only(self, incarnations: set[str]) -> None:
-        """Close what leads to runners that are gone."""
-        for gone in self._idle.keys() - incarnations:
-            self._services.pop(gone, None)
-            for channel in self._idle.pop(gone):
-                self._drop(gone, channel)
+        """Close idle connections to runners that are no longer listed."""
+        for stale in self._idle.keys() - incarnations:
+            self._services.pop(stale, None)
+            for channel in self._idle.pop(stale):
+                self._drop(stale, channel)
 
     def close_idle(self) -> None:
-        """Close all that are idle."""
+        """Close all idle connections."""
         self.keep_only(set())
 
     def _drop(self, incarnation: str, channel: Channel) -> None:
         channel.abort()
-        self._open[incarnation] -= 1
+        self._open_counts[incarnation] -= 1
 
 
-def _unbounded(runner: RunnerEntry) -> float:
+def _no_max_connections(runner: RunnerEntry) -> float:
     return inf
--- a/bramleybend/direct/dialect.py
+++ b/bramleybend/direct/dialect.py
@@ -1,4 +1,4 @@
-"""What the raw path needs said in the platform's words."""
+"""The interface through which the raw path reads and writes headers."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -9,18 +9,19 @@
 
 @dataclass(frozen=True)
 class AnswerFacts:
-    """What a runner's headers say of its answer."""
+    """What the headers of a runner's answer state."""
 
-    attempt_id: str  # of the request that it answers
-    has_proof: bool  # it bears the runner's proof
-    not_run: bool  # the runner says that it did not run the request
-    is_misdirected: bool  # because another one was meant
-    limit: str | None  # requests a second it takes; '': all; none: not told
+    attempt_id: str  # echoed id of the answered request; may be empty
+    has_proof: bool  # carries the runner's proof of the answer
+    not_run: bool  # the runner states that it did not run the request
+    is_misdirected: bool  # not run because it was meant for another runner
+    # max requests per second; '' if unlimited, `None` if not stated
+    limit: str | None
 
 
 @dataclass(frozen=True)
 class ForwardingFacts:
-    """What changes in a request's headers on its way to a runner."""
+    """The values of headers that are rewritten on the way to a runner."""
 
     runner: RunnerEntry
     workspace: str
@@ -29,33 +30,33 @@
 
 
 class HeaderCodec(Protocol):
-    """Reads and writes the platform's headers."""
+    """Reads and writes headers in the platform's format."""
 
     def request_facts(self, headers: HeaderList) -> RequestFacts:
-        """Return what a caller says of its request."""
+        """Return what the headers of a caller's request state."""
 
     def runner_headers(
         self, headers: HeaderList, onward: ForwardingFacts
     ) -> list[tuple[bytes, bytes]]:
-        """Return the headers that a runner gets, without framing."""
+        """Return the headers to send to a runner, without framing headers."""
 
     def answer_facts(self, head: Head) -> AnswerFacts:
-        """Return what a runner says of its answer."""
+        """Return what the headers of a runner's answer state."""
 
     def caller_headers(self, head: Head) -> list[tuple[bytes, bytes]]:
-        """Return the headers that a caller gets, without framing."""
+        """Return the headers to send to a caller, without framing headers."""
 
     def is_whole(self, head: Head) -> bool:
-        """Tell whether the body can be what the runner meant."""
+        """Return whether the answer's headers show that its body is intact."""
 
 
 def first_header(headers: HeaderList, name: bytes) -> bytes:
-    """Return a header's first value, or nothing."""
+    """Return the first value of a header, or an empty one."""
     return next((text for key, text in headers if key.lower() == name), b'')
 
 
 def hop_by_hop_names(headers: HeaderList) -> frozenset[bytes]:
-    """Return the names that concern one connection alone."""
+    """Return the lower-case names of a message's hop-by-hop headers."""
     named = [
         part.strip().lower()
         for key, text in headers
--- a/bramleybend/direct/exposition.py
+++ b/bramleybend/direct/exposition.py
@@ -1,4 +1,4 @@
-"""Writes meters in the text form that scrapers read."""
+"""Writes metrics in the Prometheus text format."""
 
 from collections.abc import Iterator
 from itertools import accumulate
@@ -24,7 +24,7 @@
 
 
 class _MeterCollector(Collector):
-    """Hands a process's meters to the library."""
+    """Converts a process's metrics to the library's metric families."""
 
     def __init__(self, meters: Meters) -> None:
         self._meters = meters
@@ -33,13 +33,15 @@
         yield from self._counters()
         yield from self._histograms()
         for name, info in GAUGES.items():
-            reading = self._meters.gauges[name]()
-            yield GaugeMetricFamily(_full(name), info.description, reading)
+            gauge_reading = self._meters.gauges[name]()
+            yield GaugeMetricFamily(
+                _full_name(name), info.description, gauge_reading
+            )
 
     def _counters(self) -> Iterator[Metric]:
         for name, info in COUNTERS.items():
             family = CounterMetricFamily(
-                _full(name), info.description, labels=info.labels
+                _full_name(name), info.description, labels=info.labels
             )
             for labels, count in self._meters.counters[name].items():
                 family.add_metric(labels, count)
@@ -48,25 +50,27 @@
     def _histograms(self) -> Iterator[Metric]:
         for name, info in HISTOGRAMS.items():
             family = HistogramMetricFamily(
-                _full(name), info.description, labels=info.labels
+                _full_name(name), info.description, labels=info.labels
             )
             for labels, series in self._meters.histograms[name].items():
-                family.add_metric(labels, _buckets(series), series.total)
+                family.add_metric(
+                    labels, _cumulative_buckets(series), series.total
+                )
             yield family
 
 
 def render_metrics(meters: Meters) -> bytes:
-    """Return all meters as text."""
+    """Return all metrics in the Prometheus text format."""
     registry = CollectorRegistry()
     registry.register(_MeterCollector(meters))
     return generate_latest(registry)
 
 
-def _full(name: str) -> str:
+def _full_name(name: str) -> str:
     return f'{PREFIX}_{name}'
 
 
-def _buckets(series: HistogramSeries) -> list[tuple[str, float]]:
+def _cumulative_buckets(series: HistogramSeries) -> list[tuple[str, float]]:
     bounds = [str(float(bound)) for bound in BUCKET_BOUNDS_S]
     counts = accumulate(series.counts)
     return list(zip([*bounds, '+Inf'], counts, strict=True))
--- a/bramleybend/direct/feed.py
+++ b/bramleybend/direct/feed.py
@@ -1,14 +1,15 @@
-"""Follows one keyed log of the platform, by own reads or through other VMs.
-
-Load pattern: many VMs want the same news within two seconds, every call to
-the store is paid for, and the store may turn some VMs away.
-Without it: the calls grow with the VMs, and a VM that is turned away goes on
-sending work to runners that have left.
-
-The `READERS` VMs that rank first among those the store answers read it; all
-others hear from every heartbeat how far the sender has read and how old that
-is, and fetch what they lack from the sender. A VM whose news grows older than
-`stale_s`, by whatever it hears, reads the store itself.
+"""Follows one keyed log of the platform, from the store or other VMs.
+
+Load pattern: many VMs need the same changes within two seconds, each call to
+the store costs money, and the store may reject some of the VMs. Without
+sharing, the number of calls grows with the number of VMs, and a VM that the
+store rejects keeps sending work to runners that have left.
+
+Of the VMs that the store answers, the first `STORE_READERS` by rank read it.
+Heartbeats tell all others how far their sender has read and when that was
+confirmed as current; they fetch what they lack from the sender. A VM whose copy
+was last confirmed longer than `stale_s` ago, from any source, reads the store
+itself.
 """
 
 import asyncio
@@ -32,16 +33,16 @@
 from bramleybend.errors import Problem
 from bramleybend.events import EventLog
 
-WAKE_S: Final = 0.1  # between two looks at who reads and how old it is
-MAX_AGE_S: Final = 1e6  # stands for never
-# A page from this size on takes a thin link's time: 0.1 s of 5 Mbit/s. It is
-# logged with its source and time, as how a late change travelled is told by
-# nothing else; the small pages of each second are not.
+WAKE_S: Final = 0.1  # interval at which due reads are checked
+MAX_AGE_S: Final = 1e6  # stands for a log that was never read
+# Pages from this size on are logged with their source and duration: they take
+# 0.1 s or more on a link of 5 Mbit/s, and nothing else shows how a late change
+# was transferred. The small pages of each second are not logged.
 LARGE_PAGE_BYTES: Final = 65_536
 
 
 class FeedSource(Protocol):
-    """Where a log can be read."""
+    """A source from which logs can be read."""
 
     async def newest(self, name: str) -> Result[Page, Problem]:
         """Return the newest record of each key."""
@@ -49,7 +50,10 @@
     async def changes(
         self, name: str, start: int, wait_s: float
     ) -> Result[Page, Problem]:
-        """Return what came at or after an offset, waiting for it a while."""
+        """Return the records from an offset on.
+
+        If there are none, wait for up to `wait_s`.
+        """
 
 
 @dataclass(frozen=True)
@@ -57,13 +61,13 @@
     """How one log is followed."""
 
     name: str
-    wait_s: float  # of a read that waits for news; 0: it returns at once
-    every_s: float  # least time between two reads
-    stale_s: float  # news older than this is read by whoever holds it
+    wait_s: float  # long-poll timeout; 0 returns at once
+    every_s: float  # min interval between two reads of the store
+    stale_s: float  # age from which a VM reads the store itself
 
 
 class Feed:
-    """One log, followed."""
+    """Follows one log."""
 
     def __init__(
         self,
@@ -74,12 +78,12 @@
         events: EventLog,
         rng: Random,
     ) -> None:
-        """Know nothing yet."""
+        """Create a feed with an empty copy of the log."""
         self.terms = settings
         self.copy = FeedCopy()
         self.confirmed_at = -inf
-        self.on_page: Callable[[Page], None] = _ignore
-        self.on_confirmed: Callable[[float], None] = _ignore
+        self.on_page: Callable[[Page], None] = _ignore_argument
+        self.on_confirmed: Callable[[float], None] = _ignore_argument
         self._store = store
         self._peer_source = peer_source
         self._clock = clock
@@ -91,50 +95,50 @@
         self._wake = asyncio.Event()
 
     def is_leader(self) -> bool:
-        """Tell whether this VM writes for all what was read of the log."""
+        """Return whether this VM backs up the log on behalf of all VMs."""
         return self.store_schedule.ranks_among(1)
 
     def wake(self) -> None:
-        """Look at once at how old the news is."""
+        """Check at once whether a read is due."""
         self._wake.set()
 
     def use_backup(self, page: Page) -> bool:
-        """Use older news until the log is read; tells whether it is used."""
+        """Apply a backup if the log was never read; return whether it was."""
         if self.copy.end is not None:
             return False
         self.on_page(page)
         return True
 
     def make_news(self) -> FeedNews:
-        """Tell how far this VM has read."""
+        """Return this VM's progress for a heartbeat."""
         age_s = self._clock.monotonic() - self.confirmed_at
         return FeedNews(
             self.terms.name,
-            self._end(),
+            self._next_offset(),
             min(age_s, MAX_AGE_S),
             self.store_schedule.is_store_answering,
         )
 
     def handle_news(self, vm: str, address: str, news: FeedNews) -> None:
-        """Hear how far another VM has read."""
+        """Handle the progress that another VM's heartbeat reports."""
         at = self._clock.monotonic() - news.age_s
         self._peers.update(vm, PeerProgress(address, news.end, at, news.reads))
-        own_end = self._end()
+        own_end = self._next_offset()
         if news.end > own_end:
             self._wake.set()
         elif news.end == own_end:
             self._confirm(at)
 
     def remove_peer(self, vm: str) -> None:
-        """Drop a VM that is silent."""
+        """Forget the progress of a VM that is no longer heard."""
         self._peers.remove(vm)
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow the log until cancelled."""
         while True:
-            ahead = self._peers.furthest_beyond(self._end())
-            if ahead is not None and not self.store_schedule.must_read_store():
-                await self._read_peer(ahead)
+            peer = self._peers.furthest_beyond(self._next_offset())
+            if peer is not None and not self.store_schedule.must_read_store():
+                await self._read_peer(peer)
             elif self.store_schedule.is_due(self._is_stale()):
                 await self._read_store()
             else:
@@ -144,67 +148,75 @@
         age_s = self._clock.monotonic() - self.confirmed_at
         return age_s > self.terms.stale_s
 
-    def _end(self) -> int:
+    def _next_offset(self) -> int:
         return BEFORE_FIRST_OFFSET if self.copy.end is None else self.copy.end
 
     async def _read_store(self) -> None:
         started = self._clock.monotonic()
-        begun_at = self._end()
-        page = await self._read_with_peers()
-        if page is None or self._end() != begun_at:
-            # A VM gave it meanwhile; a page from before that doesn't fit.
+        start_offset = self._next_offset()
+        page = await self._race_store_and_peers()
+        if page is None or self._next_offset() != start_offset:
+            # A peer's page was applied meanwhile. This page starts at an older
+            # offset and doesn't continue it.
             self.store_schedule.record_success(started)
             return
         now = self._clock.monotonic()
-        self._note(page)
+        self._record_store_state(page)
         if isinstance(page, Err):
-            self.store_schedule.record_failure(is_fresh=not self._is_stale())
+            self.store_schedule.record_failure(
+                has_fresh_copy=not self._is_stale()
+            )
             return
         self.store_schedule.record_success(started)
-        self._note_large(page.ok_value, 'store', started)
-        sure_at = _sure_at(page.ok_value, started, now, self.terms.wait_s)
-        self._took(page.ok_value, sure_at)
+        self._record_large_page(page.ok_value, 'store', started)
+        confirmed_at = _confirmed_time(
+            page.ok_value, started, now, self.terms.wait_s
+        )
+        self._apply_page(page.ok_value, confirmed_at)
 
-    async def _read_with_peers(self) -> Result[Page, Problem] | None:
-        """Read the store; nothing, if a VM gives the same before.
+    async def _race_store_and_peers(self) -> Result[Page, Problem] | None:
+        """Read the store; return `None` if a peer's page is applied earlier.
 
-        A large change takes a VM on 5 Mbit/s over a second from the store,
-        and 0.1 s from a VM that has it. Waited for to its end, a read that
-        began while nobody else had the change made it late by that.
+        A VM on a link of 5 Mbit/s takes over a second to read a large change
+        from the store, and 0.1 s from a peer that has it. If a store read that
+        began before any peer had the change were awaited to its end, the change
+        would be late by that second.
         """
-        reading = asyncio.create_task(
+        from_store = asyncio.create_task(
             self._read(self._store, self.terms.wait_s)
         )
-        helping = asyncio.create_task(self._until_given(self._end()))
+        from_peers = asyncio.create_task(
+            self._read_peers_until_advanced(self._next_offset())
+        )
         try:
             await asyncio.wait(
-                (reading, helping), return_when=asyncio.FIRST_COMPLETED
+                (from_store, from_peers), return_when=asyncio.FIRST_COMPLETED
             )
-            return reading.result() if reading.done() else None
+            return from_store.result() if from_store.done() else None
         finally:
-            reading.cancel()
-            helping.cancel()
-
-    async def _until_given(self, begun_at: int) -> None:
-        """Ask VMs that have read further, until one has given what it has."""
-        while self._end() == begun_at:
-            ahead = self._peers.furthest_beyond(begun_at)
-            if ahead is None:
+            from_store.cancel()
+            from_peers.cancel()
+
+    async def _read_peers_until_advanced(self, start_offset: int) -> None:
+        """Read from peers that are ahead until a page advances the copy."""
+        while self._next_offset() == start_offset:
+            peer = self._peers.furthest_beyond(start_offset)
+            if peer is None:
                 await self._sleep()
             else:
-                await self._read_peer(ahead)
+                await self._read_peer(peer)
 
     async def _read_peer(self, peer: PeerProgress) -> None:
         started = self._clock.monotonic()
         page = await self._read(self._peer_source(peer.address), 0)
         if isinstance(page, Ok):
-            self._note_large(page.ok_value, peer.address, started)
-            self._took(page.ok_value, peer.confirmed_at)
+            self._record_large_page(page.ok_value, peer.address, started)
+            self._apply_page(page.ok_value, peer.confirmed_at)
             return
-        # It says again what it has with its next heartbeat. What is known to
-        # be there is not waited for: three frozen VMs, a second each, and a
-        # change is in force on this VM only when its news is stale. So one
-        # failure is enough to ask the store.
+        # The peer's next heartbeat reports its progress again. After one
+        # failure this VM reads the store, since the change is known to exist:
+        # with three frozen peers at a second each, it would otherwise take
+        # effect here only when the copy is stale.
         peer.end = BEFORE_FIRST_OFFSET
         self.store_schedule.is_peer_page_missing = True
         self._events.record(
@@ -222,9 +234,9 @@
             return await source.newest(self.terms.name)
         return await source.changes(self.terms.name, self.copy.end, wait_s)
 
-    def _took(self, page: Page, at: float) -> None:
+    def _apply_page(self, page: Page, at: float) -> None:
         if self.copy.end is not None and page.end < self.copy.end:
-            return  # a VM that is behind answered
+            return  # the peer has read less than this VM
         self.copy.apply(page)
         self.on_page(page)
         self._confirm(at)
@@ -242,7 +254,9 @@
         except TimeoutError:
             return
 
-    def _note_large(self, page: Page, source: str, started: float) -> None:
+    def _record_large_page(
+        self, page: Page, source: str, started: float
+    ) -> None:
         if page.size < LARGE_PAGE_BYTES:
             return
         self._events.record(
@@ -254,7 +268,7 @@
             took_s=round(self._clock.monotonic() - started, 3),
         )
 
-    def _note(self, page: Result[Page, Problem]) -> None:
+    def _record_store_state(self, page: Result[Page, Problem]) -> None:
         match page:
             case Err(problem) if self.store_schedule.is_store_answering:
                 self.store_schedule.is_store_answering = False
@@ -266,17 +280,19 @@
                 self._events.record('store_regained', feed=self.terms.name)
 
 
-def _sure_at(page: Page, started: float, now: float, wait_s: float) -> float:
-    """Return when there was surely nothing newer than a page.
+def _confirmed_time(
+    page: Page, started: float, now: float, wait_s: float
+) -> float:
+    """Return the latest time at which a page was certainly current.
 
-    A read that waited in vain was answered at the end of its wait. Counted
-    from its begin, news looks twice as old as it is, and VMs that hear it read
-    the store for themselves.
+    A long poll without records was answered at the end of its wait. If it were
+    dated to its start, the copy would look older than it is by that wait, and
+    VMs that hear of it would read the store themselves.
     """
     if wait_s and not page.records and now - started >= wait_s:
         return started + wait_s
     return started
 
 
-def _ignore(_: object) -> None:
-    """Do nothing until a listener is set."""
+def _ignore_argument(_: object) -> None:
+    """Serve as the callback until another one is set."""
--- a/bramleybend/direct/feed_copy.py
+++ b/bramleybend/direct/feed_copy.py
@@ -1,16 +1,17 @@
-"""What was read of a keyed log, and its records."""
+"""The local copy of a keyed log, and its records."""
 
 from collections import deque
 from dataclasses import dataclass
 from typing import Final
 
-# Records kept for other VMs; 2,000 are a minute of 40 runners' heartbeats.
+# Recent records kept for other VMs; 2,000 are one minute of the heartbeats of
+# 40 runners.
 MAX_RECENT_RECORDS: Final = 2000
 
 
 @dataclass(frozen=True)
 class KeyedRecord:
-    """One change of a key; without content the key is gone."""
+    """One change of a key; an empty content deletes the key."""
 
     offset: int
     key: str
@@ -18,35 +19,35 @@
 
     @property
     def gone(self) -> bool:
-        """Whether the record drops its key."""
+        """Whether the record deletes its key."""
         return not self.content
 
 
 @dataclass(frozen=True)
 class Page:
-    """Records in order, and the offset to read on from."""
+    """Records in log order, and the offset to continue from."""
 
     records: tuple[KeyedRecord, ...]
     end: int
-    whole: bool  # the newest of every key, not only what changed
+    whole: bool  # newest record of every key, not only changes
 
     @property
     def size(self) -> int:
-        """Bytes of content."""
+        """Bytes of content in the records."""
         return sum(len(record.content) for record in self.records)
 
 
 class FeedCopy:
-    """What was read of a log, as far as it may be asked for again."""
+    """The part of a log that was read and can be served to other VMs."""
 
     def __init__(self) -> None:
-        """Start with nothing read."""
+        """Create an empty copy."""
         self.end: int | None = None
         self._newest: dict[str, KeyedRecord] = {}
         self._recent: deque[KeyedRecord] = deque(maxlen=MAX_RECENT_RECORDS)
 
     def apply(self, page: Page) -> None:
-        """Add what was read."""
+        """Add a page that was read."""
         if page.whole:
             self._newest.clear()
             self._recent.clear()
@@ -54,11 +55,14 @@
             self._newest[record.key] = record
             if not page.whole:
                 self._recent.append(record)
-        # A key without content is kept: it tells others that it is gone.
+        # The record of a deleted key is kept, to tell others of the deletion.
         self.end = page.end
 
     def changes(self, start: int) -> Page | None:
-        """Return what came since, or nothing if that is no longer held."""
+        """Return the records from an offset on.
+
+        Returns `None` if they are no longer kept or were not read yet.
+        """
         if self.end is None or start > self.end:
             return None
         first = self._recent[0].offset if self._recent else self.end
@@ -68,7 +72,10 @@
         return Page(records, self.end, whole=False)
 
     def newest(self) -> Page | None:
-        """Return the newest record of each key that is there."""
+        """Return the newest record of each existing key.
+
+        Returns `None` before the first read.
+        """
         if self.end is None:
             return None
         records = tuple(one for one in self._newest.values() if not one.gone)
--- a/bramleybend/direct/feed_turns.py
+++ b/bramleybend/direct/feed_turns.py
@@ -1,4 +1,4 @@
-"""When a VM reads a log from the store itself."""
+"""The schedule of a VM's reads of a log from the store."""
 
 from collections.abc import Callable, Mapping
 from math import inf
@@ -8,21 +8,21 @@
 from bramleybend.clock import Clock
 from bramleybend.direct.feed_peers import PeerProgressTable
 
-# Two, as one may be frozen or cut off the moment it has the news; the others
-# notice by its age, a second later.
+# Two, because one may freeze or be cut off just as it gets a change. The others
+# notice that only a second later, by the age of their copies.
 STORE_READERS: Final = 2
-# After a failed read: soon, but not in step with the other VMs.
+# Delay after a failed read; random, so that VMs don't retry in step.
 RETRY_S: Final = (0.15, 0.4)
-# While others have fresh news the store is tried less often.
+# Delay after a failed read while peers keep this VM's copy fresh.
 FRESH_RETRY_S: Final = (0.6, 1.2)
 
-# Tells whether we are among the first `int` for a log, of the VMs that tell
-# whether the store answers them.
+# Returns whether this VM is among the first `int` by rank for a log, given for
+# each VM whether the store answers it.
 IsRankedFirst: TypeAlias = Callable[[str, Mapping[str, bool], int], bool]
 
 
 class StoreReadSchedule:
-    """Decides for one log; the feed tells what came of its reads."""
+    """Decides when a feed reads its log; the feed reports the results."""
 
     def __init__(
         self,
@@ -32,10 +32,10 @@
         clock: Clock,
         rng: Random,
     ) -> None:
-        """Read at once, and then at most every so often."""
-        self.is_store_answering = True  # the store, us
+        """Create a schedule whose first read is due at once."""
+        self.is_store_answering = True  # whether the store answers this VM
         self.is_peer_page_missing = (
-            False  # what a VM told of and could not give
+            False  # a peer failed to send a page it had announced
         )
         self.ranks_first: IsRankedFirst = _always
         self._log = log
@@ -46,37 +46,37 @@
         self._next_at = -inf
 
     def is_due(self, is_stale: bool) -> bool:
-        """Tell whether the store is read now."""
+        """Return whether the store is read now."""
         return self._may_read() and (is_stale or self.must_read_store())
 
     def must_read_store(self) -> bool:
-        """Tell whether the store goes before VMs that have read further."""
+        """Return whether to read the store even if a peer has read further."""
         if not self._may_read():
             return False
         if self.is_peer_page_missing and self.is_store_answering:
             return True
         return self.ranks_among(STORE_READERS)
 
-    def ranks_among(self, most: int) -> bool:
-        """Tell whether we are among the first that read for all."""
+    def ranks_among(self, max_rank: int) -> bool:
+        """Return whether this VM ranks among the first that read the store."""
         return self.is_store_answering and self.ranks_first(
-            self._log, self._peers.store_access(), most
+            self._log, self._peers.store_access(), max_rank
         )
 
     def record_success(self, started: float) -> None:
-        """Note a read that began at a time and brought what there is."""
+        """Record a read after which the copy is up to date."""
         self.is_peer_page_missing = False
         self._next_at = started + self._every_s
 
-    def record_failure(self, is_fresh: bool) -> None:
-        """Note a read that failed; others may have fresh news."""
+    def record_failure(self, has_fresh_copy: bool) -> None:
+        """Record a failed read."""
         self.is_peer_page_missing = False
-        pause = FRESH_RETRY_S if is_fresh else RETRY_S
+        pause = FRESH_RETRY_S if has_fresh_copy else RETRY_S
         self._next_at = self._clock.monotonic() + self._rng.uniform(*pause)
 
     def _may_read(self) -> bool:
         return self._clock.monotonic() >= self._next_at
 
 
-def _always(log: str, reading: Mapping[str, bool], most: int) -> bool:
+def _always(log: str, reading: Mapping[str, bool], max_rank: int) -> bool:
     return True
--- a/bramleybend/direct/ingress.py
+++ b/bramleybend/direct/ingress.py
@@ -1,7 +1,8 @@
-"""Callers' connections on the raw path: HTTP/1.1 by h11.
+"""Serves callers' HTTP/1.1 connections on the raw path, with h11.
 
-Each connection is one task. A caller that leaves cancels it at once, also
-while its request waits or runs, so no runner works for nobody.
+Each connection has one task. If the caller disconnects, the task is cancelled
+at once, even if its request is queued or running, so that no runner works on an
+answer that nobody reads.
 """
 
 import asyncio
@@ -27,27 +28,28 @@
 
 logger = logging.getLogger(__name__)
 
-# Longer than a slow client takes for the largest body that is allowed.
+# Longer than a slow client needs for the largest permitted body.
 BODY_TIMEOUT_S: Final = 10.0
-# How long a connection that ends is read on, or the last answer may be lost.
-LINGER_S: Final = 0.5
-CHUNKED_SINCE_VERSION: Final = b'1.1'  # the HTTP version
-# The body has a bound of its own, of the users' manifest.
+# How long input is still read before a connection is closed; without it, the
+# caller may lose the last answer.
+DISCARD_INPUT_S: Final = 0.5
+CHUNKED_SINCE_VERSION: Final = b'1.1'  # HTTP version with chunked bodies
+# The body has its own bound, in the manifest.
 REQUEST_BOUNDS: Final = MessageBounds(message_bytes=inf)
 
 Handler = Callable[[RawRequest, Responder], Awaitable[None]]
 OnUnreadable = Callable[[Reply], None]
 
 
-def _nothing(reply: Reply) -> None:
-    """Tell nobody of a request that could not be read."""
+def _ignore_reply(reply: Reply) -> None:
+    """Ignore a request that could not be read."""
 
 
 class CallerConnection(H11Protocol):
-    """One caller's connection."""
+    """The connection of one caller."""
 
     def __init__(self, ingress: 'Ingress') -> None:
-        """Start idle."""
+        """Create an idle connection."""
         limits = ingress.limits()
         super().__init__(
             h11.Connection(
@@ -58,57 +60,62 @@
         self._limits = limits
         self._meter = MessageMeter(REQUEST_BOUNDS)
         self._task: asyncio.Task[None] | None = None
-        self._out: list[bytes] = []
-        self._answering = False
-        self._ambiguous = False
-        self._left = False
+        self._unsent: list[bytes] = []
+        self._has_request = False
+        self._has_ambiguous_framing = False
+        self._has_left = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Serve it by a task of its own."""
+        """Start the task that serves the connection."""
         super().connection_made(transport)
-        self._task = asyncio.create_task(self._serve())
+        self._task = asyncio.create_task(self._serve_connection())
         self._ingress.track(self, self._task)
 
     def eof_received(self) -> bool:
-        """Take a caller that writes no more for one that has left."""
+        """Treat a caller that closed its sending side as disconnected."""
         super().eof_received()
-        self._leave()
+        self._cancel_request()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stop what the caller no longer waits for."""
+        """Cancel the request that the caller no longer waits for."""
         super().connection_lost(exc)
-        self._leave()
+        self._cancel_request()
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request has begun to come in."""
-        return not self._answering and not self.http.trailing_data[0]
+        """Whether no request is being received or served."""
+        return not self._has_request and not self.http.trailing_data[0]
 
     def check_received(self) -> None:
-        """Raise if what came of this request is mostly no content."""
+        """Raise if the received bytes of this request are mostly no content."""
         self._meter.note_received(self.received)
 
-    def closes_after_answer(self, wanted: bool) -> bool:
-        """Tell whether the connection ends with the answer under way."""
-        return wanted or self._ambiguous or self._ingress.is_draining
+    def closes_after_answer(self, is_requested: bool) -> bool:
+        """Return whether the connection closes after the current answer."""
+        return (
+            is_requested
+            or self._has_ambiguous_framing
+            or self._ingress.is_draining
+        )
 
     def enqueue(self, event: h11.Event) -> None:
-        """Frame an event; `flush` sends it."""
+        """Serialize an event; `flush` sends it."""
         payload = self.http.send(event)
         if payload:
-            self._out.append(payload)
+            self._unsent.append(payload)
 
     async def flush(self) -> None:
-        """Send what was framed, at the caller's pace."""
-        payload = b''.join(self._out)
-        self._out.clear()
+        """Send what was queued, as fast as the caller reads it."""
+        payload = b''.join(self._unsent)
+        self._unsent.clear()
         await self.write(payload)
 
     def end_incomplete(self) -> None:
-        """End the connection; an answer under way must not look whole."""
+        """Close the connection; an incomplete answer must not look complete."""
         version = self.http.their_http_version or CHUNKED_SINCE_VERSION
-        # Without chunks, an answer ends when its connection does.
+        # Without chunks, the end of an answer is the end of its connection, so
+        # only a reset shows that the answer is incomplete.
         if (
             self.http.our_state is h11.SEND_BODY
             and version < CHUNKED_SINCE_VERSION
@@ -117,76 +124,76 @@
         else:
             self.close()
 
-    def _leave(self) -> None:
-        self._left = True
-        if self._answering and self._task is not None:
+    def _cancel_request(self) -> None:
+        self._has_left = True
+        if self._has_request and self._task is not None:
             self._task.cancel()
 
-    async def _serve(self) -> None:
+    async def _serve_connection(self) -> None:
         try:
-            while await self._serve_one():
+            while await self._serve_request():
                 self._limits = self._ingress.limits()
         except OSError:
-            self.abort()  # the caller has gone
+            self.abort()  # the caller has disconnected
         except Exception:
-            # A fault of ours ends one connection and is told in the log; the
-            # caller sees a torn answer, never a wrong one.
-            logger.exception('a request failed in our own code')
+            # An internal error ends one connection and is logged; the caller
+            # gets an incomplete answer but never a wrong one.
+            logger.exception('internal error while serving a request')
             self.abort()
         finally:
             self.end_incomplete()
 
-    async def _serve_one(self) -> bool:
+    async def _serve_request(self) -> bool:
         responder = Responder(self)
         try:
-            req = await self._request()
+            req = await self._read_request()
         except h11.RemoteProtocolError as exc:
-            return await self._refuse(exc)
-        if req is None or self._left:
+            return await self._reject(exc)
+        if req is None or self._has_left:
             return False
-        self._answering = True
+        self._has_request = True
         try:
             if isinstance(req, Reply):
-                self._ingress.refused(req)
+                self._ingress.on_unreadable(req)
                 await responder.send_reply(req)
             else:
                 await self._ingress.handler(req, responder)
         finally:
-            self._answering = False
-        return not responder.is_incomplete and self._next_cycle()
+            self._has_request = False
+        return not responder.is_incomplete and self._start_next_cycle()
 
-    async def _refuse(self, exc: h11.RemoteProtocolError) -> bool:
+    async def _reject(self, exc: h11.RemoteProtocolError) -> bool:
         if self.http.our_state in {h11.IDLE, h11.SEND_RESPONSE}:
             status = HTTPStatus(exc.error_status_hint)
             reply = own_reply(status, str(exc), close=True)
-            self._ingress.refused(reply)
+            self._ingress.on_unreadable(reply)
             await Responder(self).send_reply(reply)
-            await self._linger()
+            await self._discard_remaining_input()
         return False
 
-    async def _request(self) -> RawRequest | Reply | None:
+    async def _read_request(self) -> RawRequest | Reply | None:
         """Read one request; `None` if the connection ends without one."""
-        if not await self._first_byte():
+        if not await self._wait_for_first_byte():
             return None
         try:
             async with asyncio.timeout(self._limits.header_timeout_s):
                 head = await self.next_event()
         except TimeoutError:
-            return _too_slow()
+            return _request_timeout_reply()
         if not isinstance(head, h11.Request):
             return None
         received_at = self._ingress.clock.monotonic()
-        self._ambiguous = _has_two_lengths(head)
-        self._answering = True
+        self._has_ambiguous_framing = _has_two_framings(head)
+        self._has_request = True
         try:
             async with asyncio.timeout(BODY_TIMEOUT_S):
-                body = await self._body()
+                body = await self._read_body()
         except TimeoutError:
-            return _too_slow()
+            return _request_timeout_reply()
         except MessageTooLongError as exc:
             return own_reply(HTTPStatus.BAD_REQUEST, str(exc), close=True)
         finally:
-            self._answering = False
+            self._has_request = False
         if body is None:
             return own_reply(
                 HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
@@ -196,8 +203,8 @@
         headers = list(head.headers.raw_items())
         return RawRequest(head.method, head.target, headers, body, received_at)
 
-    async def _first_byte(self) -> bool:
-        """Wait for a request to begin."""
+    async def _wait_for_first_byte(self) -> bool:
+        """Wait for a request; return whether one has begun."""
         if self.http.trailing_data[0]:
             return True
         try:
@@ -207,7 +214,7 @@
             return False
         return True
 
-    async def _body(self) -> bytes | None:
+    async def _read_body(self) -> bytes | None:
         parts: list[bytes] = []
         size = 0
         if self.http.they_are_waiting_for_100_continue:
@@ -222,19 +229,19 @@
                 return None
         return b''.join(parts)
 
-    async def _linger(self) -> None:
-        """Read on for a moment before the connection is closed."""
-        # Closed with bytes unread, the connection would be reset, and the
-        # caller would see that in place of the answer that tells why.
+    async def _discard_remaining_input(self) -> None:
+        """Read and discard input for a moment before the connection closes."""
+        # If a connection is closed with unread input, the kernel resets it, and
+        # the caller sees a reset instead of the answer that states the reason.
         self.discarding = True
         try:
-            async with asyncio.timeout(LINGER_S):
+            async with asyncio.timeout(DISCARD_INPUT_S):
                 while self.broken is None and not self.transport.is_closing():
                     await self.more_data()
         except (TimeoutError, OSError):
             return
 
-    def _next_cycle(self) -> bool:
+    def _start_next_cycle(self) -> bool:
         if self.http.our_state is not h11.DONE:
             return False
         if self.http.their_state is not h11.DONE:
@@ -246,26 +253,29 @@
 
 
 class Ingress:
-    """Accepts callers; owns their connections."""
+    """Accepts callers and owns their connections."""
 
     def __init__(
         self,
         handler: Handler,
         limits: Callable[[], IngressLimits],
         clock: Clock,
-        on_unreadable: OnUnreadable = _nothing,
+        on_unreadable: OnUnreadable = _ignore_reply,
     ) -> None:
-        """Answer by `handler` what can be read; tell of the rest."""
+        """Create an ingress that passes requests to `handler`.
+
+        `on_unreadable` is called with the answers to those it could not read.
+        """
         self.handler = handler
-        self.refused = on_unreadable
+        self.on_unreadable = on_unreadable
         self.limits = limits
         self.clock = clock
         self.is_draining = False
-        self._open: dict[CallerConnection, asyncio.Task[None]] = {}
+        self._connections: dict[CallerConnection, asyncio.Task[None]] = {}
         self._server: asyncio.Server | None = None
 
     async def start(self, address: str, port: int) -> None:
-        """Listen."""
+        """Listen for callers."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: CallerConnection(self),
@@ -275,53 +285,53 @@
 
     @property
     def port(self) -> int:
-        """The port listened on, for one that was started on any."""
+        """The port that it listens on, also if it was started with port 0."""
         assert self._server is not None
         port: int = self._server.sockets[0].getsockname()[1]
         return port
 
     @property
     def busy_count(self) -> int:
-        """Count the connections with a request on them."""
-        return sum(not conn.is_idle for conn in self._open)
+        """The number of connections with a request."""
+        return sum(not conn.is_idle for conn in self._connections)
 
     def track(self, conn: CallerConnection, task: asyncio.Task[None]) -> None:
-        """Keep a connection until its task ends."""
-        self._open[conn] = task
-        task.add_done_callback(lambda _: self._open.pop(conn, None))
+        """Track a connection until its task ends."""
+        self._connections[conn] = task
+        task.add_done_callback(lambda _: self._connections.pop(conn, None))
 
     def stop_listening(self) -> None:
-        """Take no further connections."""
+        """Stop accepting connections."""
         if self._server is not None:
             self._server.close()
 
     def close_idle(self) -> None:
-        """Close the connections without a request."""
-        for conn in tuple(self._open):
+        """Close the connections that have no request."""
+        for conn in tuple(self._connections):
             if conn.is_idle:
                 conn.close()
 
     async def stop(self) -> None:
-        """End all connections."""
+        """Close all connections and wait for their tasks."""
         self.stop_listening()
-        tasks = tuple(self._open.values())
+        tasks = tuple(self._connections.values())
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-def _has_two_lengths(head: h11.Request) -> bool:
-    """Tell whether another reader may see other bounds of the request.
+def _has_two_framings(head: h11.Request) -> bool:
+    """Return whether a request has both length and chunked framing.
 
-    With both framings, what one reader takes for a body another takes for
-    the next request. The body is framed anew on its way to the runner, and
-    nothing more is read from such a connection.
+    Parsers may then disagree on where the body ends: what is body for one is
+    the next request for another. So the body is framed anew for the runner, and
+    nothing more is read from the connection.
     """
     names = {name for name, _ in head.headers}
     return {b'content-length', b'transfer-encoding'} <= names
 
 
-def _too_slow() -> Reply:
+def _request_timeout_reply() -> Reply:
     return own_reply(
         HTTPStatus.REQUEST_TIMEOUT,
         'the request was not whole in time; nothing was run',
--- a/bramleybend/direct/listener.py
+++ b/bramleybend/direct/listener.py
@@ -1,4 +1,4 @@
-"""What an entry VM tells the others, and does with what they tell."""
+"""Builds this VM's heartbeats and applies those of the other entry VMs."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterable, Mapping
@@ -23,18 +23,19 @@
 from bramleybend.direct.placing import Placer
 from bramleybend.direct.queues import Queues
 
-State = Callable[[], tuple[bool, bool]]  # ready, leaving
+Readiness = Callable[[], tuple[bool, bool]]  # is ready, is leaving
 
-# A total is told again for this long after it changed: in each heartbeat to a
-# hub and at least once to a VM that is told each third, so one may be lost.
+# A changed total is repeated in heartbeats for this long. A hub gets each of
+# them, so one may be lost; a VM that gets every third gets at least one.
 REPEAT_S: Final = 1.0
-# All totals are told again, for those who missed each heartbeat of a second.
+# Interval at which all totals are repeated, for VMs that missed each heartbeat
+# of a second.
 FULL_REPORT_EVERY_S: Final = 5.0
 
 
 @dataclass(frozen=True)
 class SharedTables:
-    """What heartbeats tell of, and what they change."""
+    """The state that heartbeats report and update."""
 
     members: Members
     placer: Placer
@@ -44,32 +45,34 @@
 
 
 class PeerMessageHandler:
-    """Joins the members, the queues and the allotments to the socket."""
+    """Connects the peer socket to members, queues and allotments."""
 
     def __init__(
-        self, tables: SharedTables, state: State, clock: Clock
+        self, tables: SharedTables, readiness: Readiness, clock: Clock
     ) -> None:
-        """Tell of these tables."""
+        """Create a handler that reports and updates the given tables."""
         self._members = tables.members
         self._placer = tables.placer
         self._queues = tables.queues
         self._allotments = tables.allotments
         self._containment = tables.containment
-        self._limits = tables.queues.limits
-        self._state = state
+        self._runner_limits = tables.queues.limits
+        self._readiness = readiness
         self._clock = clock
-        self._totals = SpendingReports()
+        self._spending_reports = SpendingReports()
         self.feeds: list[Feed] = []
 
     def make_beat(self, receiver: Receiver) -> Beat:
-        """Return what to tell a VM of ourselves now."""
+        """Return the heartbeat to send to a VM now."""
         now = self._clock.monotonic()
-        tells_all = receiver.is_new or self._totals.is_full_report_due(now)
-        totals = self._totals.select(
+        tells_all = (
+            receiver.is_new or self._spending_reports.is_full_report_due(now)
+        )
+        totals = self._spending_reports.select(
             self._allotments.spendings(), now, tells_all=tells_all
         )
         return Beat(
-            self._profile(),
+            self._make_profile(),
             receiver.wants,
             receiver.every,
             [feed.make_news() for feed in self.feeds],
@@ -77,12 +80,12 @@
             tells_all,
             self._placer.runs() if receiver.tells_runs else None,
             self._containment.recent_news(),
-            self._limits.news(),
+            self._runner_limits.news(),
             self._allotments.age_s(now),
         )
 
     def take_beat(self, beat: Beat, address: str) -> None:
-        """Take in a heartbeat."""
+        """Apply a heartbeat."""
         vm, incarnation = beat.profile.vm, beat.profile.incarnation
         for news in beat.feeds:
             for feed in self.feeds:
@@ -90,17 +93,19 @@
                     feed.handle_news(vm, address, news)
         if beat.tells_all:
             self._allotments.adopt(
-                _told(beat.spendings), self._clock.monotonic(), beat.accounts_s
+                _parse_spendings(beat.spendings),
+                self._clock.monotonic(),
+                beat.accounts_s,
             )
-        self._take_spendings(_peer(vm, incarnation), beat)
+        self._take_spendings(_peer_id(vm, incarnation), beat)
         self._containment.merge_news(beat.crashes)
-        self._limits.heard(beat.limits)
+        self._runner_limits.heard(beat.limits)
         if beat.runs is not None:
             self._take_runs(vm, beat.runs)
 
     def take_spent(self, profile: Profile, spent: Spent) -> None:
-        """Take in what a VM told of workspaces' spending."""
-        self._take_spendings(_peer(profile.vm, profile.incarnation), spent)
+        """Apply the spending of workspaces that a VM reports."""
+        self._take_spendings(_peer_id(profile.vm, profile.incarnation), spent)
 
     def take(
         self,
@@ -108,29 +113,30 @@
         vm: str,
         reply: Callable[[Message], None],
     ) -> None:
-        """Take in any other message."""
+        """Pass any other message to the placer."""
         self._placer.take(message, vm, reply)
 
     def unheard(self, vm: str) -> None:
-        """Hear that a VM no longer tells us anything itself."""
+        """Handle that a VM no longer sends heartbeats directly to this one."""
         for feed in self.feeds:
             feed.remove_peer(vm)
 
     def silent(self, vm: str) -> None:
-        """Hear that a VM was not heard for a while."""
+        """Handle that no heartbeat of a VM was received for a while."""
         self.unheard(vm)
-        # Its runs end with its connections. Kept as taken, the slots that it
-        # had would be missing until it is back or forgotten.
-        self._free_runs(vm)
+        # Its runs end when its connections close. If they still counted as
+        # running, their slots would be missing until the VM is back or
+        # forgotten.
+        self._release_runs(vm)
 
     def lost(self, member: Member) -> None:
-        """Free what a VM had running; it is gone or began anew."""
-        self._allotments.forget(_peer(member.vm, member.incarnation))
-        self._free_runs(member.vm)
+        """Release the runs of a VM that is gone or has restarted."""
+        self._allotments.forget(_peer_id(member.vm, member.incarnation))
+        self._release_runs(member.vm)
 
-    def _profile(self) -> Profile:
+    def _make_profile(self) -> Profile:
         own = self._members.own
-        ready, leaving = self._state()
+        ready, leaving = self._readiness()
         return Profile(
             own.vm,
             own.incarnation,
@@ -145,7 +151,7 @@
     def _take_spendings(self, peer: str, news: Beat | Spent) -> None:
         self._allotments.heard(
             peer,
-            _told(news.spendings),
+            _parse_spendings(news.spendings),
             self._clock.monotonic(),
             tells_all=news.tells_all,
             age_s=news.accounts_s,
@@ -160,29 +166,30 @@
         for service, queue in self._queues:
             queue.heard_runs(vm, by_service.get(service, ()))
 
-    def _free_runs(self, vm: str) -> None:
+    def _release_runs(self, vm: str) -> None:
         for _, queue in self._queues:
             queue.heard_runs(vm, ())
 
 
 class SpendingReports:
-    """Which of our own totals a heartbeat carries.
+    """Selects which of this VM's spending totals a heartbeat carries.
 
-    All of them in each were most of its bytes: 16 workspaces take 0.5 kB,
-    and a VM serves a request of one or two of them between two heartbeats.
+    All totals would be most of a heartbeat's bytes: those of 16 workspaces take
+    0.5 kB, and between two heartbeats a VM serves requests of one or two of
+    them.
     """
 
     def __init__(self) -> None:
-        """Tell all first."""
-        self._known: dict[str, tuple[float, float]] = {}
+        """Create reports of which the first is a full one."""
+        self._last_totals: dict[str, tuple[float, float]] = {}
         self._changed_at: dict[str, float] = {}
-        self._told_all_at = -inf
+        self._full_report_at = -inf
 
     def is_full_report_due(self, now: float) -> bool:
-        """Tell whether all totals are to be told again."""
-        if now - self._told_all_at > FULL_REPORT_EVERY_S:
-            self._told_all_at = now
-        return now - self._told_all_at < REPEAT_S
+        """Return whether heartbeats carry all totals now."""
+        if now - self._full_report_at > FULL_REPORT_EVERY_S:
+            self._full_report_at = now
+        return now - self._full_report_at < REPEAT_S
 
     def select(
         self,
@@ -191,10 +198,10 @@
         *,
         tells_all: bool,
     ) -> list[SpendingNews]:
-        """Return the totals to tell now."""
+        """Return the totals that a heartbeat carries now."""
         self._note_changes(spendings, now)
         return [
-            _news(workspace, spending)
+            _make_spending_news(workspace, spending)
             for workspace, spending in spendings.items()
             if tells_all or now - self._changed_at[workspace] <= REPEAT_S
         ]
@@ -204,12 +211,12 @@
     ) -> None:
         for workspace, spending in spendings.items():
             total = (spending.used, spending.beyond)
-            if self._known.get(workspace) != total:
-                self._known[workspace] = total
+            if self._last_totals.get(workspace) != total:
+                self._last_totals[workspace] = total
                 self._changed_at[workspace] = now
 
 
-def _news(workspace: str, spending: Spending) -> SpendingNews:
+def _make_spending_news(workspace: str, spending: Spending) -> SpendingNews:
     return SpendingNews(
         workspace,
         int(spending.used),
@@ -219,11 +226,11 @@
     )
 
 
-def _peer(vm: str, incarnation: str) -> str:
+def _peer_id(vm: str, incarnation: str) -> str:
     return f'{vm}/{incarnation}'
 
 
-def _told(spendings: Iterable[SpendingNews]) -> dict[str, Spending]:
+def _parse_spendings(spendings: Iterable[SpendingNews]) -> dict[str, Spending]:
     return {
         news.workspace: Spending(
             news.used, news.beyond, news.debt, news.beyond_debt
--- a/bramleybend/direct/meters.py
+++ b/bramleybend/direct/meters.py
@@ -1,11 +1,11 @@
-"""Counters and latency histograms of an entry VM.
+"""Counters, gauges and latency histograms of an entry VM.
 
-Kept as plain numbers: the library that writes them out takes 0.07 s of
-processor time to import (measured on the way from 0.42 to 0.5 s of a start),
-which callers wait for after every loss of power. `exposition` imports it when
-metrics are first asked for.
+They are kept as plain numbers, because the library that writes them takes 0.07
+s of processor time to import, on the path of a start of 0.42 to 0.5 s, for
+which callers wait after every power loss. `exposition` imports the library when
+metrics are first requested.
 
-Labels come from what operators declare, so their number stays bounded.
+Label values come from the published configuration, so their number is bounded.
 """
 
 from bisect import bisect_left
@@ -16,8 +16,8 @@
 from typing import Final, TypeAlias
 
 PREFIX: Final = 'bramleybend'
-# Seconds; the objectives of today's callers lie between 0.2 and 0.8, their
-# patience between 1 and 8.
+# Seconds. The latency objectives of callers lie between 0.2 and 0.8 s, their
+# timeouts between 1 and 8 s.
 BUCKET_BOUNDS_S: Final = (0.01, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2, 4, 8)
 
 Labels: TypeAlias = tuple[str, ...]
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class MeterInfo:
-    """What a counter or histogram means."""
+    """The description and label names of a metric."""
 
     description: str
     labels: Labels
@@ -90,7 +90,7 @@
 
 @dataclass
 class HistogramSeries:
-    """One histogram's observations under one set of labels."""
+    """A histogram's observations for one set of label values."""
 
     counts: list[int] = field(
         default_factory=lambda: [0 for _ in (*BUCKET_BOUNDS_S, 0)]
@@ -99,10 +99,10 @@
 
 
 class Meters:
-    """All meters of one process."""
+    """All metrics of one process."""
 
     def __init__(self, gauges: Mapping[str, Callable[[], float]]) -> None:
-        """Start at zero; gauges are read when they are asked for."""
+        """Create metrics at zero; gauges are read when they are scraped."""
         self.gauges = gauges
         self.counters: dict[str, Counter[Labels]] = {
             name: Counter() for name in COUNTERS
--- a/bramleybend/direct/process.py
+++ b/bramleybend/direct/process.py
@@ -1,4 +1,4 @@
-"""One entry VM's program: all parts of the raw path, and how it stops."""
+"""The program of an entry VM: builds, starts and stops its components."""
 
 import asyncio
 import logging
@@ -34,23 +34,25 @@
 from bramleybend.settings_parsing import FILE_FIELD, env_of, parse_program
 
 SWEEP_EVERY_S: Final = 0.2
-# Callers keep an answer of the directory for up to three times its lifetime;
-# until then they come over kept connections, and are served.
+# Callers cache an answer of the directory for up to three times its lifetime.
+# Until then they may send new requests on open connections, and these are
+# served.
 ACCEPT_REQUESTS_S: Final = 2.6
-# New connections are still taken while callers may not have asked again.
+# New connections are accepted until callers have most likely asked the
+# directory again.
 ACCEPT_CONNECTIONS_S: Final = 1.6
 DRAIN_POLL_S: Final = 0.05
-# Before the platform kills the process.
+# The drain ends this long before the platform kills the process.
 KILL_MARGIN_S: Final = 0.5
-# Of the connections that a runner takes from all VMs; the rest is left to
-# VMs that come up and to connections that only one end has closed.
+# Share of the connections that a runner accepts from all VMs together. The rest
+# is left for VMs that start and for connections that only one end has closed.
 CONNECTION_SHARE: Final = 0.8
 
 logger = logging.getLogger(__name__)
 
 
 class EntryProcess:
-    """The composition; starts and stops its parts."""
+    """Builds the components of an entry VM; starts and stops them."""
 
     def __init__(
         self,
@@ -59,13 +61,13 @@
         dialect: HeaderCodec,
         rng: Random,
     ) -> None:
-        """Put the parts together."""
+        """Build the components; nothing is started yet."""
         self._cfg = cfg
         self._clock = clock
         self.identity = make_identity(cfg.vm, cfg.domain, cfg.address)
         self.events = EventLog(cfg.vm, self.identity.incarnation, clock, kept=0)
         self.book = Book(clock, self.events)
-        self.meters = Meters(self._readings())
+        self.meters = Meters(self._gauges())
         self.members = Members(
             Self(
                 cfg.vm,
@@ -97,7 +99,7 @@
         self._channels = RunnerChannels(
             clock, cfg.answer_bounds(), cfg.answer_memory()
         )
-        self._channels.max_connections = self._most_connections
+        self._channels.max_connections = self._max_connections
         tables = SharedTables(
             self.members,
             self.placer,
@@ -105,11 +107,13 @@
             self._allotments,
             self._containment,
         )
-        self._listener = PeerMessageHandler(tables, self._state, clock)
+        self._message_handler = PeerMessageHandler(
+            tables, self._readiness, clock
+        )
         self.peers = Peers(
             self.members,
             self._queues.engines,
-            self._listener,
+            self._message_handler,
             cfg.peer_port,
             clock,
             self.events,
@@ -121,51 +125,51 @@
         )
         self.ingress = Ingress(
             self._request_handler.handle,
-            self._limits,
+            self._ingress_limits,
             clock,
             self._request_handler.record_unreadable,
         )
         self._tasks: list[asyncio.Task[None]] = []
         self.stopping = asyncio.Event()
         self.is_leaving = False
-        self.on_sweep: Callable[[], None] = _nothing
+        self.on_sweep: Callable[[], None] = _ignore_sweep
         self.book.add_listener(self._book_changed)
 
     def is_ready(self) -> bool:
-        """Tell whether callers should come here."""
+        """Return whether this VM accepts callers."""
         return self.book.is_complete and not self.is_leaving
 
     def front_addresses(self) -> list[str]:
-        """Return the addresses that callers may use now."""
+        """Return the addresses of all VMs that accept callers now."""
         others = self.members.serving(self._clock.monotonic())
-        fronts = [member.front for member in others]
+        addresses = [member.front for member in others]
         if self.is_ready():
-            fronts.append(self.members.own.front)
-        return sorted(fronts)
+            addresses.append(self.members.own.front)
+        return sorted(addresses)
 
     async def start(self) -> None:
-        """Listen and follow."""
+        """Bind the sockets and start the background tasks."""
         await self.peers.start(self._cfg.address)
         await self.ingress.start(self._cfg.front.host, self._cfg.front.port)
         self.spawn(self.peers.run())
-        self.spawn(self._sweep())
+        self.spawn(self._sweep_queues())
         self.spawn(self._queues.log.run())
         self.events.record('started', **self._cfg.shown())
 
     def follow_feed(self, feed: Feed) -> None:
-        """Follow a log of the platform, and tell the others of it."""
+        """Follow a log of the platform and report progress to other VMs."""
         feed.store_schedule.ranks_first = self.members.ranks_first
-        self._listener.feeds.append(feed)
+        self._message_handler.feeds.append(feed)
         self.spawn(feed.run())
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run a part until the process stops; its failure stops it."""
+        """Run a background task; if it ends, the process stops."""
         task = asyncio.create_task(work)
-        task.add_done_callback(self._part_ended)
+        task.add_done_callback(self._stop_on_task_end)
         self._tasks.append(task)
 
     def reload(self) -> None:
-        """Learn of further seeds; all else holds for a process's life."""
+        """Read new seeds from the settings; other settings don't change."""
         variables = {env_of(FILE_FIELD): self._cfg.settings}
         match parse_program(ENTRY, (), variables):
             case Ok(cfg):
@@ -175,8 +179,8 @@
                 self.events.record('reload_refused', why=str(problem))
 
     async def drain(self) -> None:
-        """Let callers go elsewhere, then end what is in flight."""
-        began = self._clock.monotonic()
+        """Withdraw from the directory, then wait for requests in flight."""
+        started_at = self._clock.monotonic()
         self.events.record('stopping', in_flight=self.ingress.busy_count)
         self.is_leaving = True
         self.ingress.is_draining = True
@@ -186,25 +190,28 @@
         await asyncio.sleep(max(ACCEPT_REQUESTS_S - ACCEPT_CONNECTIONS_S, 0))
         self._request_handler.is_shutting_down = True
         self.ingress.close_idle()
-        ends_at = began + self._cfg.drain_timeout_s - KILL_MARGIN_S
-        while self.ingress.busy_count and self._clock.monotonic() < ends_at:
+        drain_until = started_at + self._cfg.drain_timeout_s - KILL_MARGIN_S
+        while self.ingress.busy_count and self._clock.monotonic() < drain_until:
             await asyncio.sleep(DRAIN_POLL_S)
         self.events.record('stopped', in_flight=self.ingress.busy_count)
 
     async def close(self) -> None:
-        """Close everything as it stands."""
+        """Close connections and cancel tasks at once."""
         await self.ingress.stop()
         for task in self._tasks:
-            task.remove_done_callback(self._part_ended)
+            task.remove_done_callback(self._stop_on_task_end)
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self.peers.close()
         self._channels.close_idle()
 
-    def _part_ended(self, task: 'asyncio.Task[None]') -> None:
-        """Stop the process rather than serve on with a part that died."""
+    def _stop_on_task_end(self, task: 'asyncio.Task[None]') -> None:
+        """Stop the process, which must not serve without one of its tasks."""
         if not task.cancelled():
-            logger.error('a part ended', exc_info=task.exception())
+            logger.error(
+                'a background task ended; stopping the process',
+                exc_info=task.exception(),
+            )
             self.stopping.set()
 
     def _make_components(self, dialect: HeaderCodec, rng: Random) -> Components:
@@ -231,13 +238,13 @@
                 )
             ),
             self.members.count,
-            self._event_tokens,
+            self._tokens_per_event,
             self._clock,
             self.events,
             self.meters,
         )
 
-    def _readings(self) -> dict[str, Callable[[], float]]:
+    def _gauges(self) -> dict[str, Callable[[], float]]:
         return {
             'manifest_age_seconds': self.book.manifest_age_s,
             'manifest_version': self.book.manifest_version,
@@ -250,25 +257,25 @@
             'peer_bytes': lambda: self.peers.sent.size,
         }
 
-    def _limits(self) -> IngressLimits:
+    def _ingress_limits(self) -> IngressLimits:
         manifest = self.book.manifest
         return manifest.limits if manifest else IngressLimits()
 
-    def _event_tokens(self, service: str) -> int:
+    def _tokens_per_event(self, service: str) -> int:
         manifest = self.book.manifest
         facts = manifest.services.get(service) if manifest else None
         return facts.event_tokens if facts else 1
 
-    def _most_connections(self, runner: RunnerEntry) -> float:
+    def _max_connections(self, runner: RunnerEntry) -> float:
         manifest = self.book.manifest
         facts = manifest.services.get(runner.service) if manifest else None
-        most = facts.max_connections if facts else 1
-        return max(most * CONNECTION_SHARE / self.members.count(), 1)
+        max_total = facts.max_connections if facts else 1
+        return max(max_total * CONNECTION_SHARE / self.members.count(), 1)
 
     def _may_own(self) -> bool:
         return self.is_ready()
 
-    def _state(self) -> tuple[bool, bool]:
+    def _readiness(self) -> tuple[bool, bool]:
         return self.is_ready(), self.is_leaving
 
     def _book_changed(self) -> None:
@@ -281,12 +288,12 @@
         self._channels.keep_only(incarnations)
         self._queues.limits.keep_only(incarnations)
 
-    async def _sweep(self) -> None:
+    async def _sweep_queues(self) -> None:
         loop = asyncio.get_running_loop()
         watched = WatchedSleep(self.events, self._clock, loop.time)
         while True:
             if await watched.sleep(SWEEP_EVERY_S):
-                for feed in self._listener.feeds:
+                for feed in self._message_handler.feeds:
                     feed.wake()
             for _, queue in self._queues:
                 queue.sweep()
@@ -294,5 +301,5 @@
             self.on_sweep()
 
 
-def _nothing() -> None:
-    """Do nothing until a listener is set."""
+def _ignore_sweep() -> None:
+    """Serve as the callback until another one is set."""
--- a/bramleybend/direct/replies.py
+++ b/bramleybend/direct/replies.py
@@ -45,7 +45,7 @@
     body: bytes = b''
     close: bool = False
     reason: str = ''  # why this VM gave it; for the event log
-    # what the decision was based on, for the event log
+    # What the decision was based on, for the event log.
     inputs: Mapping[str, str] = field(default_factory=dict)
 
 
--- a/bramleybend/direct/responder.py
+++ b/bramleybend/direct/responder.py
@@ -33,12 +33,12 @@
         self.has_begun = False
         self.is_incomplete = False
 
-    async def send_reply(self, send_reply: Reply) -> None:
+    async def send_reply(self, reply: Reply) -> None:
         """Send a complete answer."""
-        length = str(len(send_reply.body)).encode()
-        headers = [*send_reply.headers, (b'Content-Length', length)]
-        await self._send_head(send_reply.status, headers, send_reply.close)
-        await self._send(h11.Data(data=send_reply.body), h11.EndOfMessage())
+        length = str(len(reply.body)).encode()
+        headers = [*reply.headers, (b'Content-Length', length)]
+        await self._send_head(reply.status, headers, reply.close)
+        await self._send(h11.Data(data=reply.body), h11.EndOfMessage())
 
     async def begin_stream(self, status: int, headers: HeaderList) -> None:
         """Send the head of an answer whose body is sent in chunks."""
--- a/bramleybend/direct/sse.py
+++ b/bramleybend/direct/sse.py
@@ -20,7 +20,7 @@
 )
 
 _EVENT_END: Final = re.compile(rb'\r\n\r\n|\n\n|\r\r')
-# bytes of a separator that an earlier chunk may hold
+# Bytes of a separator that an earlier chunk may hold
 _END_OVERLAP_BYTES: Final = 3
 _ID: Final = re.compile(rb'^id:[ ]?(.*?)\r?$', re.MULTILINE)
 
