--- a/bramleybend/direct/attempt.py
+++ b/bramleybend/direct/attempt.py
@@ -12,7 +12,7 @@
 from bramleybend.clients.channel import Channel, Head, Outgoing
 from bramleybend.clients.framing import Framing
 from bramleybend.direct.channels import RunnerChannels
-from bramleybend.direct.dialect import HeaderCodec
+from bramleybend.direct.header_codec import HeaderCodec
 from bramleybend.direct.models import RunnerEntry
 from bramleybend.direct.runner_limits import RunnerLimits
 from bramleybend.direct.sse import Event, EventSplitter
--- a/bramleybend/direct/tries.py
+++ b/bramleybend/direct/attempt_dispatcher.py
@@ -14,7 +14,7 @@
     RunStatus,
     WholeAnswer,
 )
-from bramleybend.direct.dialect import ForwardingFacts
+from bramleybend.direct.header_codec import ForwardingFacts
 from bramleybend.direct.job import Components, Job
 from bramleybend.direct.models import RunnerEntry
 from bramleybend.direct.placing import NoSlot, Placement
--- a/bramleybend/direct/feed.py
+++ b/bramleybend/direct/feed.py
@@ -24,12 +24,12 @@
 from bramleybend.clock import Clock
 from bramleybend.direct.beat_messages import FeedNews
 from bramleybend.direct.feed_copy import FeedCopy, Page
-from bramleybend.direct.feed_peers import (
+from bramleybend.direct.peer_progress import (
     BEFORE_FIRST_OFFSET,
     PeerProgress,
     PeerProgressTable,
 )
-from bramleybend.direct.feed_turns import StoreReadSchedule
+from bramleybend.direct.store_read_schedule import StoreReadSchedule
 from bramleybend.errors import Problem
 from bramleybend.events import EventLog
 
--- a/bramleybend/direct/job.py
+++ b/bramleybend/direct/job.py
@@ -5,12 +5,12 @@
 
 from bramleybend.clock import Clock
 from bramleybend.decisions.resends import ResendBudget
+from bramleybend.direct.admission import Admission, AdmissionControl
 from bramleybend.direct.attempt import Attempt, Failure
 from bramleybend.direct.book import Book
 from bramleybend.direct.channels import RunnerChannels
 from bramleybend.direct.containment import Containment
-from bramleybend.direct.dialect import HeaderCodec
-from bramleybend.direct.intake import Admission, AdmissionControl
+from bramleybend.direct.header_codec import HeaderCodec
 from bramleybend.direct.meters import Meters
 from bramleybend.direct.models import RequestFacts
 from bramleybend.direct.placing import Placer
--- a/bramleybend/direct/process.py
+++ b/bramleybend/direct/process.py
@@ -11,22 +11,25 @@
 from bramleybend.clock import Clock
 from bramleybend.decisions.allotments import make_allotment_book
 from bramleybend.decisions.resends import ResendBudget, ResendTerms
+from bramleybend.direct.admission import AdmissionControl
 from bramleybend.direct.book import Book
 from bramleybend.direct.channels import RunnerChannels
 from bramleybend.direct.containment import Containment
-from bramleybend.direct.dialect import HeaderCodec
 from bramleybend.direct.feed import Feed
+from bramleybend.direct.header_codec import HeaderCodec
 from bramleybend.direct.ingress import Ingress
-from bramleybend.direct.intake import AdmissionControl
 from bramleybend.direct.job import Components
-from bramleybend.direct.listener import PeerMessageHandler, SharedTables
 from bramleybend.direct.members import Members, Self
 from bramleybend.direct.meters import Meters
 from bramleybend.direct.models import IngressLimits, RunnerEntry
+from bramleybend.direct.peer_message_handler import (
+    PeerMessageHandler,
+    SharedTables,
+)
 from bramleybend.direct.peers import Peers
 from bramleybend.direct.placing import Placer
 from bramleybend.direct.queues import make_queues
-from bramleybend.direct.service import RequestHandler
+from bramleybend.direct.request_handler import RequestHandler
 from bramleybend.direct.suspension import WatchedSleep
 from bramleybend.entry_settings import ENTRY, EntrySettings
 from bramleybend.events import EventLog
--- a/bramleybend/direct/relay.py
+++ b/bramleybend/direct/relay.py
@@ -13,7 +13,7 @@
     FailureCause,
     RunStatus,
 )
-from bramleybend.direct.dialect import HeaderCodec
+from bramleybend.direct.header_codec import HeaderCodec
 from bramleybend.direct.job import Job
 from bramleybend.direct.placing import Placement, Placer
 from bramleybend.direct.replies import Reply
--- a/bramleybend/direct/replies.py
+++ b/bramleybend/direct/replies.py
@@ -8,7 +8,7 @@
 from typing import Final
 
 from bramleybend.clients.channel import HeaderList
-from bramleybend.direct.dialect import first_header
+from bramleybend.direct.header_codec import first_header
 
 HUNDREDTHS: Final = 100
 JSON_TYPE: Final = b'application/json'
--- a/bramleybend/direct/service.py
+++ b/bramleybend/direct/request_handler.py
@@ -5,20 +5,20 @@
 from http import HTTPStatus
 from typing import Final
 
+from bramleybend.direct.admission import Admission, manifest_wait_s
 from bramleybend.direct.attempt import Failure, WholeAnswer
-from bramleybend.direct.intake import Admission, manifest_wait_s
+from bramleybend.direct.attempt_dispatcher import (
+    CALLER_LEFT,
+    REFUSED_RETRY_AFTER_S,
+    AttemptDispatcher,
+    timeout_failure,
+)
 from bramleybend.direct.job import Components, Job
 from bramleybend.direct.models import RequestFacts
 from bramleybend.direct.placing import NoSlot, Placement
 from bramleybend.direct.relay import StreamRelay
 from bramleybend.direct.replies import RawRequest, Reply, own_reply
 from bramleybend.direct.responder import Responder
-from bramleybend.direct.tries import (
-    CALLER_LEFT,
-    REFUSED_RETRY_AFTER_S,
-    AttemptDispatcher,
-    timeout_failure,
-)
 
 MS_PER_SECOND: Final = 1000
 MIN_SERVER_ERROR_STATUS: Final = 500  # a runner answered with a failure
--- a/bramleybend/direct/feed_turns.py
+++ b/bramleybend/direct/store_read_schedule.py
@@ -6,7 +6,7 @@
 from typing import Final, TypeAlias
 
 from bramleybend.clock import Clock
-from bramleybend.direct.feed_peers import PeerProgressTable
+from bramleybend.direct.peer_progress import PeerProgressTable
 
 # Two, because one may freeze or be cut off just as it gets a change. The others
 # notice that only a second later, by the age of their copies.
--- a/bramleybend/platform/headers.py
+++ b/bramleybend/platform/headers.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 from bramleybend.clients.channel import Head, HeaderList
-from bramleybend.direct.dialect import (
+from bramleybend.direct.header_codec import (
     AnswerFacts,
     ForwardingFacts,
     HeaderCodec,
--- a/bramleybend/platform/program.py
+++ b/bramleybend/platform/program.py
@@ -6,7 +6,7 @@
 from bramleybend.clock import Clock
 from bramleybend.direct.feed import Feed, FeedSettings
 from bramleybend.direct.ingress import Ingress
-from bramleybend.direct.last_known import BackedUpLog, LogBackup
+from bramleybend.direct.log_backup import BackedUpLog, LogBackup
 from bramleybend.direct.models import IngressLimits
 from bramleybend.direct.process import EntryProcess
 from bramleybend.direct.runner_list import RunnerList
--- a/tests/direct/test_left_callers.py
+++ b/tests/direct/test_left_callers.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from bramleybend.direct.tries import UNSENT
+from bramleybend.direct.attempt_dispatcher import UNSENT
 from tests.direct.world import (
     ENGINE,
     HOST,
--- a/tests/utils/peer_network.py
+++ b/tests/utils/peer_network.py
@@ -19,8 +19,11 @@
 )
 from bramleybend.direct.book import Book
 from bramleybend.direct.containment import Containment
-from bramleybend.direct.listener import PeerMessageHandler, SharedTables
 from bramleybend.direct.members import BEAT_S, Members, Self
+from bramleybend.direct.peer_message_handler import (
+    PeerMessageHandler,
+    SharedTables,
+)
 from bramleybend.direct.peers import Peers
 from bramleybend.direct.placing import Placer
 from bramleybend.direct.queues import make_queues
