--- a/bramleybend/direct/attempt.py
+++ b/bramleybend/direct/attempt.py
@@ -75,14 +75,14 @@
     def __init__(
         self,
         channels: RunnerChannels,
-        dialect: HeaderCodec,
+        header_codec: HeaderCodec,
         limits: RunnerLimits,
         runner: RunnerEntry,
         attempt_id: str,
     ) -> None:
         """Create an attempt; `send` opens the connection."""
         self._channels = channels
-        self._dialect = dialect
+        self._header_codec = header_codec
         self._limits = limits
         self._attempt_id = attempt_id
         self._memory = channels.memory.reserve()
@@ -194,7 +194,7 @@
         """
         for _ in range(MAX_FOREIGN_ANSWERS):
             head = await channel.head()
-            answered_id = self._dialect.answer_facts(head).attempt_id
+            answered_id = self._header_codec.answer_facts(head).attempt_id
             if answered_id == self._attempt_id or not answered_id:
                 return head
             await channel.body(MAX_DISCARDED_BYTES)
@@ -202,13 +202,13 @@
         raise EOFError('the runner answers other requests in place of ours')
 
     def _record_limit(self, head: Head, sent_at: float) -> None:
-        facts = self._dialect.answer_facts(head)
+        facts = self._header_codec.answer_facts(head)
         if facts.attempt_id == self._attempt_id and facts.limit is not None:
             runner = self.runner.incarnation
             self._limits.answered(runner, facts.limit, sent_at)
 
     async def _check_head(self, head: Head) -> Head | Failure:
-        facts = self._dialect.answer_facts(head)
+        facts = self._header_codec.answer_facts(head)
         if facts.not_run:
             await self._discard_body()
             reason = f'the runner answered {head.status}'
@@ -221,7 +221,7 @@
         is_success = head.status < HTTPStatus.MULTIPLE_CHOICES
         is_own = facts.attempt_id == self._attempt_id
         if is_success and not (
-            facts.has_proof and is_own and self._dialect.is_whole(head)
+            facts.has_proof and is_own and self._header_codec.is_whole(head)
         ):
             self.drop_connection()
             reason = 'the answer bears no proof'
--- a/bramleybend/direct/attempt_dispatcher.py
+++ b/bramleybend/direct/attempt_dispatcher.py
@@ -81,7 +81,7 @@
         """Create the attempt that sends a job to the runner of its slot."""
         job.current_attempt = Attempt(
             self._components.channels,
-            self._components.dialect,
+            self._components.header_codec,
             self._components.runner_limits,
             placement.runner,
             job.facts.attempt_id,
@@ -90,14 +90,14 @@
 
     def make_outgoing(self, job: Job, runner: RunnerEntry) -> Outgoing:
         """Return the request with the headers rewritten for the runner."""
-        onward = ForwardingFacts(
+        forwarding = ForwardingFacts(
             runner,
             job.admission.workspace,
             max(self.remaining_s(job), 0),
             job.last_event_id or job.facts.resume_after,
         )
-        headers = self._components.dialect.runner_headers(
-            job.req.headers, onward
+        headers = self._components.header_codec.runner_headers(
+            job.req.headers, forwarding
         )
         return Outgoing(job.req.method, job.req.target, headers, job.req.body)
 
@@ -319,5 +319,5 @@
 
 def timeout_failure(attempt: Attempt) -> Failure:
     """Return the failure of an attempt that ran out of time."""
-    fate = RunStatus.MAY_HAVE_RUN if attempt.sent else RunStatus.NOT_RUN
-    return Failure(fate, TIMEOUT, FailureCause.NONE)
+    run_status = RunStatus.MAY_HAVE_RUN if attempt.sent else RunStatus.NOT_RUN
+    return Failure(run_status, TIMEOUT, FailureCause.NONE)
--- a/bramleybend/direct/header_codec.py
+++ b/bramleybend/direct/header_codec.py
@@ -36,7 +36,7 @@
         """Return what the headers of a caller's request state."""
 
     def runner_headers(
-        self, headers: HeaderList, onward: ForwardingFacts
+        self, headers: HeaderList, forwarding: ForwardingFacts
     ) -> list[tuple[bytes, bytes]]:
         """Return the headers to send to a runner, without framing headers."""
 
--- a/bramleybend/direct/job.py
+++ b/bramleybend/direct/job.py
@@ -67,7 +67,7 @@
     containment: Containment
     runner_limits: RunnerLimits
     channels: RunnerChannels
-    dialect: HeaderCodec
+    header_codec: HeaderCodec
     resend_budget: ResendBudget
     vm_count: Callable[[], int]
     event_tokens: Callable[[str], int]
--- a/bramleybend/direct/process.py
+++ b/bramleybend/direct/process.py
@@ -61,7 +61,7 @@
         self,
         cfg: EntrySettings,
         clock: Clock,
-        dialect: HeaderCodec,
+        header_codec: HeaderCodec,
         rng: Random,
     ) -> None:
         """Build the components; nothing is started yet."""
@@ -124,7 +124,7 @@
         self.peers.add_seeds(cfg.seed_addresses())
         self.placer.send = self.peers.send
         self._request_handler = RequestHandler(
-            self._make_components(dialect, rng)
+            self._make_components(header_codec, rng)
         )
         self.ingress = Ingress(
             self._request_handler.handle,
@@ -217,7 +217,9 @@
             )
             self.stopping.set()
 
-    def _make_components(self, dialect: HeaderCodec, rng: Random) -> Components:
+    def _make_components(
+        self, header_codec: HeaderCodec, rng: Random
+    ) -> Components:
         return Components(
             self.book,
             AdmissionControl(
@@ -232,7 +234,7 @@
             self._containment,
             self._queues.limits,
             self._channels,
-            dialect,
+            header_codec,
             ResendBudget(
                 ResendTerms(
                     self._cfg.resend_ratio,
--- a/bramleybend/direct/relay.py
+++ b/bramleybend/direct/relay.py
@@ -30,7 +30,7 @@
         self,
         job: Job,
         responder: Responder,
-        dialect: HeaderCodec,
+        header_codec: HeaderCodec,
         placer: Placer,
         placement: Placement,
         clock: Clock,
@@ -38,7 +38,7 @@
         """Create a relay to a responder."""
         self._job = job
         self._responder = responder
-        self._dialect = dialect
+        self._header_codec = header_codec
         self._placer = placer
         self._placed = placement
         self._clock = clock
@@ -76,7 +76,7 @@
             return Failure(RunStatus.MAY_HAVE_RUN, reason, FailureCause.NONE)
         if _is_failure(head):
             self._job.runner_error_status = head.status
-        headers = self._dialect.caller_headers(head)
+        headers = self._header_codec.caller_headers(head)
         await self._responder.send_reply(
             Reply(head.status, headers, answer.body)
         )
@@ -99,7 +99,7 @@
         self._job.last_event_id = event.event_id or self._job.last_event_id
 
     async def _begin_answer(self, head: Head) -> None:
-        headers = self._dialect.caller_headers(head)
+        headers = self._header_codec.caller_headers(head)
         await self._responder.begin_stream(head.status, headers)
 
 
--- a/bramleybend/direct/request_handler.py
+++ b/bramleybend/direct/request_handler.py
@@ -39,7 +39,7 @@
         if self.is_shutting_down:
             await responder.send_reply(_shutdown_reply())
             return
-        facts = self._components.dialect.request_facts(req.headers)
+        facts = self._components.header_codec.request_facts(req.headers)
         await self._components.book.wait_until_complete(manifest_wait_s(facts))
         admission = self._components.admission_control.admit(req, facts)
         if isinstance(admission, Reply):
@@ -128,7 +128,9 @@
                 if not self._dispatcher.take_retry(job, outcome):
                     return self._dispatcher.failure_reply(job, outcome)
             elif not self._should_rerun(job, outcome.head.status):
-                headers = self._components.dialect.caller_headers(outcome.head)
+                headers = self._components.header_codec.caller_headers(
+                    outcome.head
+                )
                 return Reply(outcome.head.status, headers, outcome.body)
 
     async def _try_buffered(
@@ -193,7 +195,7 @@
         relay = StreamRelay(
             job,
             responder,
-            self._components.dialect,
+            self._components.header_codec,
             self._components.placer,
             placement,
             self._components.clock,
--- a/bramleybend/platform/headers.py
+++ b/bramleybend/platform/headers.py
@@ -33,7 +33,7 @@
 _DROPPED: Final = frozenset(name.encode() for name in SYSTEM_HEADERS)
 
 
-class PlatformDialect:
+class PlatformHeaderCodec:
     """The headers as the platform's pages name them."""
 
     def request_facts(self, headers: HeaderList) -> RequestFacts:
@@ -54,22 +54,22 @@
         )
 
     def runner_headers(
-        self, headers: HeaderList, onward: ForwardingFacts
+        self, headers: HeaderList, forwarding: ForwardingFacts
     ) -> list[tuple[bytes, bytes]]:
         """Return the headers that a runner gets, without framing."""
         dropped = _DROPPED | hop_by_hop_names(headers)
         kept = [
             (key, text) for key, text in headers if key.lower() not in dropped
         ]
-        left_ms = max(int(onward.remaining_s * MILLISECONDS), 1)
+        left_ms = max(int(forwarding.remaining_s * MILLISECONDS), 1)
         ours = [
             (PATIENCE_MS, str(left_ms)),
-            (EXPECT_RUNNER, onward.runner.name),
+            (EXPECT_RUNNER, forwarding.runner.name),
         ]
-        if onward.workspace:
-            ours.append((WORKSPACE, onward.workspace))
-        if onward.resume_after:
-            ours.append((LAST_EVENT_ID, onward.resume_after))
+        if forwarding.workspace:
+            ours.append((WORKSPACE, forwarding.workspace))
+        if forwarding.resume_after:
+            ours.append((LAST_EVENT_ID, forwarding.resume_after))
         return kept + [(key.encode(), text.encode()) for key, text in ours]
 
     def answer_facts(self, head: Head) -> AnswerFacts:
@@ -105,7 +105,7 @@
 
 def make_header_codec() -> HeaderCodec:
     """Make the dialect of the platform."""
-    return PlatformDialect()
+    return PlatformHeaderCodec()
 
 
 def _text(headers: HeaderList, name: str) -> str:
--- a/bramleybend/platform/program.py
+++ b/bramleybend/platform/program.py
@@ -75,7 +75,7 @@
     def _metrics(self) -> bytes:
         # Imported at the first scrape; `meters` tells why.
         module = import_module('bramleybend.direct.exposition')
-        return bytes(module.exposition(self.entry.meters))
+        return bytes(module.render_metrics(self.entry.meters))
 
     def _manifest_feed(self) -> Feed:
         feed = self._feed(MANIFEST_FEED)
