--- a/tests/direct/world.py
+++ b/tests/direct/cluster.py
@@ -1,4 +1,4 @@
-"""Entry VMs, a store and runners in one event loop, over loopback."""
+"""Runs entry VMs, a store and fake runners in one event loop."""
 
 import asyncio
 import itertools
@@ -20,7 +20,7 @@
 ENGINE, PLAIN = 'engine-service', 'plain-service'
 KEY = 'key-1'
 HOST = 'desk.example'
-# Tests run beside each other, each process with a network of its own.
+# Test processes run in parallel, each in its own loopback subnet.
 _SUBNET = 20 + os.getpid() % 200
 _PORTS = itertools.count(21_000)
 
@@ -73,18 +73,19 @@
 
 
 @dataclass
-class World:
-    """What a test plays with."""
+class Cluster:
+    """A store, entry VMs and runners of a test."""
 
     store: PlatformStore
     vms: list[PlatformProcess] = field(default_factory=list)
     cfgs: list[EntrySettings] = field(default_factory=list)
     runners: dict[str, RawRunner] = field(default_factory=dict)
     clock: Clock = field(default_factory=SystemClock)
-    more: Mapping[str, Any] = field(default_factory=dict)  # settings
+    # further settings of the VMs
+    extra_settings: Mapping[str, Any] = field(default_factory=dict)
 
     def publish(self, declared: Mapping[str, Any]) -> None:
-        """Put a manifest into the store."""
+        """Write a manifest to the store."""
         self.store.put('keyed.op', 'config', declared)
 
     async def add_runner(
@@ -98,7 +99,7 @@
         return runner
 
     async def add_vm(self) -> PlatformProcess:
-        """Start an entry VM that knows the first as its seed."""
+        """Start an entry VM with the first one as its seed."""
         cfg = self._settings(len(self.vms) + 1)
         vm = make_platform_process(cfg, self.clock)
         await vm.start()
@@ -106,8 +107,8 @@
         self.cfgs.append(cfg)
         return vm
 
-    async def ready(self) -> None:
-        """Wait until every VM is ready and hears all others."""
+    async def wait_until_ready(self) -> None:
+        """Wait until each VM is ready and hears all others."""
         await wait_until(
             lambda: all(
                 len(vm.entry.front_addresses()) == len(self.vms)
@@ -116,8 +117,8 @@
             'all VMs ready',
         )
 
-    async def knows(self, service: str, count: int = 1) -> None:
-        """Wait until every VM knows so many runners of a service."""
+    async def wait_for_runners(self, service: str, count: int = 1) -> None:
+        """Wait until each VM knows `count` runners of a service."""
         await wait_until(
             lambda: all(
                 len(vm.entry.book.runners.get(service, ())) == count
@@ -157,18 +158,18 @@
             store=HostPort(
                 host=self.store.server.host, port=self.store.server.port
             ),
-            **{'first_start': True, **self.more},
+            **{'first_start': True, **self.extra_settings},
         )
 
 
 @dataclass
 class RawAnswer:
-    """What a caller got."""
+    """An answer as its caller received it."""
 
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool
+    is_whole: bool
 
     def json(self) -> Any:
         """Read the body as JSON."""
@@ -176,7 +177,7 @@
 
 
 class RawCaller:
-    """A caller's connection, by plain bytes."""
+    """A caller's connection, which sends and reads plain bytes."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -212,7 +213,7 @@
         await self.writer.drain()
 
     async def answer(self, timeout_s: float = 8) -> RawAnswer:
-        """Read one answer; a torn one isn't whole."""
+        """Read one answer; an incomplete one has `whole` unset."""
         async with asyncio.timeout(timeout_s):
             head = (await self.reader.readuntil(b'\r\n\r\n')).decode()
             first, *lines = head.strip().split('\r\n')
@@ -220,14 +221,16 @@
             for line in lines:
                 name, _, text = line.partition(':')
                 headers[name.lower()] = text.strip()
-            body, whole = await self._body(headers)
+            body, whole = await self._read_body(headers)
         return RawAnswer(int(first.split()[1]), headers, body, whole)
 
     def close(self) -> None:
-        """Leave."""
+        """Disconnect."""
         self.writer.close()
 
-    async def _body(self, headers: Mapping[str, str]) -> tuple[bytes, bool]:
+    async def _read_body(
+        self, headers: Mapping[str, str]
+    ) -> tuple[bytes, bool]:
         body = b''
         try:
             if 'content-length' in headers:
@@ -249,23 +252,23 @@
 
 
 @asynccontextmanager
-async def playing(
+async def running_cluster(
     vms: int = 1, clock: Clock | None = None, **more: Any
-) -> AsyncIterator[World]:
-    """Start a store with a manifest, and entry VMs; end all of it."""
+) -> AsyncIterator[Cluster]:
+    """Start a store with a manifest and entry VMs; stop them at the end."""
     store = PlatformStore(f'127.{_SUBNET}.8.1')
     await store.server.start()
-    world = World(store, clock=clock or SystemClock(), more=more)
-    world.publish(manifest())
+    cluster = Cluster(store, clock=clock or SystemClock(), extra_settings=more)
+    cluster.publish(manifest())
     store.topic('keyed.servers')
     try:
         for _ in range(vms):
-            await world.add_vm()
-        await world.ready()
-        yield world
+            await cluster.add_vm()
+        await cluster.wait_until_ready()
+        yield cluster
     finally:
-        for vm in world.vms:
+        for vm in cluster.vms:
             await vm.kill()
-        for runner in world.runners.values():
+        for runner in cluster.runners.values():
             await runner.stop()
         await store.server.stop()
--- a/tests/direct/entry_process.py
+++ b/tests/direct/entry_process.py
@@ -1,4 +1,4 @@
-"""Runs `bramleybend-entry` with a settings file, as the platform does."""
+"""Runs `bramleybend-entry` with a settings file, as the platform starts it."""
 
 import os
 import sys
--- a/tests/direct/test_allotments_after_restart.py
+++ b/tests/direct/test_allotments_after_restart.py
@@ -1,4 +1,4 @@
-"""VMs that start again beside others, or all at once, keep to allotments."""
+"""Restarts of some or all VMs keep workspaces within their allotments."""
 
 import pytest
 
@@ -10,13 +10,13 @@
 RATE = 50_000
 TOLERANCE = Tolerance(window_s=8, overage=0.1, slack=64_000)
 UNITS = 800  # of one request
-STRONG = 8  # of many VMs
+STRONG = 8  # VMs of higher capacity, if there are many VMs
 
 
 def demand_on(
     count: int, burst_s: float, times: float, *, are_idle: bool = False
 ) -> Demand:
-    """Return callers who ask for many times the rate of some VMs.
+    """Return callers that demand a multiple of the allotted rate.
 
     `burst_s` is the burst in seconds of the rate.
     """
@@ -43,10 +43,10 @@
 def test_a_restart_of_all_vms_lets_in_no_second_burst(
     count: int, burst_s: float, within_s: float
 ) -> None:
-    """A busy workspace's units overload the runners after an outage.
+    """A restart of all VMs must not give a busy workspace a second burst.
 
-    All VMs lose what they knew, and start again within a second. No VM can
-    tell the others what the workspace owes.
+    All VMs lose their state and restart within a second, so none can tell the
+    others what the workspace owes. A second burst would overload the runners.
     """
     demand = demand_on(count, burst_s, times=5)
     demand.run(3)
@@ -59,7 +59,7 @@
 def test_a_restart_of_all_vms_keeps_the_contracts_on_idle_runners(
     count: int,
 ) -> None:
-    """What idle runners took before an outage is let in again after it."""
+    """Units admitted because runners were idle count after a restart, too."""
     demand = demand_on(count, burst_s=6, times=5, are_idle=True)
     demand.run(3)
     demand.restart(range(count), down_s=1, within_s=0.3)
@@ -68,7 +68,7 @@
 
 
 def test_the_first_start_of_a_system_has_its_whole_burst() -> None:
-    """Callers are refused though their workspace has used nothing yet."""
+    """On a system's first start, workspaces have their whole burst."""
     demand = demand_on(69, burst_s=6, times=5)
     began = demand.network.clock.monotonic()
     demand.run(3)
@@ -78,10 +78,10 @@
 
 @pytest.mark.parametrize('count', [6, 9, 69])
 def test_a_vm_that_starts_beside_others_serves_at_once(count: int) -> None:
-    """Callers of a VM that was restarted are refused what is allotted.
+    """A restarted VM must not reject requests within the allotment.
 
     The workspace asks for half its rate. The other VMs know what it owes and
-    tell the VM with the answer to its first heartbeat.
+    report it in the answer to the VM's first heartbeat.
     """
     demand = demand_on(count, burst_s=6, times=0.5)
     demand.run(2)
@@ -96,7 +96,7 @@
 
 
 def test_vms_that_are_added_serve_at_once() -> None:
-    """Callers of added VMs are refused what is allotted."""
+    """Added VMs must not reject requests within the allotment."""
     demand = demand_on(30, burst_s=6, times=0.5)
     demand.run(1)
     added = [demand.network.add(number, 'added') for number in range(30, 42)]
@@ -110,10 +110,10 @@
 def test_a_rolling_restart_refuses_nothing_that_is_allotted(
     are_all_restarted: bool,
 ) -> None:
-    """Callers are refused on each VM in turn, for as long as it knows nothing.
+    """In a rolling restart, a VM rejects requests for two heartbeats at most.
 
-    Also while all accounts are young, a few seconds after all VMs started
-    again.
+    This also holds a few seconds after a restart of all VMs, while no VM knows
+    the spending for long.
     """
     demand = demand_on(9, burst_s=2, times=0.5)
     demand.run(1)
@@ -132,7 +132,7 @@
 
 @pytest.mark.parametrize('count', [9, 69])
 def test_a_rolling_restart_lets_in_no_burst_for_each_vm(count: int) -> None:
-    """A busy workspace gets a burst from each VM that starts again."""
+    """Restarted VMs must not each give a busy workspace a burst."""
     demand = demand_on(count, burst_s=6, times=5)
     demand.run(2)
     for number in range(9):
@@ -142,10 +142,11 @@
 
 
 def test_what_vms_assume_after_a_start_is_not_taken_for_known() -> None:
-    """VMs that ran on refuse a workspace that owes nothing.
+    """A burst that restarted VMs assume as spent is not reported as spent.
 
-    The VMs of one domain start again while they hear only each other, and take
-    the workspace's burst for spent. Then they and the others hear each other.
+    The VMs of one domain restart while they hear only each other, so they
+    assume that the workspace's burst is spent. Once they hear the other VMs
+    again, nobody may reject the workspace, which owes nothing.
     """
     demand = demand_on(9, burst_s=6, times=0.5)
     demand.run(2)
@@ -165,10 +166,10 @@
 
 
 def test_vms_that_start_again_with_all_seeds_soon_hear_what_is_owed() -> None:
-    """Callers of half the VMs are refused until their bursts are paid back.
+    """Restarted VMs learn what is owed even if all seeds restarted with them.
 
-    All seeds are among the VMs that start again, so these find the others
-    only when the others try those that went silent.
+    They find the others only when the others contact VMs that went silent.
+    Until then they reject requests as if bursts were spent.
     """
     demand = demand_on(30, burst_s=6, times=0.5)
     demand.run(2)
@@ -185,7 +186,10 @@
 
 
 def test_after_a_restart_of_all_the_rate_pays_the_burst_back() -> None:
-    """A workspace that owed nothing is refused long after the restart."""
+    """After a restart of all VMs, the assumed debt is paid back at the rate.
+
+    A workspace that owed nothing must not be rejected for longer than that.
+    """
     demand = demand_on(9, burst_s=2, times=0.5)
     demand.run(1)
     demand.restart(range(9), down_s=1, within_s=0.3)
--- a/tests/direct/test_ask_messages.py
+++ b/tests/direct/test_ask_messages.py
@@ -1,4 +1,4 @@
-"""What an asking VM says of a request, as the owner reads it."""
+"""Encoding of the asks that a VM sends to an owner."""
 
 from dataclasses import replace
 from math import inf
@@ -29,20 +29,22 @@
 
 
 def test_an_ask_arrives_as_it_was_sent() -> None:
-    """Times are told as time left, as the two VMs' clocks differ.
+    """Times are sent as remaining times, since the clocks of VMs differ.
 
-    Nothing is lost on the way that the owner decides by: the tier, when a
-    start is on time, which runners are left out, whether it runs alone.
+    Everything that the owner decides by is preserved: the tier, the time until
+    which a start is punctual, the excluded runners, and whether it runs alone.
     """
     told = decode(encode(ask_news(ASK, 100.0)))
     assert isinstance(told, AskNews)
-    heard = ask_from(told, 7.0)
-    assert heard == replace(ASK, deadline=15.0, on_time_until=7.5, begin_by=9.0)
+    received = ask_from(told, 7.0)
+    assert received == replace(
+        ASK, deadline=15.0, on_time_until=7.5, begin_by=9.0
+    )
 
 
 @pytest.mark.parametrize('missing', [1, 2])
 def test_an_ask_of_an_earlier_version_is_read(missing: int) -> None:
-    """During an update VMs of both versions serve callers."""
+    """During an update, VMs of both versions serve callers."""
     ask = replace(ASK, connected=frozenset({'r1'}))
     fields = msgspec.msgpack.decode(encode(ask_news(ask, 100.0)))
     told = decode(msgspec.msgpack.encode(fields[:-missing]))
@@ -56,7 +58,7 @@
 
 
 def test_a_heartbeat_of_an_earlier_version_is_read() -> None:
-    """Unread, each VM of one version would take the others for gone."""
+    """If it could not be read, VMs of the two versions would seem dead."""
     profile = Profile('vm', 'i', 'a', 'd', 1, 'f', ready=True, leaving=False)
     beat = Beat(profile, Scope.NONE, 1, [], [], True, None, [])
     fields = msgspec.msgpack.decode(encode(beat))
--- a/tests/direct/test_asking_owners.py
+++ b/tests/direct/test_asking_owners.py
@@ -1,4 +1,4 @@
-"""Whom a VM asks for a slot at an engine."""
+"""Which VM is asked for a slot at an engine."""
 
 import asyncio
 from random import Random
@@ -30,10 +30,10 @@
 
 
 class Asker:
-    """A VM that knows two others and one engine."""
+    """A VM that knows two other VMs and one engine."""
 
     def __init__(self) -> None:
-        """Know them for long enough to ask them."""
+        """Register members that were heard long enough to be asked."""
         clock = SystemClock()
         events = EventLog('vm', 'i', clock, kept=0)
         members = Members(Self('vm', 'i', 'vm', 'vm:80'))
@@ -48,16 +48,16 @@
         book.take_runners({'r1': RUNNER})
         queues = make_queues(book, members, clock, events, Random(1))
         self.placer = Placer(book, members, queues, clock, events)
-        self.placer.send = self.take_sent
+        self.placer.send = self.record_ask
         self.asks: list[tuple[AskNews, str]] = []
 
-    def take_sent(self, message: Message, address: str) -> None:
-        """Note whom an ask goes to."""
+    def record_ask(self, message: Message, address: str) -> None:
+        """Record the receiver of an ask."""
         if isinstance(message, AskNews):
             self.asks.append((message, address))
 
     def place(self) -> 'asyncio.Task[object]':
-        """Ask for a slot."""
+        """Start to ask for a slot."""
         later = SystemClock().monotonic() + 60
         ask = Ask(
             'a', SERVICE, Tier.HIGH, 'w', 9, 5, (), later, cancellable=False
@@ -65,28 +65,31 @@
         return asyncio.create_task(self.placer.place(ask))
 
     def grant(self, runner: str) -> None:
-        """Let the VM that was asked last grant a runner."""
+        """Answer the last ask with a grant of a runner."""
         self.answer(Granted(self.asks[-1][0].request_id, runner))
 
     def answer(self, message: Message) -> None:
-        """Take in a word about an ask."""
+        """Deliver a message about an ask."""
         self.placer.take(message, '', lambda reply: None)
 
-    def asks_of(self, vm: str) -> int:
-        """Count what one VM was asked."""
+    def count_asks(self, vm: str) -> int:
+        """Return the number of asks sent to one VM."""
         return sum(one == vm for _, one in self.asks)
 
 
 @pytest.fixture
 async def asker() -> Asker:
-    """Return a VM that asks."""
+    """Return a VM that asks for slots."""
     return Asker()
 
 
 async def test_an_owner_that_grants_an_unknown_runner_is_asked_again(
     asker: Asker,
 ) -> None:
-    """News of runners differs for a moment; the owner still orders them."""
+    """Runner lists of VMs differ briefly; the owner still schedules.
+
+    The next ask excludes the unknown runner.
+    """
     placing = asker.place()
     await wait_until(lambda: len(asker.asks) == 1, 'an ask')
     asker.grant('unheard-of')
@@ -101,9 +104,9 @@
 
 
 async def test_the_successor_of_a_silent_owner_is_asked(asker: Asker) -> None:
-    """Each VM for itself, all would start at the same runners."""
+    """If VMs scheduled on their own, they would overload the same runners."""
     placing = asker.place()
-    await wait_until(lambda: asker.asks_of('successor') > 0, 'the successor')
+    await wait_until(lambda: asker.count_asks('successor') > 0, 'the successor')
     assert asker.asks[-1][1] == 'successor'
     asker.grant('r1')
     placed = await placing
@@ -115,9 +118,9 @@
 async def test_a_late_grant_of_a_silent_owner_is_not_its_successors(
     asker: Asker,
 ) -> None:
-    """A slot is given back where it was granted."""
+    """The slot of a late grant belongs to the VM that granted it."""
     placing = asker.place()
-    await wait_until(lambda: asker.asks_of('successor') > 0, 'the successor')
+    await wait_until(lambda: asker.count_asks('successor') > 0, 'the successor')
     asker.answer(Queued(asker.asks[-1][0].request_id))
     asker.answer(Granted(asker.asks[0][0].request_id, 'r1'))
     with pytest.raises(TimeoutError):
@@ -132,14 +135,14 @@
 async def test_an_ask_goes_back_to_an_owner_that_answers_again(
     asker: Asker,
 ) -> None:
-    """It would wait for slots that the owner fills with lower tiers."""
+    """Otherwise it would wait while the owner gives slots to lower tiers."""
     placing = asker.place()
-    await wait_until(lambda: asker.asks_of('successor') > 0, 'the successor')
-    asked = asker.asks_of('owner')
+    await wait_until(lambda: asker.count_asks('successor') > 0, 'the successor')
+    asked = asker.count_asks('owner')
 
     def is_back() -> bool:
         asker.answer(Queued(asker.asks[-1][0].request_id))
-        return asker.asks_of('owner') > asked
+        return asker.count_asks('owner') > asked
 
     await wait_until(is_back, 'the owner', 3)
     asker.grant('r1')
@@ -152,7 +155,7 @@
 async def test_a_vm_that_reaches_no_owner_orders_for_itself(
     asker: Asker,
 ) -> None:
-    """A VM that is cut off from all others still serves."""
+    """A VM that is cut off from all others schedules on its own."""
     placed = await asker.place()
     assert isinstance(placed, Placement)
     assert placed.owner is None
--- a/tests/direct/test_attempt.py
+++ b/tests/direct/test_attempt.py
@@ -1,4 +1,4 @@
-"""One try at a runner."""
+"""One attempt at a runner."""
 
 import asyncio
 import socket
@@ -23,30 +23,30 @@
 
 
 class SlowChannels:
-    """Opens a connection after a while; notes what became of it."""
+    """Opens connections slowly and records whether they were returned."""
 
     def __init__(self) -> None:
-        """Start with none."""
-        self.kept = False
+        """Start without connections."""
+        self.was_returned = False
         self.memory = AnswerMemory(0)
 
-    async def take(self, runner: RunnerEntry) -> Channel:
-        """Return a connection that is not written to."""
+    async def acquire(self, runner: RunnerEntry) -> Channel:
+        """Return a connection after a delay."""
         await asyncio.sleep(OPENING_S)
         return cast(Channel, Mock(usable=True))
 
     def drop(self, runner: RunnerEntry, channel: Channel) -> None:
-        """Take a connection back."""
-        self.kept = True
+        """Record that a connection was returned."""
+        self.was_returned = True
 
 
-def unused() -> Outgoing:
-    """Fail: a request that is not sent is not made."""
+def fail_if_built() -> Outgoing:
+    """Fail the test: a request that is not sent must not be built."""
     raise AssertionError('the request was made')
 
 
 async def test_nothing_is_sent_once_the_connection_opens_too_late() -> None:
-    """A runner gets no request whose caller's time ended meanwhile."""
+    """A request whose time ran out while connecting is not sent."""
     clock = SystemClock()
     channels = SlowChannels()
     attempt = Attempt(
@@ -57,34 +57,37 @@
         'a1',
     )
     send_by = clock.monotonic() + OPENING_S / 2
-    outcome = await attempt.send(unused, send_by)
+    outcome = await attempt.send(fail_if_built, send_by)
     assert isinstance(outcome, Failure)
     assert outcome.run_status is RunStatus.NOT_RUN
     assert not attempt.sent
     attempt.drop_connection()
-    assert channels.kept
+    assert channels.was_returned
 
 
 async def test_a_connection_that_its_runner_has_closed_is_not_used() -> None:
-    """A booking isn't told that it may have run where nothing was sent."""
+    """If nothing could be sent, a booking must not count as possibly run.
+
+    The attempt opens another connection instead.
+    """
     clock = SystemClock()
     channels = RunnerChannels(clock, MessageBounds(), AnswerMemory(0))
     limits = RunnerLimits(clock, cast(EventLog, cast(Any, None)), Random(1))
     with socket.create_server(('127.0.0.1', 0)) as listener:
         runner = replace(RUNNER, port=listener.getsockname()[1])
         channel = await channels.acquire(runner)
-        closing, _ = listener.accept()
+        closed_conn, _ = listener.accept()
         channels.drop(runner, channel)
-        closing.close()
+        closed_conn.close()
         attempt = Attempt(channels, make_header_codec(), limits, runner, 'a1')
-        begun = asyncio.create_task(
+        sending = asyncio.create_task(
             attempt.send(request, clock.monotonic() + OPENING_S)
         )
         await asyncio.sleep(OPENING_S)
         conn, _ = listener.accept()
         conn.settimeout(1)
         assert conn.recv(4) == b'POST'
-        begun.cancel()
+        sending.cancel()
         attempt.drop_connection()
         conn.close()
 
--- a/tests/direct/test_callers.py
+++ b/tests/direct/test_callers.py
@@ -1,30 +1,30 @@
-"""Callers that leave, dawdle, or send what is no request."""
+"""Callers that disconnect, are slow, or send invalid requests."""
 
 import asyncio
 
 import pytest
 
-from tests.direct.world import (
+from tests.direct.cluster import (
     ENGINE,
     HOST,
     KEY,
     PLAIN,
-    World,
+    Cluster,
     manifest,
-    playing,
     route,
+    running_cluster,
 )
 from tests.utils.raw_runner import Seen, answers, chunk, event
 from tests.utils.waiting import wait_until
 
 
 async def hangs(seen: Seen) -> None:
-    """Take the request and say nothing until its caller has left."""
+    """Accept the request and send nothing until the caller disconnects."""
     await seen.left.wait()
 
 
 async def streams_on(seen: Seen) -> None:
-    """Stream without an end."""
+    """Stream many events."""
     seen.writer.write(seen.stream_head())
     for number in range(1, 1000):
         seen.writer.write(chunk(event(number)))
@@ -42,15 +42,15 @@
 async def test_a_caller_that_leaves_cancels_its_run(
     target: str, service: str, behave: object
 ) -> None:
-    """The runner's connection closes well within half a second.
+    """The runner's connection closes within 0.3 s of the caller's.
 
-    The caller closes while its request runs; whether nothing has come yet or
-    a stream is under way, the runner is told by the closed connection.
+    The caller disconnects before the first byte of an answer or within a
+    stream; the closed connection tells the runner to abort.
     """
-    async with playing() as world:
-        runner = await world.add_runner('r1', service, behave)  # type: ignore[arg-type]
-        await world.knows(service)
-        caller = await world.connect()
+    async with running_cluster() as cluster:
+        runner = await cluster.add_runner('r1', service, behave)  # type: ignore[arg-type]
+        await cluster.wait_for_runners(service)
+        caller = await cluster.connect()
         await caller.send(target)
         await wait_until(lambda: bool(runner.seen), 'the run')
         await asyncio.sleep(0.05)
@@ -59,15 +59,15 @@
 
 
 async def test_a_caller_that_leaves_the_queue_is_never_run() -> None:
-    """The runner sees nothing of a request whose caller left while it waited.
+    """A queued request whose caller disconnects reaches no runner.
 
-    All four slots are taken; a fifth request waits and its caller closes.
-    Then a slot comes free.
+    Four requests hold all slots and a fifth waits when its caller disconnects.
+    Then the slots are released.
     """
-    async with playing() as world:
-        runner = await world.add_runner('r1', ENGINE, hangs)
-        await world.knows(ENGINE)
-        callers = [await world.connect() for _ in range(5)]
+    async with running_cluster() as cluster:
+        runner = await cluster.add_runner('r1', ENGINE, hangs)
+        await cluster.wait_for_runners(ENGINE)
+        callers = [await cluster.connect() for _ in range(5)]
         for number, caller in enumerate(callers):
             await caller.send('/draft/x', attempt=f'a{number}')
         await wait_until(lambda: len(runner.seen) == 4, 'four runs')
@@ -86,10 +86,10 @@
 
 
 async def test_a_booking_runs_to_its_end_though_its_caller_left() -> None:
-    """The runner's connection stays open until the booking is answered.
+    """A non-idempotent request at a runner runs to its end.
 
-    Cut off, a booking would be half done, and its answer is read so that the
-    connection can be used again.
+    If it were cancelled, the booking could be half done. Its answer is read so
+    that the connection can be reused.
     """
     done = asyncio.Event()
 
@@ -98,10 +98,10 @@
         seen.writer.write(seen.answer())
         done.set()
 
-    async with playing() as world:
-        runner = await world.add_runner('r1', PLAIN, books)
-        await world.knows(PLAIN)
-        caller = await world.connect()
+    async with running_cluster() as cluster:
+        runner = await cluster.add_runner('r1', PLAIN, books)
+        await cluster.wait_for_runners(PLAIN)
+        caller = await cluster.connect()
         await caller.send('/book/x')
         await wait_until(lambda: bool(runner.seen), 'the run')
         caller.close()
@@ -110,10 +110,10 @@
 
 
 async def test_half_a_request_is_answered_when_its_time_is_up() -> None:
-    """The caller sees 408 and a closed connection; no runner sees anything."""
-    async with playing() as world:
-        runner = await world.add_runner('r1', PLAIN)
-        caller = await world.connect()
+    """The caller gets 408 and a closed connection; no runner is involved."""
+    async with running_cluster() as cluster:
+        runner = await cluster.add_runner('r1', PLAIN)
+        caller = await cluster.connect()
         caller.writer.write(b'POST /book/x HTTP/1.1\r\nHost: ')
         answer = await caller.answer(2)
         assert answer.status == 408
@@ -123,33 +123,34 @@
 
 
 async def test_bytes_that_are_no_request_are_answered_with_400() -> None:
-    """The caller sees 400 and a closed connection."""
-    async with playing() as world:
-        caller = await world.connect()
+    """The caller gets 400 and a closed connection."""
+    async with running_cluster() as cluster:
+        caller = await cluster.connect()
         caller.writer.write(b'\x16\x03\x01 nonsense\r\n\r\n')
         assert (await caller.answer(2)).status == 400
         caller.close()
 
 
 async def test_a_body_over_the_limit_is_refused() -> None:
-    """The caller sees 413; the manifest sets the limit."""
-    async with playing() as world:
-        answer = await world.call('/book/x', body=b'x' * 100_001)
+    """The caller gets 413; the manifest sets the limit."""
+    async with running_cluster() as cluster:
+        answer = await cluster.call('/book/x', body=b'x' * 100_001)
         assert answer.status == 413
 
 
 async def test_a_request_hidden_in_a_body_is_never_run() -> None:
-    """The runner gets one request, and the connection ends with its answer.
+    """Request smuggling: a hidden request in a body is not run.
 
-    A request has both a length and chunks. A reader that goes by the length
-    would take the rest of the chunks for another request.
+    A request has both a content length and chunked framing. A parser that uses
+    the length would take the rest of the chunks for another request. The runner
+    gets one request, and the connection closes after its answer.
     """
-    async with playing() as world:
-        runner = await world.add_runner('r1', PLAIN)
-        await world.knows(PLAIN)
+    async with running_cluster() as cluster:
+        runner = await cluster.add_runner('r1', PLAIN)
+        await cluster.wait_for_runners(PLAIN)
         hidden = b'POST /book/hidden HTTP/1.1\r\nHost: desk.example\r\n\r\n'
         body = b'%x\r\n%b\r\n0\r\n\r\n' % (len(hidden), hidden)
-        caller = await world.connect()
+        caller = await cluster.connect()
         caller.writer.write(
             f'POST /book/x HTTP/1.1\r\nHost: {HOST}\r\n'
             f'X-Bramleybend-Attempt-Id: a1\r\nAuthorization: Token {KEY}\r\n'
@@ -166,11 +167,11 @@
 
 
 async def test_requests_sent_ahead_are_answered_in_order() -> None:
-    """The caller sees each answer once, in the order of its requests."""
-    async with playing() as world:
-        await world.add_runner('r1', PLAIN)
-        await world.knows(PLAIN)
-        caller = await world.connect()
+    """Pipelined requests are each answered once, in order."""
+    async with running_cluster() as cluster:
+        await cluster.add_runner('r1', PLAIN)
+        await cluster.wait_for_runners(PLAIN)
+        caller = await cluster.connect()
         for number in range(3):
             await caller.send('/read/x', attempt=f'a{number}')
         for number in range(3):
@@ -180,19 +181,19 @@
 
 
 async def test_a_request_is_answered_when_its_routes_time_is_up() -> None:
-    """The caller sees 504 at the route's timeout, though it would wait on.
+    """The caller gets 504 at the route's timeout, even if it would wait longer.
 
-    A runner took the request and says nothing. It may have run, so no status
-    that means "not run" is sent.
+    The request is at a silent runner. It may have run, so the status must not
+    mean "not run".
     """
-    async with playing() as world:
-        await world.add_runner('r1', PLAIN, hangs)
-        await world.knows(PLAIN)
+    async with running_cluster() as cluster:
+        await cluster.add_runner('r1', PLAIN, hangs)
+        await cluster.wait_for_runners(PLAIN)
         short = route('/book/', 'non_idempotent', PLAIN, timeoutMs=300)
-        world.publish(manifest(2, routes=[short]))
-        await _in_force(world, 2)
+        cluster.publish(manifest(2, routes=[short]))
+        await _in_force(cluster, 2)
         async with asyncio.timeout(0.8):
-            answer = await world.call(
+            answer = await cluster.call(
                 '/book/x', X_Bramleybend_Deadline_Ms='9000'
             )
         assert answer.status == 504
@@ -201,11 +202,10 @@
 async def test_a_workspace_beyond_its_allotment_is_told_when_to_return() -> (
     None
 ):
-    """The caller sees 429 with the time in which the bucket refills.
+    """The caller gets 429 with the time until the bucket has refilled.
 
-    Two requests of 600 tokens are let in by a burst of 1,000 tokens, the
-    second one beyond it by 200. A third has to wait until the bucket holds
-    50 again, at 100 a second.
+    A burst of 1,000 tokens admits two requests of 600, the second 200 beyond
+    the burst. A third waits until the bucket holds 50 again, at 100 a second.
     """
     tenant = {
         'name': 'school',
@@ -215,20 +215,23 @@
         'unit': 'tokens',
         'plainTokens': 600,
     }
-    async with playing() as world:
-        await world.add_runner('r1', PLAIN)
-        await world.knows(PLAIN)
-        world.publish(manifest(2, tenants=[tenant]))
-        await _in_force(world, 2)
-        assert (await world.call('/read/x')).status == 200
-        assert (await world.call('/read/x')).status == 200
-        refused = await world.call('/read/x')
+    async with running_cluster() as cluster:
+        await cluster.add_runner('r1', PLAIN)
+        await cluster.wait_for_runners(PLAIN)
+        cluster.publish(manifest(2, tenants=[tenant]))
+        await _in_force(cluster, 2)
+        assert (await cluster.call('/read/x')).status == 200
+        assert (await cluster.call('/read/x')).status == 200
+        refused = await cluster.call('/read/x')
         assert refused.status == 429
         assert 2 < float(refused.headers['retry-after']) <= 2.5
 
 
 async def test_a_vm_that_starts_again_lets_in_no_burst_by_itself() -> None:
-    """A workspace that used its burst before a restart gets another one."""
+    """A VM that restarts alone assumes that workspaces have spent their bursts.
+
+    Otherwise a workspace would get a second burst from each restart.
+    """
     tenant = {
         'name': 'school',
         'apiKeys': [KEY],
@@ -237,22 +240,22 @@
         'unit': 'tokens',
         'plainTokens': 100,
     }
-    async with playing(first_start=False) as world:
-        await world.add_runner('r1', PLAIN)
-        await world.knows(PLAIN)
-        world.publish(manifest(2, tenants=[tenant]))
-        await _in_force(world, 2)
-        refused = await world.call('/read/x')
+    async with running_cluster(first_start=False) as cluster:
+        await cluster.add_runner('r1', PLAIN)
+        await cluster.wait_for_runners(PLAIN)
+        cluster.publish(manifest(2, tenants=[tenant]))
+        await _in_force(cluster, 2)
+        refused = await cluster.call('/read/x')
         assert refused.status == 429
         assert float(refused.headers['retry-after']) >= 1
 
 
 async def test_idle_runners_serve_a_workspace_beyond_its_allotment() -> None:
-    """The caller is served while runners are idle, and sees 429 when busy.
+    """Requests beyond the allotment run only while runners are idle.
 
-    A workspace has used up its burst. The contracts tolerate more, and the
-    only runner has nothing to do, so the next request is let in. With the
-    runner's slots taken, one more would take them from others.
+    A workspace has used up its burst, and the contract tolerates more. While
+    the only runner is idle, further requests are admitted. Once its slots are
+    taken, they get 429, since they would take slots from others.
     """
     tenant = {
         'name': 'school',
@@ -269,22 +272,24 @@
             await asyncio.sleep(1)
         await answers(seen)
 
-    async with playing(allotment_slack=4000) as world:
-        runner = await world.add_runner('r1', PLAIN, behave)
-        await world.knows(PLAIN)
-        world.publish(manifest(2, tenants=[tenant]))
-        await _in_force(world, 2)
+    async with running_cluster(allotment_slack=4000) as cluster:
+        runner = await cluster.add_runner('r1', PLAIN, behave)
+        await cluster.wait_for_runners(PLAIN)
+        cluster.publish(manifest(2, tenants=[tenant]))
+        await _in_force(cluster, 2)
         for _ in range(3):
-            assert (await world.call('/read/x')).status == 200
+            assert (await cluster.call('/read/x')).status == 200
         gate.set()
-        held = [asyncio.create_task(world.call('/read/x')) for _ in range(3)]
+        holding = [
+            asyncio.create_task(cluster.call('/read/x')) for _ in range(3)
+        ]
         await wait_until(lambda: len(runner.seen) == 6, 'three slots taken')
-        assert (await world.call('/read/x')).status == 429
-        assert [(await call).status for call in held] == [200] * 3
+        assert (await cluster.call('/read/x')).status == 429
+        assert [(await call).status for call in holding] == [200] * 3
 
 
-async def _in_force(world: World, version: int) -> None:
-    book = world.vms[0].entry.book
+async def _in_force(cluster: Cluster, version: int) -> None:
+    book = cluster.vms[0].entry.book
     await wait_until(
         lambda: book.manifest is not None and book.manifest.version == version,
         f'version {version}',
@@ -294,32 +299,33 @@
 async def test_a_stream_that_can_not_start_is_refused_before_its_caller_leaves() -> (
     None
 ):
-    """The caller reads that nothing was run, and when to come back.
+    """The caller gets 503 with a retry time while it still waits.
 
-    All four slots are held. Callers leave a stream that is silent for two
-    seconds, or four times the objective; the route's timeout is longer. Held
-    to that timeout, the request would start when its caller has left.
+    Four streams hold all slots. Callers give up on a stream that is silent for
+    two seconds, or for four times the objective, which is before the route's
+    timeout. A request that was queued until that timeout would start after its
+    caller has left.
     """
 
     async def holds(seen: Seen) -> None:
         seen.writer.write(seen.stream_head() + chunk(event(1)))
         await seen.left.wait()
 
-    async with playing() as world:
+    async with running_cluster() as cluster:
         declared = manifest(2)
         for one in declared['routes']:
             one['targetLatencyMs'] = 200
-        world.publish(declared)
-        runner = await world.add_runner('r1', ENGINE, holds)
-        await world.knows(ENGINE)
-        held = [await world.connect() for _ in range(4)]
-        for number, caller in enumerate(held):
+        cluster.publish(declared)
+        runner = await cluster.add_runner('r1', ENGINE, holds)
+        await cluster.wait_for_runners(ENGINE)
+        holding = [await cluster.connect() for _ in range(4)]
+        for number, caller in enumerate(holding):
             await caller.send('/draft/x', attempt=f'held{number}')
         await wait_until(lambda: len(runner.seen) == 4, 'four runs')
         async with asyncio.timeout(2):
-            answer = await world.call('/draft/x', attempt='fifth')
+            answer = await cluster.call('/draft/x', attempt='fifth')
         assert answer.status == 503
         assert float(answer.headers['retry-after']) > 0
         assert len(runner.seen) == 4
-        for caller in held:
+        for caller in holding:
             caller.close()
--- a/tests/direct/test_connected_runners.py
+++ b/tests/direct/test_connected_runners.py
@@ -1,4 +1,4 @@
-"""Which runners an ask names as connected."""
+"""The runners that an ask names as connected."""
 
 import socket
 from dataclasses import replace
@@ -14,7 +14,7 @@
 
 
 async def test_only_free_connections_to_the_service_are_named() -> None:
-    """One that is in use, or leads elsewhere, spares no new one."""
+    """Busy connections, and those to other services, are not named."""
     channels = RunnerChannels(SystemClock(), MessageBounds(), AnswerMemory(0))
     with socket.create_server(('127.0.0.1', 0)) as listener:
         port = listener.getsockname()[1]
--- a/tests/direct/test_containment.py
+++ b/tests/direct/test_containment.py
@@ -1,4 +1,4 @@
-"""A request whose content ends the runners that run it."""
+"""Requests whose content crashes the runners that run it."""
 
 import asyncio
 from collections import Counter
@@ -14,17 +14,17 @@
 )
 from bramleybend.direct.replies import RawRequest
 from bramleybend.events import EventLog
-from tests.direct.world import ENGINE, PLAIN, World, playing
+from tests.direct.cluster import ENGINE, PLAIN, Cluster, running_cluster
 from tests.utils.raw_runner import Seen, answers, streams
 from tests.utils.waiting import wait_until
 
 POISON, INNOCENT = b'poison', b'innocent'
-RETURNS = 6
-BEAT_S = 0.25  # after which the other VMs have heard
+CALLS = 6
+HEARTBEAT_WAIT_S = 0.25  # until other VMs have received a heartbeat
 
 
 async def crashes(seen: Seen) -> None:
-    """Break off what is poisonous, and answer all else."""
+    """Drop the connection on poisonous content; answer everything else."""
     if seen.body == POISON:
         seen.writer.transport.abort()
         return
@@ -37,100 +37,98 @@
     )
 
 
-async def add_runners(world: World, count: int) -> None:
+async def add_runners(cluster: Cluster, count: int) -> None:
     for number in range(count):
-        await world.add_runner(f'r{number}', PLAIN, crashes)
-    await world.knows(PLAIN, count)
+        await cluster.add_runner(f'r{number}', PLAIN, crashes)
+    await cluster.wait_for_runners(PLAIN, count)
 
 
-def arrivals(world: World, body: bytes) -> int:
-    """Count the runs of some content."""
-    seen = [one for runner in world.runners.values() for one in runner.seen]
+def count_runs(cluster: Cluster, body: bytes) -> int:
+    """Return the number of runs of some content."""
+    seen = [one for runner in cluster.runners.values() for one in runner.seen]
     return sum(one.body == body for one in seen)
 
 
 async def test_content_that_crashes_runners_is_contained_over_all_vms() -> None:
-    """The caller sees failures, then 503 with "nothing was run".
+    """Poisonous content gets 502 until it is refused with 503.
 
-    A booking breaks off at each runner that gets it, and its caller sends it
-    again and again, to one VM and the other. After three runners it reaches
-    none, at either VM, as they tell each other; other callers and other
-    bookings of the same caller are served all the while.
+    A non-idempotent request crashes each runner that gets it, and its caller
+    sends it again and again to two VMs. After three crashes neither VM sends it
+    to a runner, since VMs exchange crash records. Other requests are served.
     """
-    async with playing(vms=2) as world:
-        await add_runners(world, 6)
+    async with running_cluster(vms=2) as cluster:
+        await add_runners(cluster, 6)
         statuses = []
-        for number in range(RETURNS):
-            answer = await world.call(
+        for number in range(CALLS):
+            answer = await cluster.call(
                 '/book/x', number % 2, body=POISON, attempt=f'p{number}'
             )
             statuses.append(answer.status)
-            await asyncio.sleep(BEAT_S)
-        assert statuses == [502] * CONDEMNED + [503] * (RETURNS - CONDEMNED)
-        assert arrivals(world, POISON) == CONDEMNED
+            await asyncio.sleep(HEARTBEAT_WAIT_S)
+        assert statuses == [502] * CONDEMNED + [503] * (CALLS - CONDEMNED)
+        assert count_runs(cluster, POISON) == CONDEMNED
         for vm in (0, 1):
-            answer = await world.call('/book/x', vm, body=INNOCENT)
+            answer = await cluster.call('/book/x', vm, body=INNOCENT)
             assert answer.status == 200
 
 
 async def test_a_lookup_that_crashes_runners_is_not_sent_on_for_ever() -> None:
-    """The caller sees 502, and 503 once the content is known.
+    """An idempotent request stops crashing runners after three crashes.
 
-    A lookup may run twice, so each attempt crashes two runners, until three
-    have ended under it.
+    It may run twice, so each call crashes up to two runners.
     """
-    async with playing() as world:
-        await add_runners(world, 6)
-        for number in range(RETURNS):
-            await world.call('/read/x', body=POISON, attempt=f'p{number}')
-        assert arrivals(world, POISON) == CONDEMNED
+    async with running_cluster() as cluster:
+        await add_runners(cluster, 6)
+        for number in range(CALLS):
+            await cluster.call('/read/x', body=POISON, attempt=f'p{number}')
+        assert count_runs(cluster, POISON) == CONDEMNED
 
 
 async def test_content_that_broke_off_in_company_is_cleared_by_one_good_run() -> (
     None
 ):
-    """The caller sees two failures, then its answers.
+    """Content that crashed runners twice is cleared by one successful run.
 
-    Two runners end while an innocent request is there. The third run is
-    alone on its runner and comes to its end; nothing is held against it.
+    Two runners crash while an innocent request runs there. Its third run is
+    alone on a runner and succeeds, so its crash record is cleared.
     """
-    broken: Counter[bytes] = Counter()
+    crash_counts: Counter[bytes] = Counter()
 
-    async def breaks_twice(seen: Seen) -> None:
-        broken[seen.body] += 1
-        if broken[seen.body] <= CONDEMNED - 1:
+    async def crashes_twice(seen: Seen) -> None:
+        crash_counts[seen.body] += 1
+        if crash_counts[seen.body] <= CONDEMNED - 1:
             seen.writer.transport.abort()
             return
         await answers(seen)
 
-    async with playing() as world:
+    async with running_cluster() as cluster:
         for number in range(4):
-            await world.add_runner(f'r{number}', PLAIN, breaks_twice)
-        await world.knows(PLAIN, 4)
+            await cluster.add_runner(f'r{number}', PLAIN, crashes_twice)
+        await cluster.wait_for_runners(PLAIN, 4)
         statuses = [
-            (await world.call('/book/x', body=INNOCENT)).status
-            for _ in range(RETURNS)
+            (await cluster.call('/book/x', body=INNOCENT)).status
+            for _ in range(CALLS)
         ]
         assert statuses == [502, 502, 200, 200, 200, 200]
 
 
 async def test_suspect_content_runs_alone() -> None:
-    """Others wait for no crash: the suspect has a runner to itself.
+    """Suspect content has a runner to itself, so a crash ends no other run.
 
-    A stream broke off twice. Its third run begins only where nothing else
-    runs, and nothing else is sent there until it ends; the rest of the
-    runners serve the others.
+    A stream crashed two runners. Its third run starts only on a runner without
+    other runs, and nothing else is sent to that runner until it ends; the other
+    runners keep serving.
     """
-    together: list[int] = []
+    runs_beside: list[int] = []
     running: Counter[str] = Counter()
     gate = asyncio.Event()
 
-    async with playing() as world:
+    async with running_cluster() as cluster:
 
         async def behave(seen: Seen) -> None:
             name = seen.headers['x-bramleybend-expect-instance']
             if seen.body == POISON:
-                together.append(running[name])
+                runs_beside.append(running[name])
                 seen.writer.transport.abort()
                 return
             running[name] += 1
@@ -139,13 +137,13 @@
             running[name] -= 1
 
         for number in range(3):
-            await world.add_runner(f'r{number}', ENGINE, behave)
-        await world.knows(ENGINE, 3)
+            await cluster.add_runner(f'r{number}', ENGINE, behave)
+        await cluster.wait_for_runners(ENGINE, 3)
         for number in range(2):
-            await world.call('/draft/x', attempt=f'p{number}', body=POISON)
+            await cluster.call('/draft/x', attempt=f'p{number}', body=POISON)
         others = [
             asyncio.create_task(
-                world.call(
+                cluster.call(
                     '/draft/x', attempt=f'o{number}', body=b'o%d' % number
                 )
             )
@@ -155,19 +153,19 @@
             lambda: len(+running) == 3, 'every runner has something to run'
         )
         suspect = asyncio.create_task(
-            world.call('/draft/x', attempt='p3', body=POISON)
+            cluster.call('/draft/x', attempt='p3', body=POISON)
         )
-        await asyncio.sleep(BEAT_S)
-        assert len(together) == 2
+        await asyncio.sleep(HEARTBEAT_WAIT_S)
+        assert len(runs_beside) == 2
         gate.set()
         await suspect
-        assert together[-1] == 0
+        assert runs_beside[-1] == 0
         for other in others:
             assert (await other).status == 200
 
 
 def test_only_what_is_new_or_refused_is_told() -> None:
-    """Heartbeats stay small on a day when many connections break."""
+    """Heartbeats stay small when many connections break."""
     clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
     containment = Containment(clock, EventLog('vm', 'i', clock, kept=0))
     for number in range(CONDEMNED):
@@ -182,7 +180,7 @@
 
 
 def test_content_is_told_apart_by_caller_target_and_body() -> None:
-    """Another key, path or body is other content; an attempt id is not."""
+    """Content differs by key, path or body, but not by attempt id."""
     clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
     containment = Containment(clock, EventLog('vm', 'i', clock, kept=0))
 
--- a/tests/direct/test_endless_answers.py
+++ b/tests/direct/test_endless_answers.py
@@ -1,4 +1,4 @@
-"""Runners whose bytes are no answer and have no end."""
+"""Runners that send endless bytes instead of an answer."""
 
 import asyncio
 import tracemalloc
@@ -20,13 +20,13 @@
 from bramleybend.clock import SystemClock
 from bramleybend.direct.sse import EventSplitter
 from bramleybend.entry_settings import ANSWERS_SHARE, MEGABYTE
-from tests.direct.world import (
+from tests.direct.cluster import (
     ENGINE,
     PLAIN,
+    Cluster,
     RawAnswer,
-    World,
     manifest,
-    playing,
+    running_cluster,
 )
 from tests.utils.endless_bytes import (
     CHUNKED,
@@ -42,21 +42,21 @@
 
 NOT_RUN: Final = b'X-Bramleybend-Not-Executed: 1\r\n\r\n'
 COMMENT: Final = b': keep-alive\n\n'
-PROMPTLY_S: Final = 2.0  # in which a caller hears of a fast one
-SLOW_S: Final = 0.02  # between two parts of a slow one
+PROMPT_S: Final = 2.0  # until a caller is answered if the bytes come fast
+SLOW_PAUSE_S: Final = 0.02  # between two parts of a slow answer
 TIMEOUT_MS: Final = 700
-LONG_MS: Final = 30_000  # tracing memory slows all of it
+TRACED_TIMEOUT_MS: Final = 30_000  # tracing memory slows the whole test
 UNFRAMED: Final = 'plain body without a length'
-REFUSED: Final = 'bytes after the head of a refusal'
-AFTER: Final = 'bytes after a whole answer'
+AFTER_REFUSAL: Final = 'bytes after the head of a refusal'
+AFTER_ANSWER: Final = 'bytes after a whole answer'
 
-# Events that carry something are an answer until the time for it is over.
+# Events with data count as an answer until the route's timeout.
 WITHOUT_EVENTS: Final = tuple(case for case in EVENTS if case != 'events')
 
 
 @asynccontextmanager
-async def fed(first: bytes, then: bytes) -> AsyncIterator[Channel]:
-    """Yield a channel on which these bytes come as fast as it reads."""
+async def fed_channel(start: bytes, repeated: bytes) -> AsyncIterator[Channel]:
+    """Yield a channel that receives these bytes as fast as it reads."""
     paused = asyncio.Event()
     transport = Mock()
     transport.is_closing.return_value = False
@@ -66,10 +66,10 @@
     channel.connection_made(transport)
 
     async def feed() -> None:
-        channel.data_received(first or then)
+        channel.data_received(start or repeated)
         while True:
             if not paused.is_set():
-                channel.data_received(then * (READ // len(then)))
+                channel.data_received(repeated * (READ // len(repeated)))
             await asyncio.sleep(0)
 
     await channel.send(Outgoing(b'GET', b'/', [(b'Host', b'x')], b''))
@@ -79,7 +79,7 @@
 
 
 async def read_events(channel: Channel) -> None:
-    """Read a stream as an attempt does."""
+    """Read a stream the way an attempt does."""
     splitter = EventSplitter()
     await channel.head()
     async for part in channel.chunks():
@@ -90,12 +90,12 @@
 async def test_an_answer_without_end_costs_bounded_bytes_and_time(
     case: str,
 ) -> None:
-    """A runner that sends for ever would take the processor from all."""
-    first, then = {**HEADS, **FRAMING, **EVENTS}[case]
+    """An endless answer must not take unbounded memory or processor time."""
+    start, repeated = {**HEADS, **FRAMING, **EVENTS}[case]
     if case in EVENTS:
-        first, then = FRAMED + chunk(first or then), chunk(then)
+        start, repeated = FRAMED + chunk(start or repeated), chunk(repeated)
     before = thread_time()
-    async with fed(first, then) as channel:
+    async with fed_channel(start, repeated) as channel:
         with pytest.raises((MessageTooLongError, h11.RemoteProtocolError)):
             await read_events(channel)
         assert channel.received <= ANSWER_BYTES + 2 * READ
@@ -106,16 +106,16 @@
 async def test_what_carries_nothing_is_read_no_further_than_its_bound(
     case: str,
 ) -> None:
-    """Framing without content is no answer, however little it costs."""
-    first, then = {**HEADS, **FRAMING}[case]
-    async with fed(first, then) as channel:
+    """Endless framing without content is bounded even if it costs little."""
+    start, repeated = {**HEADS, **FRAMING}[case]
+    async with fed_channel(start, repeated) as channel:
         with pytest.raises((MessageTooLongError, h11.RemoteProtocolError)):
             await read_events(channel)
         assert channel.received <= FILLER_BYTES + 3 * READ
 
 
 async def test_the_cost_of_a_stream_is_linear_in_its_bytes() -> None:
-    """An event that comes in many small parts was searched from its start."""
+    """A partial event must not be searched from its start for each part."""
     spent = []
     for parts in (2_000, 16_000):
         splitter = EventSplitter()
@@ -127,13 +127,13 @@
 
 
 def sends(case: str, pause_s: float = 0) -> Behaviour:
-    """Answer with bytes that have no end, until the caller closes."""
+    """Answer with endless bytes until the caller disconnects."""
 
     async def behave(seen: Seen) -> None:
-        first, then = _bytes_of(case, seen)
-        seen.writer.write(first)
+        start, repeated = _bytes_of(case, seen)
+        seen.writer.write(start)
         while not seen.left.is_set():
-            seen.writer.write(then)
+            seen.writer.write(repeated)
             await seen.writer.drain()
             await asyncio.sleep(pause_s)
 
@@ -143,78 +143,79 @@
 def _bytes_of(case: str, seen: Seen) -> tuple[bytes, bytes]:
     if case in HEADS:
         return HEADS[case]
-    if case == AFTER:
+    if case == AFTER_ANSWER:
         return seen.answer(body=event(1)), b'more' * 128
-    framed = seen.stream_head()
+    head = seen.stream_head()
     if case in FRAMING:
-        first, then = FRAMING[case]
-        return framed + first.removeprefix(FRAMED), then
+        start, repeated = FRAMING[case]
+        return head + start.removeprefix(FRAMED), repeated
     if case in EVENTS:
-        first, then = EVENTS[case]
-        return framed + chunk(first or then), chunk(then)
-    unframed = framed.replace(CHUNKED.removesuffix(b'\r\n'), b'')
-    plain = unframed.replace(b'text/event-stream', b'text/plain')
+        start, repeated = EVENTS[case]
+        return head + chunk(start or repeated), chunk(repeated)
+    head_without_framing = head.replace(CHUNKED.removesuffix(b'\r\n'), b'')
+    plain = head_without_framing.replace(b'text/event-stream', b'text/plain')
     if case == UNFRAMED:
         return plain, b'body' * 4096
     refusal = plain.replace(b'200 OK', b'503 Busy').removesuffix(b'\r\n')
     return refusal + NOT_RUN, b'more' * 128
 
 
-async def add_both(world: World, behave: Behaviour) -> None:
-    """Add an engine that behaves like this, and a sound plain runner."""
-    await world.add_runner('bad', ENGINE, behave)
-    await world.add_runner('good', PLAIN)
-    await world.knows(ENGINE)
-    await world.knows(PLAIN)
+async def add_runners(cluster: Cluster, behave: Behaviour) -> None:
+    """Add an engine with this behaviour, and a plain runner without faults."""
+    await cluster.add_runner('bad', ENGINE, behave)
+    await cluster.add_runner('good', PLAIN)
+    await cluster.wait_for_runners(ENGINE)
+    await cluster.wait_for_runners(PLAIN)
 
 
-async def limit_time(world: World, timeout_ms: int) -> None:
-    """Let the routes' answers take so long."""
+async def publish_timeout(cluster: Cluster, timeout_ms: int) -> None:
+    """Publish routes with this timeout."""
     declared: Mapping[str, Any] = manifest(2)
     for one in declared['routes']:
         one['timeoutMs'] = timeout_ms
-    world.publish(declared)
+    cluster.publish(declared)
     await wait_until(
-        lambda: world.vms[0].entry.book.manifest_version() == 2, 'the manifest'
+        lambda: cluster.vms[0].entry.book.manifest_version() == 2,
+        'the manifest',
     )
 
 
-async def call_patiently(world: World, attempt: str) -> RawAnswer:
+async def call_patiently(cluster: Cluster, attempt: str) -> RawAnswer:
     """Send a request and wait for as long as its route allows."""
-    caller = await world.connect()
+    caller = await cluster.connect()
     await caller.send('/book/x', attempt=attempt)
-    answer = await caller.answer(LONG_MS / 1000)
+    answer = await caller.answer(TRACED_TIMEOUT_MS / 1000)
     caller.close()
     return answer
 
 
-async def served_meanwhile(world: World, ended: asyncio.Event) -> None:
-    """Check that another caller is served well all the while."""
+async def check_others_served(cluster: Cluster, ended: asyncio.Event) -> None:
+    """Check that another caller is served until `ended` is set."""
     while not ended.is_set():
-        answer = await world.call('/book/x', attempt='other')
+        answer = await cluster.call('/book/x', attempt='other')
         assert answer.status == 200
-        await asyncio.sleep(SLOW_S)
+        await asyncio.sleep(SLOW_PAUSE_S)
 
 
 @pytest.mark.parametrize(
     'case',
-    [*HEADS, *FRAMING, *WITHOUT_EVENTS, UNFRAMED, REFUSED, AFTER],
+    [*HEADS, *FRAMING, *WITHOUT_EVENTS, UNFRAMED, AFTER_REFUSAL, AFTER_ANSWER],
 )
 async def test_the_caller_of_an_answer_without_end_is_told_promptly(
     case: str,
 ) -> None:
-    """Its runner would hold the caller, and others, until the deadline."""
-    async with playing() as world:
-        await add_both(world, sends(case))
+    """The caller is answered promptly instead of at its deadline."""
+    async with running_cluster() as cluster:
+        await add_runners(cluster, sends(case))
         ended = asyncio.Event()
-        others = asyncio.create_task(served_meanwhile(world, ended))
-        async with asyncio.timeout(PROMPTLY_S):
-            answer = await world.call('/draft/x')
+        others = asyncio.create_task(check_others_served(cluster, ended))
+        async with asyncio.timeout(PROMPT_S):
+            answer = await cluster.call('/draft/x')
         ended.set()
         await others
-        expected = {REFUSED: 503, AFTER: 200}.get(case, 502)
-        assert answer.status == expected or not answer.whole
-        bad = world.runners['bad'].seen[0]
+        expected = {AFTER_REFUSAL: 503, AFTER_ANSWER: 200}.get(case, 502)
+        assert answer.status == expected or not answer.is_whole
+        bad = cluster.runners['bad'].seen[0]
         await wait_until(bad.left.is_set, 'the connection closed')
 
 
@@ -225,54 +226,58 @@
 async def test_a_slow_answer_without_end_ends_with_the_time_for_it(
     case: str,
 ) -> None:
-    """Too slow for any bound of bytes, it would go on for ever."""
-    async with playing() as world:
-        await add_both(world, sends(case, SLOW_S))
-        await limit_time(world, TIMEOUT_MS)
-        async with asyncio.timeout(PROMPTLY_S):
-            answer = await world.call('/draft/x')
-        assert answer.status >= 500 or not answer.whole
-        bad = world.runners['bad'].seen[0]
+    """A slow endless answer stays below all size bounds until the timeout."""
+    async with running_cluster() as cluster:
+        await add_runners(cluster, sends(case, SLOW_PAUSE_S))
+        await publish_timeout(cluster, TIMEOUT_MS)
+        async with asyncio.timeout(PROMPT_S):
+            answer = await cluster.call('/draft/x')
+        assert answer.status >= 500 or not answer.is_whole
+        bad = cluster.runners['bad'].seen[0]
         await wait_until(bad.left.is_set, 'the connection closed')
 
 
 async def test_a_runner_whose_answers_have_no_end_gets_less_work() -> None:
-    """Counted as nothing, such a try leaves its runner always free."""
-    async with playing() as world:
-        bad = await world.add_runner('bad', PLAIN, sends('many headers'))
-        good = await world.add_runner('good', PLAIN)
-        await world.knows(PLAIN, 2)
+    """Attempts that end at a bound count as failures of their runner.
+
+    If they counted as nothing, the runner would always look free.
+    """
+    async with running_cluster() as cluster:
+        bad = await cluster.add_runner('bad', PLAIN, sends('many headers'))
+        good = await cluster.add_runner('good', PLAIN)
+        await cluster.wait_for_runners(PLAIN, 2)
         for number in range(20):
-            await world.call('/book/x', attempt=f'a{number}')
+            await cluster.call('/book/x', attempt=f'a{number}')
         assert len(bad.seen) <= 4
         assert len(good.seen) >= 16
 
 
 async def test_many_answers_without_end_stay_within_their_memory() -> None:
-    """Each below the bound of one, they would fill a VM together."""
+    """Endless answers, each below its own bound, share a memory limit."""
     memory_mb = 50
-    async with playing(memory_mb=memory_mb) as world:
+    async with running_cluster(memory_mb=memory_mb) as cluster:
         for number in range(10):
-            await world.add_runner(f'bad{number}', PLAIN, sends(UNFRAMED))
-        await world.knows(PLAIN, 10)
-        await limit_time(world, LONG_MS)
+            await cluster.add_runner(f'bad{number}', PLAIN, sends(UNFRAMED))
+        await cluster.wait_for_runners(PLAIN, 10)
+        await publish_timeout(cluster, TRACED_TIMEOUT_MS)
         tracemalloc.start()
         answers = await asyncio.gather(
-            *(call_patiently(world, f'a{number}') for number in range(40))
+            *(call_patiently(cluster, f'a{number}') for number in range(40))
         )
         _, peak = tracemalloc.get_traced_memory()
         tracemalloc.stop()
         assert all(answer.status in {502, 503} for answer in answers)
-        # The stand-ins, callers and sockets of this process are in it, too.
+        # The peak includes the fake runners, callers and sockets of this
+        # process.
         assert peak <= 2 * memory_mb * MEGABYTE * ANSWERS_SHARE
-        await world.add_runner('good', PLAIN)
-        await world.knows(PLAIN, 11)
-        memory = world.vms[0].entry._channels.memory
+        await cluster.add_runner('good', PLAIN)
+        await cluster.wait_for_runners(PLAIN, 11)
+        memory = cluster.vms[0].entry._channels.memory
         assert memory.free_bytes == memory_mb * MEGABYTE * ANSWERS_SHARE / 2
 
 
 def test_events_are_told_from_comments() -> None:
-    """A long stream with a comment now and then is no endless one."""
+    """A long stream with occasional comments is not rejected as endless."""
     splitter = EventSplitter()
     for number in range(5000):
         splitter.feed(event(number) + COMMENT)
--- a/tests/direct/test_own_records.py
+++ b/tests/direct/test_event_log.py
@@ -1,4 +1,4 @@
-"""What a VM tells of itself: a late event loop, callers that left, bursts."""
+"""Events that a VM logs: a late event loop, disconnects, rejections, bursts."""
 
 import asyncio
 import logging
@@ -10,7 +10,7 @@
 from bramleybend.direct.process import SWEEP_EVERY_S
 from bramleybend.direct.traffic import LARGE_BYTES
 from bramleybend.loop_watch import TOLD_FROM_S
-from tests.direct.world import PLAIN, playing
+from tests.direct.cluster import PLAIN, running_cluster
 from tests.utils.peer_network import started
 from tests.utils.raw_runner import Seen, answers
 from tests.utils.waiting import wait_until
@@ -23,7 +23,7 @@
     return [line for line in lines if line['event'] == name]
 
 
-def _stand_still(seconds: float) -> None:
+def _block_event_loop(seconds: float) -> None:
     time.sleep(seconds)
 
 
@@ -31,9 +31,9 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
-    async with playing():
+    async with running_cluster():
         await asyncio.sleep(SWEEP_EVERY_S / 2)
-        _stand_still(SWEEP_EVERY_S + 2 * TOLD_FROM_S)
+        _block_event_loop(SWEEP_EVERY_S + 2 * TOLD_FROM_S)
         await asyncio.sleep(2 * SWEEP_EVERY_S)
     assert _events(caplog, 'loop_late')[0]['late_ms'] >= TOLD_FROM_S * 1000
 
@@ -42,16 +42,16 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
-    free = asyncio.Event()
+    released = asyncio.Event()
 
     async def behave(seen: Seen) -> None:
-        await free.wait()
+        await released.wait()
         await answers(seen)
 
-    async with playing() as world:
-        runner = await world.add_runner('r1', PLAIN, behave)
-        await world.knows(PLAIN)
-        callers = [await world.connect() for _ in range(5)]
+    async with running_cluster() as cluster:
+        runner = await cluster.add_runner('r1', PLAIN, behave)
+        await cluster.wait_for_runners(PLAIN)
+        callers = [await cluster.connect() for _ in range(5)]
         for number, caller in enumerate(callers):
             await caller.send('/read/x', attempt=f'a{number}')
         await wait_until(lambda: len(runner.seen) == 4, 'four runs')
@@ -60,9 +60,9 @@
         await wait_until(
             lambda: len(_events(caplog, 'caller_left')) == 5, 'five lines'
         )
-        left = world.vms[0].entry.meters.counters['callers_left']
+        left = cluster.vms[0].entry.meters.counters['callers_left']
         assert left == {(PLAIN, 'placed'): 4, (PLAIN, 'queued'): 1}
-        free.set()
+        released.set()
 
 
 @pytest.mark.parametrize(
@@ -80,17 +80,17 @@
 async def test_a_request_that_cannot_be_read_is_told_and_counted(
     caplog: pytest.LogCaptureFixture, sent: bytes, status: int
 ) -> None:
-    """Refused before any service saw it, it would leave no trace."""
+    """A request that is rejected before it is read is logged and counted."""
     caplog.set_level(logging.INFO)
-    async with playing() as world:
-        caller = await world.connect()
+    async with running_cluster() as cluster:
+        caller = await cluster.connect()
         caller.writer.write(sent)
         answer = await caller.answer(2)
         assert answer.status == status
-        (told,) = _events(caplog, 'denied')
-        assert told['status'] == status
-        assert told['why']
-        denied = world.vms[0].entry.meters.counters['denied']
+        (denied_event,) = _events(caplog, 'denied')
+        assert denied_event['status'] == status
+        assert denied_event['why']
+        denied = cluster.vms[0].entry.meters.counters['denied']
         assert denied == {(str(status),): 1}
 
 
--- a/tests/direct/test_news.py
+++ b/tests/direct/test_feeds.py
@@ -1,4 +1,4 @@
-"""Pages of records: what is read, what is refused, who reads."""
+"""Manifests, runner entries, log pages, and which VMs read them."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 from bramleybend.platform.records import pack_page, unpack_page
 from bramleybend.platform.runner_entry import decode_runner
 from bramleybend.platform.store import StoreClient
-from tests.direct.world import HOST, manifest, route
+from tests.direct.cluster import HOST, manifest, route
 from tests.utils.instants import START
 from tests.utils.platform_store import PlatformStore
 
@@ -35,7 +35,7 @@
 
 
 def record(offset: int, key: str, content: object = '') -> KeyedRecord:
-    """Return a record; without content the key is gone."""
+    """Return a record; one without content deletes the key."""
     text = json.dumps(content).encode() if content else b''
     return KeyedRecord(offset, key, text)
 
@@ -46,7 +46,7 @@
 
 
 def test_the_longest_prefix_of_the_host_decides() -> None:
-    """A host's longer path goes first; another host has none of them."""
+    """The longest matching prefix of the request's host decides."""
     declared = manifest(
         routes=[
             route('/a/', 'idempotent', 'short'),
@@ -54,15 +54,15 @@
         ]
     )
     found = decode_manifest(json.dumps(declared).encode()).unwrap()
-    long = found.route_of(HOST, '/a/b/c')
-    short = found.route_of(HOST, '/a/bc')
-    assert long is not None
-    assert short is not None
-    assert (long.repeat, short.repeat) == (
+    long_route = found.route_of(HOST, '/a/b/c')
+    short_route = found.route_of(HOST, '/a/bc')
+    assert long_route is not None
+    assert short_route is not None
+    assert (long_route.repeat, short_route.repeat) == (
         Repeat.NON_IDEMPOTENT,
         Repeat.IDEMPOTENT,
     )
-    assert long.tier is Tier.HIGH
+    assert long_route.tier is Tier.HIGH
     assert found.route_of('other.example', '/a/b/c') is None
     assert found.route_of(HOST, '/ab') is None
 
@@ -78,7 +78,7 @@
     ],
 )
 def test_a_manifest_is_applied_whole_or_not_at_all(text: bytes) -> None:
-    """What can't be read names the fault and the remedy."""
+    """The error states the fault and what to do."""
     refused = decode_manifest(text)
     assert isinstance(refused, Err)
     assert 'last good one' in str(refused.err_value)
@@ -98,24 +98,24 @@
     ],
 )
 def test_a_foreign_entry_names_no_runner(changed: dict[str, object]) -> None:
-    """Fields of another type or an unknown state: the entry is refused."""
+    """An entry with a field of another type or an unknown state is rejected."""
     text = json.dumps({**ENTRY, **changed}).encode()
     assert isinstance(decode_runner('r1', text), Err)
     assert isinstance(decode_runner('r1', b'\xff\x00'), Err)
 
 
 def test_a_runner_that_starts_again_under_its_name_is_another() -> None:
-    """What was believed of the one that ended doesn't carry over."""
+    """Knowledge of a runner doesn't carry over to its next start."""
     first = decode_runner('r1', json.dumps({**ENTRY, 'born': 1}).encode())
-    again = decode_runner('r1', json.dumps({**ENTRY, 'born': 2}).encode())
+    restarted = decode_runner('r1', json.dumps({**ENTRY, 'born': 2}).encode())
     assert isinstance(first, Ok)
-    assert isinstance(again, Ok)
-    assert first.ok_value.incarnation != again.ok_value.incarnation
+    assert isinstance(restarted, Ok)
+    assert first.ok_value.incarnation != restarted.ok_value.incarnation
     assert first.ok_value.state is RunnerState.READY
 
 
 def test_records_are_read_as_they_were_written() -> None:
-    """Offsets go on from the first; a key without content is gone."""
+    """Offsets count up from the first; an empty content deletes its key."""
     written = page(record(7, 'a', 'x'), record(8, 'b'))
     read = unpack_page(pack_page(written), 7)
     assert read == written
@@ -123,7 +123,7 @@
 
 
 def test_a_copy_tells_what_came_since_an_offset() -> None:
-    """Older offsets than it holds are read anew, whole."""
+    """Changes from an offset that is no longer kept must be read as a whole."""
     copy = FeedCopy()
     assert copy.newest() is None
     copy.apply(page(record(4, 'a', 'x'), whole=True))
@@ -139,7 +139,7 @@
 
 
 def test_the_same_two_vms_read_whoever_is_asked() -> None:
-    """All VMs rank alike, so two say that they read and the rest don't."""
+    """All VMs compute the same ranking, so exactly two read the log."""
     names = [f'entry-{number}' for number in range(6)]
     reading = [
         name
@@ -152,7 +152,7 @@
 
 
 def test_a_silent_vm_owns_nothing() -> None:
-    """Work goes to the next in rank once a heartbeat has been missed."""
+    """Another VM becomes owner once a heartbeat was missed."""
     members = Members(Self('entry-1', 'i', '10.0.0.1', ''))
     for number in range(2, 7):
         name = f'entry-{number}'
@@ -163,7 +163,7 @@
 
 
 async def test_a_lapse_without_an_outage_counts_at_once() -> None:
-    """A runner that left in order is gone with its entry."""
+    """A runner whose entry ends without an outage is gone at once."""
     clock = ManualClock(START)
     book = Book(clock, EventLog('vm', 'i', clock, kept=0))
     runners = RunnerList(book, decode_runner, EventLog('vm', 'i', clock, 0))
@@ -177,7 +177,7 @@
 
 
 async def test_pages_are_put_together_and_read_on_from_the_first() -> None:
-    """Changes made while the pages were read are not missed."""
+    """Changes made while the pages are read are not missed."""
     store = PlatformStore('127.0.0.1')
     store.page_size = 2
     await store.server.start()
@@ -196,9 +196,10 @@
 
 
 async def test_a_store_that_falls_silent_is_given_up() -> None:
-    """The call ends with a problem that names the remedy, in about a second.
+    """A call to a silent store ends with an error after about a second.
 
-    The connection stays open and nothing comes; no error would ever tell.
+    The connection stays open and nothing arrives, so nothing else would ever
+    end the call.
     """
     store = PlatformStore('127.0.0.1')
     await store.server.start()
@@ -215,7 +216,7 @@
 
 
 def test_random_bytes_are_no_page() -> None:
-    """A page that was cut anywhere is an error or a shorter page."""
+    """A truncated page is an error or a shorter page."""
     rng = Random(3)
     packed = pack_page(page(record(0, 'key', 'x' * 50), record(1, 'b', 'y')))
     for _ in range(50):
@@ -226,31 +227,31 @@
             assert type(exc).__name__ in {'error', 'UnicodeDecodeError'}
 
 
-class _Quiet:
-    """A log in which nothing happens; a read waits as long as it may."""
+class _IdleSource:
+    """A log without records, whose reads last for their whole wait."""
 
     async def newest(self, name: str) -> Result[Page, Problem]:
-        """Return nothing."""
+        """Return an empty page."""
         return Ok(page(whole=True))
 
     async def changes(
         self, name: str, start: int, wait_s: float
     ) -> Result[Page, Problem]:
-        """Wait in vain."""
+        """Return no records after the wait."""
         await asyncio.sleep(wait_s)
         return Ok(Page((), start, whole=False))
 
 
 async def test_news_is_no_older_than_the_wait_for_it() -> None:
-    """A VM that hears a reader's news doesn't read the store itself.
+    """A VM that hears of a reader's progress need not read the store.
 
-    A reader waits at the store for the next record, again and again. An
-    empty answer says that there was nothing until the end of the wait; taken
-    as of its begin, the news would look up to two waits old.
+    A reader polls the store for the next record again and again. An empty
+    answer states that there was none until the end of the wait. If it were
+    dated to its start, the copy would look up to two waits old.
     """
     wait_s = 0.2
     clock = SystemClock()
-    source = _Quiet()
+    source = _IdleSource()
     feed = Feed(
         FeedSettings('t', wait_s, 0, 2.2),
         source,
@@ -259,11 +260,11 @@
         EventLog('vm', 'i', clock, 0),
         Random(1),
     )
-    following = asyncio.create_task(feed.run())
+    running = asyncio.create_task(feed.run())
     await asyncio.sleep(wait_s * 1.5)
     ages = []
     for _ in range(40):
         await asyncio.sleep(0.02)
         ages.append(feed.make_news().age_s)
-    following.cancel()
+    running.cancel()
     assert max(ages) < wait_s * 1.5
--- a/tests/direct/test_gone_vms.py
+++ b/tests/direct/test_gone_vms.py
@@ -1,4 +1,4 @@
-"""What hubs tell each other of VMs that are gone or out of reach."""
+"""Spending and membership after VMs died or became unreachable."""
 
 from random import Random
 
@@ -8,11 +8,14 @@
 from tests.direct.test_hubs import hubs_of, spend
 from tests.utils.peer_network import ALLOWANCE, Network, started
 
-PAID_BACK = 10_000  # units; a tenth of the burst
+MAX_DEBT_AFTER_PAYBACK = 10_000  # units; a tenth of the burst
 
 
 def test_totals_of_a_dead_vm_are_not_told_as_its_successors() -> None:
-    """A workspace gets no second burst by the restart of a hub and a VM."""
+    """The restart of a hub and a VM must not give a workspace a second burst.
+
+    The totals of a dead VM must not be taken for those of its successor.
+    """
     network = Network()
     for number in range(30):
         network.add(number, capacity=3 if number < 9 else 1)
@@ -38,13 +41,13 @@
 
 @pytest.mark.parametrize('count', [9, 12, 30])
 def test_half_of_the_vms_restarting_changes_no_total(count: int) -> None:
-    """VMs that stay up neither forget nor count twice what was spent."""
+    """VMs that stay up neither forget spending nor count it twice."""
     wrong = [seed for seed in range(12) if not keep_totals(count, seed)]
     assert not wrong
 
 
 def keep_totals(count: int, seed: int) -> bool:
-    """Restart half of the VMs; tell whether the others' totals stay."""
+    """Restart half of the VMs; return whether the others' totals stay."""
     rng = Random(seed)
     network = started(count, rng=Random(seed))
     network.run(2)
@@ -70,7 +73,7 @@
 
 @pytest.mark.parametrize('count', [3, 9])
 def test_hubs_without_a_path_stay_silent_once_forgotten(count: int) -> None:
-    """A third hub does not make forgotten VMs look alive."""
+    """A third hub's digests must not make forgotten VMs look alive."""
     beyond = {'0': '1', '1': '0'}
     network = started(count)
     network.cut = {frozenset('01')}
@@ -84,7 +87,10 @@
 
 
 def test_a_hub_does_not_take_a_dead_vms_old_debt_for_owed() -> None:
-    """A workspace that has paid back is not refused by a VM that starts."""
+    """A restarted VM must not count a dead VM's old debt.
+
+    Otherwise it would reject a workspace that has paid back.
+    """
     network = started(9)
     network.run(2)
     victim, hub = network.up()[8], network.up()[0]
@@ -101,17 +107,17 @@
     starter = network.add(0, '2')
     for _ in range(110):
         network.run(0.1)
-        assert starter.debt('first') <= PAID_BACK
+        assert starter.debt('first') <= MAX_DEBT_AFTER_PAYBACK
 
 
 def admit_one(network: Network) -> None:
-    """Let each VM take a unit, by which it also counts what was paid back."""
+    """Let each VM admit a unit, which also accounts for what was paid back."""
     for vm in network.up():
         vm.spend('first', 1, network.clock.monotonic())
 
 
 def test_domains_find_each_other_after_a_long_cut_without_seeds() -> None:
-    """VMs that forgot each other in a cut meet again when seeds are gone."""
+    """VMs that forgot each other in a partition meet again without seeds."""
     network = started(30)
     network.run(2)
     for seed in network.up()[:3]:
@@ -125,7 +131,7 @@
 
 
 def test_totals_whose_news_was_lost_are_told_again() -> None:
-    """A total that a lossy second hid from a VM reaches it later."""
+    """A total that was lost with its heartbeats is repeated later."""
     lacking = []
     for seed in range(8):
         network = started(30, rng=Random(seed))
@@ -141,7 +147,7 @@
 
 
 def test_debt_that_was_paid_back_is_not_told_as_owed() -> None:
-    """A VM that starts lets in what the others let in."""
+    """A VM that starts admits as much as the others."""
     network = started(30)
     network.run(2)
     network.up()[5].spend('first', 100_000, network.clock.monotonic())
--- a/tests/direct/test_hub_traffic.py
+++ b/tests/direct/test_hub_traffic.py
@@ -1,4 +1,4 @@
-"""What VMs send each other leaves their links to callers and runners."""
+"""Messages between VMs must not fill the links to callers and runners."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -14,8 +14,9 @@
 VMS: Final = 84
 WORKSPACES: Final = 16
 LINK_MBPS: Final = 5
-# A request that waits longer at its VM reaches a runner after its caller left.
-MOST_WAIT_S: Final = 0.5
+# A request that waits longer at its VM reaches a runner after its caller has
+# left.
+MAX_WAIT_S: Final = 0.5
 BYTES_PER_S: Final = LINK_MBPS * 1_000_000 / 8
 
 Datagram: TypeAlias = tuple[bytes, str, str]
@@ -23,15 +24,16 @@
 
 @dataclass
 class Links(Network):
-    """A network on which each VM's datagrams leave one after another."""
+    """A network in which the datagrams of a VM leave one after another."""
 
-    waits: dict[str, float] = field(default_factory=dict)  # longest, by address
+    # longest wait by sender's address
+    waits: dict[str, float] = field(default_factory=dict)
     _free_at: dict[str, float] = field(default_factory=dict)
     _arrivals: list[tuple[float, int, Datagram]] = field(default_factory=list)
     _numbers: Iterator[int] = field(default_factory=count)
 
     def send(self, payload: bytes, sender: str, receiver: str) -> None:
-        """Take a datagram from a socket."""
+        """Queue a datagram at its sender's link."""
         now = self.clock.monotonic()
         free_at = max(self._free_at.get(sender, 0), now)
         free_at += len(payload) / BYTES_PER_S
@@ -48,7 +50,7 @@
 
 
 def _settled() -> Links:
-    """Start VMs that each spent something of each workspace."""
+    """Start VMs that each have spending of every workspace."""
     network = Links()
     for number in range(VMS):
         network.add(number)
@@ -68,24 +70,24 @@
 
 
 def test_a_vm_that_becomes_a_hub_keeps_its_link_free() -> None:
-    """No byte waits half a second at a VM when a hub has died."""
+    """No datagram waits over half a second at a VM after a hub has died."""
     network = _settled()
     _hubs(network)[-1].is_up = False
     network.run(3)
     longest = sorted(network.waits.values(), reverse=True)
-    assert longest[0] <= MOST_WAIT_S, longest[:HUBS]
+    assert longest[0] <= MAX_WAIT_S, longest[:HUBS]
 
 
 @pytest.mark.parametrize('starting', [4, 12, 25])
 def test_vms_that_start_leave_the_links_of_hubs_free(starting: int) -> None:
-    """No byte waits half a second at a hub while its domain starts anew."""
+    """No datagram waits over half a second at a hub while VMs restart."""
     network = _settled()
     hubs = _hubs(network)
     for number in _first_of_domain(starting, {vm.name for vm in hubs}):
         network.add(number, '2')
     network.run(4)
     longest = sorted(network.waits.values(), reverse=True)
-    assert longest[0] <= MOST_WAIT_S, longest[:HUBS]
+    assert longest[0] <= MAX_WAIT_S, longest[:HUBS]
 
 
 def _first_of_domain(count: int, hubs: set[str]) -> list[int]:
--- a/tests/direct/test_hubs.py
+++ b/tests/direct/test_hubs.py
@@ -1,4 +1,4 @@
-"""Heartbeats among many VMs: who hears of whom, how soon, at what cost."""
+"""Membership among many VMs: who knows whom, how soon, at what cost."""
 
 from random import Random
 
@@ -12,15 +12,15 @@
 )
 from tests.utils.peer_network import STEP_S, Network, Vm, started
 
-# A VM's word to its hub, the hub's to the others, theirs to their VMs: each
-# waits for a heartbeat, and one of them may be lost.
+# A VM reports to its hub, the hub to the other hubs, and those to their VMs.
+# Each step waits for a heartbeat, and one of them may be lost.
 NEWS_S = 4 * BEAT_S
-# Hubs compare whom they know each second, and VMs ask again after 0.7 s.
+# Hubs compare members each second, and VMs ask again after 0.7 s.
 HEALED_S = 3.0
 
 
 def hubs_of(network: Network) -> list[Vm]:
-    """Return the VMs that all others take for hubs."""
+    """Return the VMs that all other VMs consider hubs."""
     vms = network.up()
     return [
         vm
@@ -35,8 +35,8 @@
         vm.spend('first', units, network.clock.monotonic())
 
 
-def ready_seen(network: Network, name: str) -> int:
-    """Count the VMs that send callers to a VM."""
+def count_ready_views(network: Network, name: str) -> int:
+    """Return the number of VMs that list a VM as ready."""
     now = network.clock.monotonic()
     return sum(
         any(one.vm == name and one.ready for one in vm.members.alive(now))
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize('count', [1, 6, 9, 30, 84])
 def test_vms_that_start_at_once_all_hear_each_other(count: int) -> None:
-    """Callers of any VM are told of all, two seconds after the start."""
+    """Two seconds after the start, each VM can list all VMs to callers."""
     network = Network()
     for number in range(count):
         network.add(number)
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize('count', [6, 9, 12])
 def test_a_datagram_lost_at_the_start_hides_no_vm(count: int) -> None:
     """Two hubs whose introduction was lost still find each other."""
-    hidden = []
+    failed_seeds = []
     for seed in range(40):
         network = Network(loss=0.3, rng=Random(seed))
         for number in range(count):
@@ -65,12 +65,12 @@
         network.loss = 0
         network.run(HEALED_S)
         if not network.all_hear_all():
-            hidden.append(seed)
-    assert not hidden
+            failed_seeds.append(seed)
+    assert not failed_seeds
 
 
 def test_a_vm_that_gets_ready_while_it_is_introduced_is_known_to_all() -> None:
-    """A VM whose key changes while it is looked up is found all the same."""
+    """A VM that changes state while it is being introduced is still found."""
     network = started(1)
     first = network.up()[0]
     second = network.add(3)
@@ -78,8 +78,8 @@
     network.run(1)
     second.is_ready = True
     third = network.add(6)
-    # The first VM names the second's old state to the third, and hears of the
-    # new one before it is asked for the old.
+    # The first VM tells the third about the second's old state, and learns the
+    # new state before it is asked for the old one.
     third.next_beat = network.clock.monotonic() + STEP_S
     first.next_beat = third.next_beat + STEP_S
     second.next_beat = third.next_beat + STEP_S
@@ -88,7 +88,7 @@
 
 
 def test_up_to_three_vms_a_domain_all_are_hubs() -> None:
-    """Small deployments keep direct heartbeats, each to each, of one hop."""
+    """In small deployments all VMs send heartbeats to each other directly."""
     network = started(9)
     network.run(1)
     assert len(hubs_of(network)) == 9
@@ -98,7 +98,7 @@
 
 
 def test_hubs_are_the_vms_that_can_carry_most() -> None:
-    """VMs on thin links are spared what only a few have to do."""
+    """VMs with low capacity don't do the work of hubs."""
     network = Network()
     for number in range(30):
         network.add(number, capacity=3 if number >= 24 else 1)
@@ -112,7 +112,7 @@
 
 
 def test_the_loss_of_a_strong_hub_leaves_a_domain_two() -> None:
-    """A domain with one strong VM left still hears of all by two ways."""
+    """A domain with one strong VM left still has two hubs."""
     network = Network()
     for number in range(30):
         network.add(number, capacity=3 if number >= 24 else 1)
@@ -127,10 +127,10 @@
 
 @pytest.mark.parametrize('count', [9, 84])
 def test_a_vm_that_dies_is_soon_known_to_all(count: int) -> None:
-    """Callers are sent elsewhere; its slots and allotments come free.
+    """A dead VM is soon known as dead to all, which releases its slots.
 
-    A VM that is no hub dies without a word. Its hubs miss its heartbeats and
-    leave it out of their digests; what they last said of it runs out.
+    A VM that is no hub dies without a message. Its hubs miss its heartbeats and
+    leave it out of their digests; older digests expire.
     """
     network = started(count)
     network.run(2)
@@ -143,10 +143,11 @@
 
 
 def test_the_loss_of_all_hubs_of_a_domain_is_bridged() -> None:
-    """No VM that lives is taken for dead for longer than a second or two.
+    """The loss of all hubs of a domain hides its other VMs briefly only.
 
-    The three hubs of a domain lose power at once. Its other VMs hear nobody
-    until they have ranked new hubs among those that they knew.
+    The three hubs of a domain lose power at once. The other VMs of the domain
+    hear nobody until they have chosen new hubs among the members that they
+    knew.
     """
     network = started(30)
     network.run(2)
@@ -157,7 +158,7 @@
 
 
 def test_domains_that_were_cut_off_find_each_other_again() -> None:
-    """After ten seconds without a path between two domains, all hear all."""
+    """All VMs hear all again after a partition of ten seconds."""
     network = started(30)
     network.run(2)
     network.cut = {frozenset('01'), frozenset('02')}
@@ -171,8 +172,9 @@
 def test_hubs_without_a_path_between_them_stay_silent_to_each_other(
     count: int,
 ) -> None:
-    """A third hub that hears both does not make them look alive."""
-    beyond = {'0': '1', '1': '0'}  # the domain that one has no path to
+    """A third hub that hears both must not make them appear alive."""
+    # the domain that each domain cannot reach
+    unreachable = {'0': '1', '1': '0'}
     network = started(count)
     network.cut = {frozenset('01')}
     network.run(RELAYED_ALIVE_S + BEAT_S)
@@ -181,22 +183,22 @@
         now = network.clock.monotonic()
         for vm in network.up():
             heard = {one.domain for one in vm.members.alive(now)}
-            assert beyond.get(vm.members.own.domain) not in heard
+            assert unreachable.get(vm.members.own.domain) not in heard
 
 
 def test_a_vm_that_stops_being_ready_is_soon_told_of() -> None:
-    """Callers are not sent to a VM that said that it stops."""
+    """Callers are no longer sent to a VM that has announced its stop."""
     network = started(84)
     network.run(1)
     vm = next(one for one in network.up() if one not in hubs_of(network))
     vm.is_ready = False
     network.run(NEWS_S)
-    assert not ready_seen(network, vm.name)
+    assert not count_ready_views(network, vm.name)
 
 
 @pytest.mark.parametrize('strong', [0, 6])
 def test_lost_datagrams_make_no_vm_look_dead(strong: int) -> None:
-    """One datagram in forty is lost; nobody is taken for gone."""
+    """With one datagram in forty lost, no VM is taken for dead."""
     network = Network(loss=0.025)
     for number in range(84):
         network.add(number, capacity=3 if number >= 84 - strong else 1)
@@ -208,7 +210,7 @@
 
 
 def test_totals_of_allotments_reach_all_vms() -> None:
-    """A workspace over its allotment is refused by VMs that it never called.
+    """VMs that a workspace never called reject it over its allotment.
 
     Every VM admits 1,000 units at once; each then counts the units of all,
     through the hubs, and none of them twice.
@@ -225,7 +227,7 @@
 
 
 def test_a_vm_that_starts_takes_over_what_was_spent() -> None:
-    """A rolling restart gives no workspace a new burst."""
+    """A rolling restart must not give a workspace another burst."""
     network = started(30)
     network.run(1)
     spend(network, 1000)
@@ -237,7 +239,7 @@
 
 
 def test_a_vm_that_was_cut_off_learns_what_was_spent_meanwhile() -> None:
-    """A workspace can't use its allotment a second time on a woken VM."""
+    """A workspace can't use its allotment twice at a VM that was suspended."""
     network = started(30)
     network.run(2)
     spend(network, 10)
--- a/tests/direct/test_limit_news.py
+++ b/tests/direct/test_limit_news.py
@@ -1,4 +1,4 @@
-"""What VMs make of the limits that runners name."""
+"""Rate limits that runners state, and their exchange between VMs."""
 
 from random import Random
 
@@ -19,20 +19,20 @@
 
 @pytest.fixture
 def clock() -> ManualClock:
-    """Return a clock that a test moves."""
+    """Return a clock that the test advances."""
     return ManualClock(START)
 
 
 @pytest.fixture
 def limits(clock: ManualClock) -> RunnerLimits:
-    """Return a VM's limits."""
+    """Return the limits that a VM knows."""
     return RunnerLimits(clock, EventLog('vm', 'i', clock), Random(1))
 
 
 def test_the_newest_limit_is_in_force(
     limits: RunnerLimits, clock: ManualClock
 ) -> None:
-    """A runner changes what it takes; each answer replaces the last."""
+    """A runner may change its limit; each answer replaces the last limit."""
     limits.answered('r', '4', clock.monotonic())
     clock.advance(1)
     limits.answered('r', '1.5', clock.monotonic())
@@ -42,7 +42,7 @@
 def test_an_older_answer_does_not_end_a_limit(
     limits: RunnerLimits, clock: ManualClock
 ) -> None:
-    """A request sent before the limit was heard is answered after it."""
+    """A request sent before the limit was known may be answered after it."""
     sent_at = clock.monotonic()
     clock.advance(1)
     limits.answered('r', '2', clock.monotonic())
@@ -59,7 +59,7 @@
 def test_a_value_that_is_no_rate_changes_nothing(
     limits: RunnerLimits, clock: ManualClock, text: str
 ) -> None:
-    """Taken for no limit, it would flood a runner in need."""
+    """If it counted as no limit, an overloaded runner would be flooded."""
     limits.answered('r', '3', clock.monotonic())
     clock.advance(1)
     limits.answered('r', text, clock.monotonic())
@@ -69,7 +69,7 @@
 def test_a_runner_that_takes_nothing_is_still_asked(
     limits: RunnerLimits, clock: ManualClock
 ) -> None:
-    """Without a request it could never say that it takes more."""
+    """Without any request it could never state a higher limit."""
     limits.answered('r', '0', clock.monotonic())
     assert limits.in_force() == {'r': LEAST_PER_S}
 
@@ -77,7 +77,7 @@
 def test_other_vms_learn_the_newest_word(
     limits: RunnerLimits, clock: ManualClock
 ) -> None:
-    """News that comes late doesn't replace what was heard since."""
+    """Delayed news doesn't replace a newer limit."""
     limits.answered('r', '3', clock.monotonic())
     limits.heard([LimitNews('r', 1, 2.0), LimitNews('other', 5, 0.1)])
     assert limits.in_force() == {'r': 3, 'other': 5}
@@ -89,7 +89,7 @@
 def test_an_end_is_told_for_a_while(
     limits: RunnerLimits, clock: ManualClock
 ) -> None:
-    """A VM that missed it would send a sound runner next to nothing."""
+    """A VM that missed the end would keep sending the runner too little."""
     limits.answered('r', '3', clock.monotonic())
     clock.advance(1)
     limits.answered('r', '', clock.monotonic())
@@ -101,7 +101,7 @@
 def test_a_runner_that_is_gone_takes_its_limit_along(
     limits: RunnerLimits, clock: ManualClock
 ) -> None:
-    """Its successor at the same address named none."""
+    """Its successor at the same address has stated no limit."""
     limits.answered('r', '3', clock.monotonic())
     limits.keep_only({'successor'})
     assert not limits.in_force()
@@ -110,7 +110,7 @@
 def test_limits_of_many_runners_all_reach_another_vm(
     limits: RunnerLimits, clock: ManualClock
 ) -> None:
-    """Limits that are not among the newest are told, too."""
+    """Limits that are not among the newest are sent, too."""
     other = RunnerLimits(clock, EventLog('other', 'i', clock), Random(2))
     for number in range(MOST_TOLD + 8):
         clock.advance(0.01)
--- a/tests/direct/test_moved_runners.py
+++ b/tests/direct/test_moved_runners.py
@@ -1,4 +1,4 @@
-"""Runners that are gone from their address while their entry still stands."""
+"""Runners that left their address while their entry is still listed."""
 
 import asyncio
 from collections.abc import Iterable
@@ -13,34 +13,36 @@
 from bramleybend.direct.runner_list import RunnerList
 from bramleybend.events import EventLog
 from bramleybend.platform.runner_entry import decode_runner
-from tests.direct.world import ENGINE, PLAIN, World, playing
+from tests.direct.cluster import ENGINE, PLAIN, Cluster, running_cluster
 from tests.utils.raw_runner import Seen, answers, streams
 
 CALLS = 20
-TRIED_S = 10
+ATTEMPT_TIMEOUT_S = 10
 SERVICES = {
     name: ServiceFacts(name, 96, is_engine=False, event_tokens=1)
     for name in ('app', 'other')
 }
 
 
-async def moved(seen: Seen) -> None:
-    """Say that another process answers here than the one that was asked."""
+async def answers_misdirected(seen: Seen) -> None:
+    """Answer 421: another process listens here than the one meant."""
     seen.writer.write(b'HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n')
 
 
-async def served(world: World, target: str, number: int) -> None:
-    """Send one request to the VMs in turn; it is served."""
-    vm = number % len(world.vms)
-    answer = await world.call(target, vm, attempt=f'a{number}')
+async def check_served(cluster: Cluster, target: str, number: int) -> None:
+    """Send one request to one of the VMs; check that it is served."""
+    vm = number % len(cluster.vms)
+    answer = await cluster.call(target, vm, attempt=f'a{number}')
     assert answer.status == 200
 
 
-async def served_at_once(
-    world: World, target: str, numbers: Iterable[int]
+async def check_served_at_once(
+    cluster: Cluster, target: str, numbers: Iterable[int]
 ) -> None:
-    """Send more requests than one runner has slots for."""
-    await asyncio.gather(*(served(world, target, one) for one in numbers))
+    """Send several requests at once; check that they are served."""
+    await asyncio.gather(
+        *(check_served(cluster, target, one) for one in numbers)
+    )
 
 
 @pytest.mark.parametrize('vms', [1, 2])
@@ -50,26 +52,30 @@
 async def test_a_runner_that_left_its_address_draws_no_further_requests(
     service: str, target: str, vms: int
 ) -> None:
-    """It refuses at once, so to the queue it would be the one that is free."""
-    async with playing(vms) as world:
-        left = await world.add_runner('left', service, moved)
+    """A runner that refuses at once always looks free to the queue."""
+    async with running_cluster(vms) as cluster:
+        moved_runner = await cluster.add_runner(
+            'left', service, answers_misdirected
+        )
         for number in range(2):
             behave = streams if service == ENGINE else answers
-            await world.add_runner(f'r{number}', service, behave)
-        await world.knows(service, 3)
+            await cluster.add_runner(f'r{number}', service, behave)
+        await cluster.wait_for_runners(service, 3)
         numbers = count()
-        async with asyncio.timeout(TRIED_S):
-            while not left.seen:
-                await served_at_once(world, target, islice(numbers, CALLS))
-        told = len(left.seen)
+        async with asyncio.timeout(ATTEMPT_TIMEOUT_S):
+            while not moved_runner.seen:
+                await check_served_at_once(
+                    cluster, target, islice(numbers, CALLS)
+                )
+        seen_before = len(moved_runner.seen)
         for number in islice(numbers, CALLS):
-            await served(world, target, number)
-        # A VM that it has not told yet asks once.
-        assert len(left.seen) - told <= vms - 1
+            await check_served(cluster, target, number)
+        # Each other VM may send it one request before it learns this itself.
+        assert len(moved_runner.seen) - seen_before <= vms - 1
 
 
 def entry(address: str, born: int, service: str = 'app') -> bytes:
-    """Return what a runner wrote of itself."""
+    """Return the entry of a runner."""
     return (
         f'{{"service":"{service}","addr":"{address}","zone":"a","slots":4,'
         f'"state":"ready","born":{born},"seq":1}}'
@@ -77,21 +83,21 @@
 
 
 def record(key: str, content: bytes) -> KeyedRecord:
-    """Return one record of the list."""
+    """Return one record of the runner list."""
     return KeyedRecord(1, key, content)
 
 
-def a_book() -> Book:
-    """Return a book with a manifest that names the services."""
+def make_book() -> Book:
+    """Return a book whose manifest declares the services."""
     clock = SystemClock()
     book = Book(clock, EventLog('vm', 'i', clock, 0))
     book.apply_manifest(Manifest(1, {}, SERVICES, {}, keyed=False))
     return book
 
 
-def names_known(*records: KeyedRecord) -> set[str]:
-    """Return which runners are used after a page."""
-    book = a_book()
+def used_runners(*records: KeyedRecord) -> set[str]:
+    """Return the names of the runners that are used after a page."""
+    book = make_book()
     clock = SystemClock()
     runners = RunnerList(book, decode_runner, EventLog('vm', 'i', clock, 0))
     runners.confirmed(clock.monotonic())
@@ -103,18 +109,18 @@
 def test_of_two_runners_at_an_address_the_later_start_is_used(
     service: str,
 ) -> None:
-    """The entry of a crashed runner stands beside its successor's."""
+    """A crashed runner's entry may be listed beside its successor's."""
     older = record('old', entry('10.0.0.1:80', 1000))
     newer = record('new', entry('10.0.0.1:80', 2000, service))
     beside = record('beside', entry('10.0.0.1:81', 500))
-    assert names_known(older, newer, beside) == {'new', 'beside'}
-    assert names_known(newer, older, beside) == {'new', 'beside'}
+    assert used_runners(older, newer, beside) == {'new', 'beside'}
+    assert used_runners(newer, older, beside) == {'new', 'beside'}
 
 
 def test_an_entry_that_names_no_service_or_start_displaces_nobody() -> None:
-    """Such an entry may be another writer's, and its start a guess."""
+    """Such an entry may come from another writer, with a guessed start."""
     runner = record('r', entry('10.0.0.1:80', 1000))
-    assert 'r' in names_known(
+    assert 'r' in used_runners(
         runner, record('x', entry('10.0.0.1:80', 2000, 'unnamed'))
     )
-    assert 'r' in names_known(runner, record('x', entry('10.0.0.1:80', 0)))
+    assert 'r' in used_runners(runner, record('x', entry('10.0.0.1:80', 0)))
--- a/tests/direct/test_owner_batches.py
+++ b/tests/direct/test_owner_batches.py
@@ -1,4 +1,4 @@
-"""An owner decides once for all that comes in one turn of the event loop."""
+"""An owner decides once for all asks of one turn of the event loop."""
 
 import asyncio
 from functools import partial
@@ -28,7 +28,7 @@
 def make_service_queue(
     clock: Clock | None = None, slots: int = SLOTS
 ) -> ServiceQueue:
-    """Make a queue with one engine."""
+    """Return a queue with one engine."""
     queue = make_queue(
         SERVICE, is_engine=True, clock=clock or SystemClock(), rng=Random(1)
     )
@@ -40,7 +40,7 @@
 
 
 def ask(name: str, tier: Tier = Tier.HIGH) -> Ask:
-    """Return a request that may wait for long."""
+    """Return the ask of a request with a late deadline."""
     later = SystemClock().monotonic() + 60
     return Ask(name, SERVICE, tier, 'w', 100, 50, (), later, cancellable=False)
 
@@ -48,17 +48,17 @@
 async def test_a_burst_costs_one_decision(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Asks that come together don't wait for each other's decisions."""
+    """Asks that arrive together must not wait for each other's decisions."""
     queue = make_service_queue()
     await asyncio.sleep(0)
     ticks: list[float] = []
     tick = ShardPolicy.tick
 
-    def counted(policy: ShardPolicy, now: float) -> list[Action]:
+    def count_tick(policy: ShardPolicy, now: float) -> list[Action]:
         ticks.append(now)
         return tick(policy, now)
 
-    monkeypatch.setattr(ShardPolicy, 'tick', counted)
+    monkeypatch.setattr(ShardPolicy, 'tick', count_tick)
     for number in range(50):
         queue.ask(ask(f'a{number}'), lambda action: None)
     await asyncio.sleep(0)
@@ -66,7 +66,7 @@
 
 
 async def test_a_slot_goes_to_the_highest_tier_that_came_in_the_turn() -> None:
-    """A lower request that was read first takes no slot of a higher one."""
+    """A lower tier's ask that is read first gets no slot of a higher one."""
     queue = make_service_queue()
     await asyncio.sleep(0)
     granted: list[str] = []
@@ -83,7 +83,7 @@
 
 
 async def test_only_what_waits_is_acknowledged() -> None:
-    """A grant is the first word to whoever gets one at once."""
+    """An ask that is granted at once gets only the grant."""
     queue = make_service_queue()
     await asyncio.sleep(0)
     acknowledged: list[str] = []
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize('batched', [False, True])
 def test_a_burst_on_free_slots_is_not_refused(batched: bool) -> None:
-    """Asks that come together don't count as a queue before each other."""
+    """Asks that arrive together don't count as a queue before each other."""
     service = Service('s', ServiceKind.ENGINE, slots=8)
     policy = make_shard_policy(
         service, Random(1), switches=SWITCHES, batched=batched
@@ -107,7 +107,7 @@
     ]
     policy.runners(infos, 0)
     for number in range(20):
-        policy.ask(costing(f'l{number}', 100, 0), 0)
+        policy.ask(ask_of_cost(f'l{number}', 100, 0), 0)
     policy.tick(0)
     report = RunReport('done', prompt_tokens=1, completion_tokens=6, seconds=1)
     for number in range(20):
@@ -115,13 +115,13 @@
     policy.tick(1)
     actions: list[Action] = []
     for number in range(64):
-        actions += policy.ask(costing(f'b{number}', 1000, 1), 1)
+        actions += policy.ask(ask_of_cost(f'b{number}', 1000, 1), 1)
     actions += policy.tick(1)
     assert [type(action) for action in actions] == [Grant] * 64
 
 
-def costing(name: str, cost: float, now: float) -> Ask:
-    """Return a request of some cost that has to begin within two seconds."""
+def ask_of_cost(name: str, cost: float, now: float) -> Ask:
+    """Return an ask of some cost that has to start within two seconds."""
     return Ask(
         name,
         's',
@@ -137,32 +137,32 @@
 
 
 async def test_a_run_that_its_vm_tells_of_keeps_its_slot() -> None:
-    """An ask that is read late takes no slot from its own run."""
+    """A delayed ask must not free the slot of its own run."""
     clock = ManualClock(START)
     queue = make_service_queue(clock, slots=1)
     queue.ask(ask('a'), lambda action: None)
     await asyncio.sleep(0)
-    await tell_of_a(queue, clock)
+    await confirm_run_a(queue, clock)
     queue.ask(ask('a'), lambda action: None)
-    await tell_of_a(queue, clock)
+    await confirm_run_a(queue, clock)
     assert not await is_granted(queue)
 
 
 async def test_a_run_outlives_an_ask_of_it_that_lapses() -> None:
-    """An ask that its VM withdrew in vain ends no run of it."""
+    """An ask that expires must not end the run that it was granted."""
     clock = ManualClock(START)
     queue = make_service_queue(clock, slots=1)
     queue.ask(ask('other'), lambda action: None)
     queue.ask(ask('a'), lambda action: None)
     await asyncio.sleep(0)
     queue.began('other')
-    await tell_of_a(queue, clock)
+    await confirm_run_a(queue, clock)
     queue.ended('other', RunReport('done'))
     assert not await is_granted(queue)
 
 
-async def tell_of_a(queue: ServiceQueue, clock: ManualClock) -> None:
-    """Let a VM tell of its run for longer than an ask or a grant lasts."""
+async def confirm_run_a(queue: ServiceQueue, clock: ManualClock) -> None:
+    """Let a VM's heartbeats confirm a run for longer than an ask is kept."""
     news = RunNews('a', SERVICE, 'r1', 2, 'w', 100, 50)
     for _ in range(6):
         clock.advance(0.3)
@@ -172,7 +172,7 @@
 
 
 async def is_granted(queue: ServiceQueue) -> bool:
-    """Ask for one more slot."""
+    """Return whether one more slot is granted."""
     granted: list[Grant | Refuse] = []
     queue.ask(ask('next'), granted.append)
     await asyncio.sleep(0)
--- a/tests/direct/test_program.py
+++ b/tests/direct/test_program.py
@@ -1,4 +1,4 @@
-"""The real program, as a process of its own."""
+"""The program, run in a process of its own."""
 
 import asyncio
 import signal
@@ -6,16 +6,16 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
-from tests.direct.world import PLAIN, World, connect, playing
+from tests.direct.cluster import PLAIN, Cluster, connect, running_cluster
 from tests.utils.processes import Process
 from tests.utils.waiting import wait_until
 
 
 @asynccontextmanager
-async def program(world: World, folder: Path) -> AsyncIterator[Process]:
-    """Run the program in the place of the world's only VM."""
-    await world.vms.pop().kill()
-    cfg = world.cfgs[0]
+async def program(cluster: Cluster, folder: Path) -> AsyncIterator[Process]:
+    """Run the program in place of the cluster's only VM."""
+    await cluster.vms.pop().kill()
+    cfg = cluster.cfgs[0]
     settings = folder / 'settings.conf'
     settings.write_text(
         f'BRAMLEYBEND_VM=entry-9\nBRAMLEYBEND_DOMAIN=walton\n'
@@ -42,15 +42,15 @@
 async def test_a_caller_that_comes_while_the_program_loads_is_served(
     tmp_path: Path,
 ) -> None:
-    """The first connection that stands is answered, not reset.
+    """A connection that is accepted while the program loads is served.
 
-    The program listens before its libraries are loaded; the request waits in
+    The program listens before it imports its libraries; the request waits in
     the kernel until it is read.
     """
-    async with playing() as world:
-        await world.add_runner('r1', PLAIN)
-        async with program(world, tmp_path) as process:
-            cfg = world.cfgs[0]
+    async with running_cluster() as cluster:
+        await cluster.add_runner('r1', PLAIN)
+        async with program(cluster, tmp_path) as process:
+            cfg = cluster.cfgs[0]
             caller = None
             while caller is None:
                 process.check_running()
@@ -68,9 +68,9 @@
     tmp_path: Path,
 ) -> None:
     """SIGHUP changes nothing for callers; SIGTERM ends with exit code 0."""
-    async with playing() as world:
-        await world.add_runner('r1', PLAIN)
-        async with program(world, tmp_path) as process:
+    async with running_cluster() as cluster:
+        await cluster.add_runner('r1', PLAIN)
+        async with program(cluster, tmp_path) as process:
             await wait_until(
                 lambda: 'event=runner ' in process.log_text(), 'the runner'
             )
@@ -78,23 +78,23 @@
             await wait_until(
                 lambda: 'event=reloaded' in process.log_text(), 'the reload'
             )
-            assert (await world.call('/read/x')).status == 200
+            assert (await cluster.call('/read/x')).status == 200
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
             assert 'event=stopped' in process.log_text()
 
 
 async def test_no_key_or_body_stands_in_the_log(tmp_path: Path) -> None:
-    """What callers send in confidence is in no line, refused or served."""
-    async with playing() as world:
-        await world.add_runner('r1', PLAIN)
-        async with program(world, tmp_path) as process:
+    """Keys and bodies are not logged, whether a request is served or not."""
+    async with running_cluster() as cluster:
+        await cluster.add_runner('r1', PLAIN)
+        async with program(cluster, tmp_path) as process:
             await wait_until(
                 lambda: 'event=runner ' in process.log_text(), 'the runner'
             )
             secret = b'a very private body'
-            await world.call('/read/x', body=secret)
-            await world.call('/read/x', key='stolen-key', body=secret)
+            await cluster.call('/read/x', body=secret)
+            await cluster.call('/read/x', key='stolen-key', body=secret)
             await wait_until(
                 lambda: (
                     'event=answered' in process.log_text()
--- a/tests/direct/test_queue_log.py
+++ b/tests/direct/test_queue_log.py
@@ -1,4 +1,4 @@
-"""What a VM tells of the queues that it orders."""
+"""The events that a VM logs about the queues that it owns."""
 
 import logging
 from random import Random
@@ -19,14 +19,14 @@
 
 
 def ask(name: str, tier: Tier) -> Ask:
-    """Return a request that may wait for long."""
+    """Return the ask of a request with a late deadline."""
     later = SystemClock().monotonic() + 60
     return Ask(name, SERVICE, tier, 'w', 100, 50, (), later, cancellable=False)
 
 
 @pytest.fixture
 async def queues() -> Queues:
-    """Return the queues of a VM that knows one runner of one slot."""
+    """Return the queues of a VM that knows one runner with one slot."""
     clock = SystemClock()
     events = EventLog('vm', 'i', clock, kept=0)
     members = Members(Self('vm', 'i', '127.0.0.1', '127.0.0.1:80'))
@@ -38,8 +38,8 @@
     return queues
 
 
-def told(caplog: pytest.LogCaptureFixture) -> list[dict[str, object]]:
-    """Return the events about queues."""
+def queue_events(caplog: pytest.LogCaptureFixture) -> list[dict[str, object]]:
+    """Return the logged events about queues."""
     lines = [each.msg for each in caplog.records if isinstance(each.msg, dict)]
     return [line for line in lines if line['event'] == 'queue']
 
@@ -47,7 +47,7 @@
 async def test_a_queue_tells_what_waits_and_what_is_free(
     queues: Queues, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Full runners, a late owner and a policy that holds can be told apart."""
+    """The event tells full runners, a late owner and a holding policy apart."""
     caplog.set_level(logging.INFO, logger=EVENT_LOGGER)
     log = QueueLog(queues, EventLog('vm', 'i', SystemClock(), kept=0))
     queue = queues.of(SERVICE)
@@ -55,7 +55,7 @@
         queue.ask(ask(name, tier), lambda action: None)
     queue.ask(ask('b', Tier.HIGH), lambda action: None)
     log.record()
-    (line,) = told(caplog)
+    (line,) = queue_events(caplog)
     expected = {
         'waiting': '2:1,3:1',
         'running': 1,
@@ -72,11 +72,11 @@
 async def test_a_queue_in_which_nothing_waits_tells_nothing(
     queues: Queues, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """VMs that order nothing add no lines."""
+    """An empty queue is not logged."""
     caplog.set_level(logging.INFO, logger=EVENT_LOGGER)
     log = QueueLog(queues, EventLog('vm', 'i', SystemClock(), kept=0))
     queue = queues.of(SERVICE)
     queue.ask(ask('a', Tier.HIGH), lambda action: None)
     queue.ended('a', RunReport('done'))
     log.record()
-    assert not told(caplog)
+    assert not queue_events(caplog)
--- a/tests/direct/test_whole_path.py
+++ b/tests/direct/test_request_path.py
@@ -1,18 +1,24 @@
-"""A request from its caller to a runner and back, over real sockets."""
+"""Requests from their caller to a runner and back, over real sockets."""
 
 import asyncio
 
-from tests.direct.world import ENGINE, PLAIN, connect, manifest, playing
+from tests.direct.cluster import (
+    ENGINE,
+    PLAIN,
+    connect,
+    manifest,
+    running_cluster,
+)
 from tests.utils.raw_runner import Seen, answers, chunk, event, streams
 from tests.utils.waiting import wait_until
 
 
 async def test_a_plain_request_comes_back_as_its_runner_answered() -> None:
-    """Status, body and proof are the runner's; the key stays with us."""
-    async with playing() as world:
-        runner = await world.add_runner('r1', PLAIN)
-        await world.knows(PLAIN)
-        answer = await world.call('/book/x?day=1', body=b'slot', X_Other='1')
+    """Status, body and proof are the runner's; the key is not forwarded."""
+    async with running_cluster() as cluster:
+        runner = await cluster.add_runner('r1', PLAIN)
+        await cluster.wait_for_runners(PLAIN)
+        answer = await cluster.call('/book/x?day=1', body=b'slot', X_Other='1')
         assert (answer.status, answer.body) == (200, b'done')
         assert answer.headers['x-bramleybend-response-stamp'] == 's1'
         (seen,) = runner.seen
@@ -26,11 +32,11 @@
 
 
 async def test_what_only_the_system_may_set_is_dropped() -> None:
-    """A caller can't name a workspace or reserve an engine's memory."""
-    async with playing() as world:
-        runner = await world.add_runner('r1', ENGINE, streams)
-        await world.knows(ENGINE)
-        await world.call(
+    """Callers can't set the workspace or reserve an engine's memory."""
+    async with running_cluster() as cluster:
+        runner = await cluster.add_runner('r1', ENGINE, streams)
+        await cluster.wait_for_runners(ENGINE)
+        await cluster.call(
             '/draft/x',
             X_Bramleybend_Tenant='other',
             X_Bramleybend_Hold='h',
@@ -46,18 +52,18 @@
 
 
 async def test_a_stream_reaches_its_caller_event_by_event() -> None:
-    """The first event is there before the runner makes the second."""
+    """The caller gets the first event before the runner sends the second."""
     go_on = asyncio.Event()
 
-    async def slow(seen: Seen) -> None:
+    async def sends_in_two_steps(seen: Seen) -> None:
         seen.writer.write(seen.stream_head() + chunk(event(1)))
         await go_on.wait()
         seen.writer.write(chunk(event(2)) + chunk(b''))
 
-    async with playing() as world:
-        await world.add_runner('r1', ENGINE, slow)
-        await world.knows(ENGINE)
-        caller = await world.connect()
+    async with running_cluster() as cluster:
+        await cluster.add_runner('r1', ENGINE, sends_in_two_steps)
+        await cluster.wait_for_runners(ENGINE)
+        caller = await cluster.connect()
         await caller.send('/draft/x')
         async with asyncio.timeout(2):
             await caller.reader.readuntil(b'piece 1\n\n')
@@ -68,13 +74,13 @@
 
 
 async def test_metrics_are_served_beside_the_readiness_check() -> None:
-    """A scraper finds the answers that callers got, and what is known."""
-    async with playing() as world:
-        await world.add_runner('r1', PLAIN)
-        await world.knows(PLAIN)
-        await world.call('/read/x')
-        await world.call('/nothing/x')
-        cfg = world.cfgs[0]
+    """A scraper finds counts of answers and the manifest's version."""
+    async with running_cluster() as cluster:
+        await cluster.add_runner('r1', PLAIN)
+        await cluster.wait_for_runners(PLAIN)
+        await cluster.call('/read/x')
+        await cluster.call('/nothing/x')
+        cfg = cluster.cfgs[0]
         scraper = await connect(cfg.ready.host, cfg.ready.port)
         await scraper.send('/metrics', method='GET', body=b'')
         text = (await scraper.answer()).body.decode()
@@ -89,57 +95,57 @@
 
 
 async def test_unknown_hosts_paths_and_keys_are_told_apart() -> None:
-    """404 without a route, 401 without a key that is known."""
-    async with playing() as world:
-        assert (await world.call('/nothing/x')).status == 404
-        assert (await world.call('/read/x', key='')).status == 401
-        assert (await world.call('/read/x', key='gone')).status == 401
-        refused = await world.call('/read/x')
+    """404 without a route, 401 without a known key, 503 without a runner."""
+    async with running_cluster() as cluster:
+        assert (await cluster.call('/nothing/x')).status == 404
+        assert (await cluster.call('/read/x', key='')).status == 401
+        assert (await cluster.call('/read/x', key='gone')).status == 401
+        refused = await cluster.call('/read/x')
         assert refused.status == 503
         assert float(refused.headers['retry-after']) >= 0
 
 
 async def test_a_vm_without_a_manifest_keeps_requests_then_refuses() -> None:
-    """The caller sees 503 with a time to return, never 404.
+    """The caller gets 503 with a retry time, never 404.
 
-    A VM starts while the store is silent. It knows no route, so it can't
-    tell that there is none. The request waits a part of its patience.
+    A VM starts while the store is silent. It knows no route, so it can't tell
+    that there is none. The request waits for a share of its timeout.
     """
-    async with playing() as world:
-        world.store.silent = True
-        await world.vms.pop().kill()
-        world.cfgs.clear()
-        await world.add_vm()
-        answer = await world.call('/read/x', X_Bramleybend_Deadline_Ms='500')
+    async with running_cluster() as cluster:
+        cluster.store.silent = True
+        await cluster.vms.pop().kill()
+        cluster.cfgs.clear()
+        await cluster.add_vm()
+        answer = await cluster.call('/read/x', X_Bramleybend_Deadline_Ms='500')
         assert answer.status == 503
         assert 0 < float(answer.headers['retry-after']) <= 0.1
-        assert not world.vms[0].entry.is_ready()
+        assert not cluster.vms[0].entry.is_ready()
 
 
 async def test_a_new_manifest_is_in_force_at_once_and_an_older_never() -> None:
-    """Routes follow the highest version, whatever order they come in."""
-    async with playing() as world:
-        book = world.vms[0].entry.book
-        world.publish(manifest(7, routes=[]))
+    """The highest version is in force, in whatever order versions arrive."""
+    async with running_cluster() as cluster:
+        book = cluster.vms[0].entry.book
+        cluster.publish(manifest(7, routes=[]))
         await wait_until(
             lambda: book.manifest is not None and book.manifest.version == 7,
             'the new version',
             limit_s=1,
         )
-        world.publish(manifest(3))
-        feed = world.vms[0].feeds[0]
+        cluster.publish(manifest(3))
+        feed = cluster.vms[0].feeds[0]
         await wait_until(lambda: feed.copy.end == 3, 'the older version')
-        assert (await world.call('/read/x')).status == 404
+        assert (await cluster.call('/read/x')).status == 404
 
 
 async def test_a_manifest_that_cannot_be_read_leaves_the_last_one() -> None:
-    """Nothing of it is applied, and callers are served as before."""
-    async with playing() as world:
-        await world.add_runner('r1', PLAIN, answers)
-        world.publish({'version': 9, 'routes': [{'host': 5}]})
-        world.publish({'version': 'x'})
-        await world.knows(PLAIN)
-        assert (await world.call('/read/x')).status == 200
-        book = world.vms[0].entry.book
+    """An invalid manifest is ignored as a whole."""
+    async with running_cluster() as cluster:
+        await cluster.add_runner('r1', PLAIN, answers)
+        cluster.publish({'version': 9, 'routes': [{'host': 5}]})
+        cluster.publish({'version': 'x'})
+        await cluster.wait_for_runners(PLAIN)
+        assert (await cluster.call('/read/x')).status == 200
+        book = cluster.vms[0].entry.book
         assert book.manifest is not None
         assert book.manifest.version == 1
--- a/tests/direct/test_runner_limits.py
+++ b/tests/direct/test_runner_limits.py
@@ -1,4 +1,4 @@
-"""Runners that name how many requests a second they take from all VMs."""
+"""Runners that state how many requests a second they accept from all VMs."""
 
 import asyncio
 from collections.abc import Sequence
@@ -6,31 +6,31 @@
 
 import pytest
 
-from tests.direct.world import ENGINE, PLAIN, World, playing
+from tests.direct.cluster import ENGINE, PLAIN, Cluster, running_cluster
 from tests.utils.raw_runner import Seen
 
 VMS = 3
-SETTLED_S = 1.0  # after its first answer all VMs know
+SETTLE_S = 1.0  # until all VMs know a limit after the first answer
 WINDOW_S = 4.0
-EVERY_S = 0.05  # between two callers, 20 a second
+CALL_EVERY_S = 0.05  # between two requests, 20 a second
 ROUTES = {ENGINE: '/check/x', PLAIN: '/read/x'}
 
 
 @dataclass
 class LimitedRunner:
-    """Answers at once, names a limit and notes when requests came."""
+    """A runner that states a limit and records when requests arrive."""
 
     limit: str
-    came_at: list[float] = field(default_factory=list)
+    received_at: list[float] = field(default_factory=list)
 
     async def behave(self, seen: Seen) -> None:
-        """Answer one request."""
-        self.came_at.append(asyncio.get_running_loop().time())
+        """Answer one request at once."""
+        self.received_at.append(asyncio.get_running_loop().time())
         seen.writer.write(seen.answer(limit=self.limit))
 
-    def most_within(self, window_s: float, since: float) -> int:
-        """Count the requests of the window that had most."""
-        times = [at for at in self.came_at if at >= since]
+    def max_within(self, window_s: float, since: float) -> int:
+        """Return the largest number of requests in any window."""
+        times = [at for at in self.received_at if at >= since]
         return max(
             (
                 sum(first <= at < first + window_s for at in times)
@@ -40,39 +40,39 @@
         )
 
 
-def allowed(per_s: float) -> float:
-    """Return what the users' pages allow in a window."""
+def max_allowed(per_s: float) -> float:
+    """Return the number of requests that the user documentation permits."""
     return per_s * WINDOW_S * 1.5 + 5
 
 
-async def press(world: World, service: str, seconds: float) -> None:
-    """Send requests of many callers to all VMs in turn."""
+async def send_load(cluster: Cluster, service: str, seconds: float) -> None:
+    """Send requests to the VMs in turn."""
     loop = asyncio.get_running_loop()
-    ends_at = loop.time() + seconds
+    send_until = loop.time() + seconds
     calls = set()
     number = 0
-    while loop.time() < ends_at:
+    while loop.time() < send_until:
         number += 1
         target = ROUTES[service]
-        call = world.call(
+        call = cluster.call(
             target,
-            vm=number % len(world.vms),
+            vm=number % len(cluster.vms),
             attempt=f'a{number}',
             X_Bramleybend_Deadline_Ms='1000',
         )
         calls.add(asyncio.create_task(call))
-        await asyncio.sleep(EVERY_S)
+        await asyncio.sleep(CALL_EVERY_S)
     await asyncio.gather(*calls, return_exceptions=True)
 
 
-async def start(
-    world: World, service: str, limits: Sequence[str]
+async def start_runners(
+    cluster: Cluster, service: str, limits: Sequence[str]
 ) -> list[LimitedRunner]:
-    """Start a runner for each limit; an empty one names none."""
+    """Start a runner for each limit; an empty one states none."""
     runners = [LimitedRunner(limit) for limit in limits]
     for number, runner in enumerate(runners):
-        await world.add_runner(f'r{number}', service, runner.behave)
-    await world.knows(service, len(runners))
+        await cluster.add_runner(f'r{number}', service, runner.behave)
+    await cluster.wait_for_runners(service, len(runners))
     return runners
 
 
@@ -81,63 +81,63 @@
 async def test_a_named_limit_holds_over_all_vms(
     service: str, limit: str
 ) -> None:
-    """A runner in need gets more than it takes, from VMs that it told."""
-    async with playing(VMS) as world:
-        limited, other = await start(world, service, [limit, ''])
-        await press(world, service, SETTLED_S + WINDOW_S + 1)
-        since = limited.came_at[0] + SETTLED_S
-        most = limited.most_within(WINDOW_S, since)
-        assert 0 < most <= allowed(float(limit))
-        assert other.came_at
+    """The limit holds for the requests of all VMs together."""
+    async with running_cluster(VMS) as cluster:
+        limited, other = await start_runners(cluster, service, [limit, ''])
+        await send_load(cluster, service, SETTLE_S + WINDOW_S + 1)
+        since = limited.received_at[0] + SETTLE_S
+        max_received = limited.max_within(WINDOW_S, since)
+        assert 0 < max_received <= max_allowed(float(limit))
+        assert other.received_at
 
 
 @pytest.mark.parametrize('service', [ENGINE, PLAIN])
 async def test_a_limit_ends_when_the_runner_names_none(service: str) -> None:
-    """A runner that has recovered gets no work for ever."""
-    async with playing(VMS) as world:
-        (runner,) = await start(world, service, ['2'])
-        await press(world, service, 2)
+    """A runner that no longer states a limit gets its full load again."""
+    async with running_cluster(VMS) as cluster:
+        (runner,) = await start_runners(cluster, service, ['2'])
+        await send_load(cluster, service, 2)
         runner.limit = ''
-        await press(world, service, 3)
-        begun = asyncio.get_running_loop().time()
-        await press(world, service, 2)
-        assert runner.most_within(1, begun) >= 10
+        await send_load(cluster, service, 3)
+        started_at = asyncio.get_running_loop().time()
+        await send_load(cluster, service, 2)
+        assert runner.max_within(1, started_at) >= 10
 
 
 async def test_a_vm_that_starts_keeps_to_a_limit_that_others_heard() -> None:
-    """A VM that comes up sends its runner a burst until it is told itself."""
-    async with playing(VMS - 1) as world:
-        limited, _ = await start(world, PLAIN, ['1', ''])
-        await press(world, PLAIN, 1)
-        await world.add_vm()
-        await world.ready()
-        await world.knows(PLAIN, 2)
-        begun = asyncio.get_running_loop().time()
-        await press(world, PLAIN, WINDOW_S)
-        assert limited.most_within(WINDOW_S, begun) <= allowed(1)
+    """A VM that starts must not send a burst before it hears of a limit."""
+    async with running_cluster(VMS - 1) as cluster:
+        limited, _ = await start_runners(cluster, PLAIN, ['1', ''])
+        await send_load(cluster, PLAIN, 1)
+        await cluster.add_vm()
+        await cluster.wait_until_ready()
+        await cluster.wait_for_runners(PLAIN, 2)
+        started_at = asyncio.get_running_loop().time()
+        await send_load(cluster, PLAIN, WINDOW_S)
+        assert limited.max_within(WINDOW_S, started_at) <= max_allowed(1)
 
 
 @pytest.mark.parametrize('service', [ENGINE, PLAIN])
 async def test_a_limit_holds_while_a_vm_is_lost(service: str) -> None:
-    """Whoever takes over begins with a burst of its own."""
-    async with playing(VMS) as world:
-        limited, _ = await start(world, service, ['1', ''])
-        await press(world, service, SETTLED_S)
-        begun = asyncio.get_running_loop().time()
-        lost = world.vms.pop()
-        await asyncio.gather(press(world, service, WINDOW_S), lost.kill())
-        assert limited.most_within(WINDOW_S, begun) <= allowed(1)
+    """The VM that takes over from a lost one must not send another burst."""
+    async with running_cluster(VMS) as cluster:
+        limited, _ = await start_runners(cluster, service, ['1', ''])
+        await send_load(cluster, service, SETTLE_S)
+        started_at = asyncio.get_running_loop().time()
+        lost = cluster.vms.pop()
+        await asyncio.gather(send_load(cluster, service, WINDOW_S), lost.kill())
+        assert limited.max_within(WINDOW_S, started_at) <= max_allowed(1)
 
 
 async def test_a_successor_is_not_held_to_the_limit_of_a_runner() -> None:
-    """A sound runner is spared for what the one before it said."""
-    async with playing(VMS) as world:
-        await start(world, ENGINE, ['0.4'])
-        await press(world, ENGINE, SETTLED_S)
-        world.store.topic('keyed.servers').put('r0', b'')
+    """The successor of a limited runner gets its full load."""
+    async with running_cluster(VMS) as cluster:
+        await start_runners(cluster, ENGINE, ['0.4'])
+        await send_load(cluster, ENGINE, SETTLE_S)
+        cluster.store.topic('keyed.servers').put('r0', b'')
         successor = LimitedRunner('')
-        await world.add_runner('successor', ENGINE, successor.behave)
-        await world.knows(ENGINE, 1)
-        begun = asyncio.get_running_loop().time()
-        await press(world, ENGINE, 2)
-        assert successor.most_within(1, begun) >= 10
+        await cluster.add_runner('successor', ENGINE, successor.behave)
+        await cluster.wait_for_runners(ENGINE, 1)
+        started_at = asyncio.get_running_loop().time()
+        await send_load(cluster, ENGINE, 2)
+        assert successor.max_within(1, started_at) >= 10
--- a/tests/direct/test_suspension.py
+++ b/tests/direct/test_suspension.py
@@ -1,4 +1,4 @@
-"""A VM that was suspended and wakes with old beliefs."""
+"""A VM that was suspended and resumes with an outdated state."""
 
 import asyncio
 import time
@@ -6,82 +6,82 @@
 from bramleybend.clock import SystemClock
 from bramleybend.direct.suspension import SuspensionWatch
 from bramleybend.platform.names import MANIFEST_TOPIC
-from tests.direct.world import ENGINE, PLAIN, manifest, playing
+from tests.direct.cluster import ENGINE, PLAIN, manifest, running_cluster
 from tests.utils.waiting import wait_until
 
-ASLEEP_S = 6.0
+SUSPENDED_S = 6.0
 
 
-class SleepyClock(SystemClock):
-    """A machine's clock that counts suspensions a test orders."""
+class SuspendableClock(SystemClock):
+    """A clock that includes simulated suspensions."""
 
     def __init__(self) -> None:
-        """Start awake."""
+        """Start without a suspension."""
         self.slept_s = float(0)
 
     def monotonic(self) -> float:
-        """Return seconds, those asleep included."""
+        """Return seconds, suspensions included."""
         return super().monotonic() + self.slept_s
 
 
 def test_the_clock_counts_suspensions() -> None:
-    """Ages are measured by the clock that runs on while a VM sleeps."""
+    """Ages are measured by a clock that runs on during suspensions."""
     boot_s = time.clock_gettime(time.CLOCK_BOOTTIME)
     assert abs(SystemClock().monotonic() - boot_s) < 1
 
 
 def test_a_suspension_is_noticed_once() -> None:
-    """The clock runs ahead of one that stood still meanwhile."""
-    clock = SleepyClock()
+    """A suspension shows once, as a jump against a clock that stood still."""
+    clock = SuspendableClock()
     watch = SuspensionWatch(clock, time.monotonic)
     assert not watch.slept_s()
-    clock.slept_s = ASLEEP_S
-    assert ASLEEP_S - 0.1 < watch.slept_s() < ASLEEP_S + 0.1
+    clock.slept_s = SUSPENDED_S
+    assert SUSPENDED_S - 0.1 < watch.slept_s() < SUSPENDED_S + 0.1
     assert not watch.slept_s()
 
 
 async def test_a_vm_that_wakes_denies_nothing_by_an_old_manifest() -> None:
-    """The caller sees 503 and comes back, not 401.
+    """An unknown key gets 503 after a suspension, not 401.
 
-    Its key came while the VM slept. The store is silent when it wakes, so it
-    can't know; told 401, the caller would give up.
+    The key was added while the VM was suspended, and the store is silent when
+    it resumes. A caller gives up after a 401.
     """
-    clock = SleepyClock()
-    async with playing(clock=clock) as world:
-        await world.add_runner('r1', PLAIN)
-        await world.knows(PLAIN)
-        assert (await world.call('/book/x', key='new')).status == 401
-        world.store.silent_topics.add(MANIFEST_TOPIC)
-        clock.slept_s = ASLEEP_S
-        assert (await world.call('/book/x', key='new')).status == 503
+    clock = SuspendableClock()
+    async with running_cluster(clock=clock) as cluster:
+        await cluster.add_runner('r1', PLAIN)
+        await cluster.wait_for_runners(PLAIN)
+        assert (await cluster.call('/book/x', key='new')).status == 401
+        cluster.store.silent_topics.add(MANIFEST_TOPIC)
+        clock.slept_s = SUSPENDED_S
+        assert (await cluster.call('/book/x', key='new')).status == 503
 
 
 async def test_a_vm_that_wakes_reads_what_changed() -> None:
-    """A runner that came and a key that was added serve soon after."""
-    clock = SleepyClock()
+    """A new runner and a new key are known soon after the VM resumes."""
+    clock = SuspendableClock()
     tenants = [{'name': 'school', 'apiKeys': ['new'], 'ratePerS': 0}]
-    async with playing(clock=clock) as world:
-        clock.slept_s = ASLEEP_S
-        await world.add_runner('r1', PLAIN)
-        world.publish(manifest(version=2, tenants=tenants))
+    async with running_cluster(clock=clock) as cluster:
+        clock.slept_s = SUSPENDED_S
+        await cluster.add_runner('r1', PLAIN)
+        cluster.publish(manifest(version=2, tenants=tenants))
         async with asyncio.timeout(2):
-            await world.knows(PLAIN)
+            await cluster.wait_for_runners(PLAIN)
             await wait_until(
-                lambda: world.vms[0].entry.book.manifest_version() == 2,
+                lambda: cluster.vms[0].entry.book.manifest_version() == 2,
                 'the new manifest',
             )
-        assert (await world.call('/book/x', key='new')).status == 200
+        assert (await cluster.call('/book/x', key='new')).status == 200
 
 
 async def test_a_vm_that_wakes_hears_nobody_until_they_speak() -> None:
-    """Its asks go to no owner that may be gone, and callers are served."""
-    clock = SleepyClock()
-    async with playing(vms=2, clock=clock) as world:
-        await world.add_runner('r1', ENGINE)
-        await world.knows(ENGINE)
-        members = world.vms[0].entry.members
+    """Its asks must not go to an owner that may be gone by then."""
+    clock = SuspendableClock()
+    async with running_cluster(vms=2, clock=clock) as cluster:
+        await cluster.add_runner('r1', ENGINE)
+        await cluster.wait_for_runners(ENGINE)
+        members = cluster.vms[0].entry.members
         assert members.alive(clock.monotonic())
-        clock.slept_s = ASLEEP_S
+        clock.slept_s = SUSPENDED_S
         assert not members.alive(clock.monotonic())
         await wait_until(
             lambda: bool(members.alive(clock.monotonic())), 'heard again'
--- a/tests/direct/test_alike_runners.py
+++ b/tests/direct/test_vms_without_owner.py
@@ -1,4 +1,4 @@
-"""VMs that order an engine service by themselves, as they reach no owner."""
+"""VMs that reach no owner and schedule an engine service on their own."""
 
 import asyncio
 from collections import Counter
@@ -13,11 +13,11 @@
 
 VMS: Final = 100
 RUNNERS: Final = 20
-MOST: Final = 15  # of all first requests, at one runner; five are its share
+MAX_FIRST_REQUESTS: Final = 15  # at one runner; its even share is five
 
 
 def entry(number: int) -> RunnerEntry:
-    """Return a runner like all others."""
+    """Return a runner that differs from others in name and port only."""
     name = f'r{number}'
     return RunnerEntry(
         name, 1, 'lm', '10.0.0.9', number + 1, 'd', 4, RunnerState.READY
@@ -25,11 +25,11 @@
 
 
 async def test_vms_without_an_owner_start_at_different_runners() -> None:
-    """In the order of the list, all would send to the first one."""
+    """If all VMs tried runners in list order, they would all pick the first."""
     entries = [entry(number) for number in range(RUNNERS)]
     chosen: Counter[str] = Counter()
 
-    def note(action: Grant | Refuse) -> None:
+    def record_grant(action: Grant | Refuse) -> None:
         assert isinstance(action, Grant)
         chosen[action.runner] += 1
 
@@ -39,7 +39,7 @@
         queue.take_runners(entries, warm=True)
         later = clock.monotonic() + 9
         ask = Ask('a', 'lm', Tier.HIGH, 'w', 90, 50, (), later, False)
-        queue.ask(ask, note)
+        queue.ask(ask, record_grant)
     await asyncio.sleep(0.01)
     assert chosen.total() == VMS
-    assert max(chosen.values()) <= MOST
+    assert max(chosen.values()) <= MAX_FIRST_REQUESTS
--- a/tests/failures/test_large_manifest.py
+++ b/tests/failures/test_large_manifest.py
@@ -23,7 +23,7 @@
 from bramleybend.platform.mirror import Mirror
 from bramleybend.platform.names import MANIFEST_KEY, MANIFEST_TOPIC
 from bramleybend.platform.store import StoreClient, make_mirror_client
-from tests.direct.world import HOST, manifest, route
+from tests.direct.cluster import HOST, manifest, route
 from tests.utils.platform_store import PlatformStore
 from tests.utils.relay import Cut, Link, Relay
 
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from bramleybend.clock import Clock
-from tests.direct.world import RawCaller, connect
+from tests.direct.cluster import RawCaller, connect
 from tests.soak.ledger import Ledger, Sent, Work
 from tests.soak.vms import SoakVm
 
@@ -79,8 +79,8 @@
         sent.answered_at = self._clock.monotonic()
         sent.status = answer.status
         sent.body = answer.body
-        sent.whole = answer.whole
-        if answer.whole and answer.headers.get('connection') != 'close':
+        sent.whole = answer.is_whole
+        if answer.is_whole and answer.headers.get('connection') != 'close':
             self._conns[sent.vm] = conn
             return
         conn.close()
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -8,7 +8,7 @@
 from typing import Any, Final
 
 from bramleybend.clock import Clock
-from tests.direct.world import ENGINE, PLAIN, manifest, route
+from tests.direct.cluster import ENGINE, PLAIN, manifest, route
 from tests.soak.ledger import Ledger, Ran
 from tests.soak.vms import SoakVm
 from tests.utils.platform_store import PlatformStore
--- a/tests/test_endless_messages.py
+++ b/tests/test_endless_messages.py
@@ -16,7 +16,7 @@
 from bramleybend.clients.runner import events_of
 from bramleybend.errors import ProblemError
 from bramleybend.gateway.caller_connection import Connection
-from tests.direct.world import KEY, playing
+from tests.direct.cluster import KEY, running_cluster
 from tests.utils.endless_bytes import (
     EVENTS,
     FRAMED,
@@ -123,7 +123,7 @@
     """A caller that sends for ever would take the processor from others."""
     first, then = REQUESTS[case]
     key = f'Authorization: Token {KEY}\r\n'.encode()
-    async with playing() as world:
+    async with running_cluster() as world:
         caller = await world.connect()
         caller.writer.write(first.replace(POST, POST + key))
         sending = asyncio.create_task(_send_on(caller.writer, then))
