--- a/tests/direct/test_unframed_answers.py
+++ b/tests/direct/test_unframed_answers.py
@@ -45,7 +45,7 @@
     await cluster.wait_for_runners(ENGINE, count)
 
 
-@pytest.mark.parametrize('framed', [False, True])
+@pytest.mark.parametrize('is_chunked', [False, True])
 @pytest.mark.parametrize('cut', CUT_SIZES)
 async def test_a_stream_that_ends_inside_an_event_is_not_whole(
     cut: int, is_chunked: bool
@@ -59,7 +59,7 @@
         assert answer.body == event(1)
 
 
-@pytest.mark.parametrize('framed', [False, True])
+@pytest.mark.parametrize('is_chunked', [False, True])
 async def test_a_stream_that_ends_inside_an_event_is_resumed(
     is_chunked: bool,
 ) -> None:
