--- a/bramleybend/direct/admission.py
+++ b/bramleybend/direct/admission.py
@@ -59,7 +59,7 @@
     tier: Tier
     units: float  # charged to the workspace's allotment; 0: no allotment
     # Admitted beyond the allotment because runners are idle
-    is_beyond: bool = False
+    is_beyond_allotment: bool = False
 
 
 class AdmissionControl:
@@ -105,7 +105,7 @@
             self._allotments.give_back(
                 admission.workspace,
                 admission.units,
-                is_beyond=admission.is_beyond,
+                is_beyond=admission.is_beyond_allotment,
             )
 
     def _check_allotment(
--- a/bramleybend/direct/attempt.py
+++ b/bramleybend/direct/attempt.py
@@ -27,7 +27,7 @@
 LOOP_TURNS_TO_CATCH_UP: Final = 3
 # The body of a refusal is a few bytes that arrive with its head.
 DISCARD_TIMEOUT_S: Final = 0.1
-MAX_DISCARDED_BYTES: Final = 16_384  # bytes
+MAX_DISCARDED_BYTES: Final = 16_384
 CONNECTION_ERRORS: Final = (OSError, EOFError, h11.ProtocolError)
 
 
@@ -88,7 +88,7 @@
         self._memory = channels.memory.reserve()
         self._channel: Channel | None = None
         self.runner = runner
-        self.sent = False
+        self.is_sent = False
         self.cut_bytes = 0  # received of an incomplete last event
 
     @property
@@ -182,7 +182,7 @@
         return self._channel
 
     async def _send(self, channel: Channel, outgoing: Outgoing) -> None:
-        self.sent = True
+        self.is_sent = True
         await channel.send(outgoing)
 
     async def _read_own_head(self, channel: Channel) -> Head:
--- a/bramleybend/direct/attempt_dispatcher.py
+++ b/bramleybend/direct/attempt_dispatcher.py
@@ -21,9 +21,9 @@
 from bramleybend.direct.replies import Reply, own_reply
 from bramleybend.models import Ask
 
-# Attempts of one request that runners refused to run. A refusal takes about a
-# millisecond. After three of them the service is full, and the caller is told
-# to retry later instead of the request being kept.
+# Refusals of one request by runners after which the caller is told to retry
+# later instead of the request being kept. A refusal takes about a millisecond,
+# and after three of them the service is full.
 MAX_REFUSALS: Final = 3
 # The time before a caller's timeout at which its answer must be sent.
 ANSWER_MARGIN_S: Final = 0.02
@@ -225,8 +225,8 @@
 
     def ms_since(self, moment: float) -> int:
         """Return the milliseconds since a monotonic time, for the event log."""
-        passed = timedelta(seconds=self.now() - moment)
-        return passed // timedelta(milliseconds=1)
+        elapsed = timedelta(seconds=self.now() - moment)
+        return elapsed // timedelta(milliseconds=1)
 
     def _ask(self, job: Job) -> Ask:
         facts = job.facts
@@ -319,5 +319,7 @@
 
 def timeout_failure(attempt: Attempt) -> Failure:
     """Return the failure of an attempt that ran out of time."""
-    run_status = RunStatus.MAY_HAVE_RUN if attempt.sent else RunStatus.NOT_RUN
+    run_status = (
+        RunStatus.MAY_HAVE_RUN if attempt.is_sent else RunStatus.NOT_RUN
+    )
     return Failure(run_status, TIMEOUT, FailureCause.NONE)
--- a/bramleybend/direct/book.py
+++ b/bramleybend/direct/book.py
@@ -29,10 +29,12 @@
         self._events = events
         self._listeners: list[Listener] = []
         self._manifest_confirmed_at = -inf
-        self._listed: Mapping[str, RunnerEntry] = {}  # by incarnation
+        self._listed_runners: Mapping[str, RunnerEntry] = {}  # by incarnation
         # By incarnation, the monotonic end of its exclusion.
         self._moved_until: dict[str, float] = {}
-        self._entries: dict[str, RunnerEntry] = {}  # in use, by incarnation
+        self._used_runners: dict[
+            str, RunnerEntry
+        ] = {}  # in use, by incarnation
         self.manifest: Manifest | None = None
         self.runners: Runners = {}
         self.has_runner_list = False
@@ -57,7 +59,7 @@
 
     def entry(self, incarnation: str) -> RunnerEntry | None:
         """Return a runner in use by its incarnation."""
-        return self._entries.get(incarnation)
+        return self._used_runners.get(incarnation)
 
     def add_listener(self, listener: Listener) -> None:
         """Register a listener that is called after each change."""
@@ -99,7 +101,9 @@
 
     def take_runners(self, known: Mapping[str, RunnerEntry]) -> None:
         """Replace the list of runners."""
-        self._listed = {entry.incarnation: entry for entry in known.values()}
+        self._listed_runners = {
+            entry.incarnation: entry for entry in known.values()
+        }
         is_first_list = not self.has_runner_list
         self.has_runner_list = True
         if self._update_entries() or is_first_list:
@@ -129,14 +133,14 @@
         entries = {
             entry.incarnation: entry
             for entry in drop_replaced_entries(
-                self._listed.values(), self._services()
+                self._listed_runners.values(), self._services()
             )
             if entry.incarnation not in self._moved_until
         }
-        if entries == self._entries:
+        if entries == self._used_runners:
             return False
         self._log_changes(entries)
-        self._entries = entries
+        self._used_runners = entries
         by_service: dict[str, list[RunnerEntry]] = defaultdict(list)
         for entry in entries.values():
             by_service[entry.service].append(entry)
@@ -147,10 +151,10 @@
         return self.manifest.services if self.manifest else ()
 
     def _log_changes(self, entries: Mapping[str, RunnerEntry]) -> None:
-        for name in self._entries.keys() - entries.keys():
+        for name in self._used_runners.keys() - entries.keys():
             self._events.record('runner_gone', runner=name)
         for name, entry in entries.items():
-            before = self._entries.get(name)
+            before = self._used_runners.get(name)
             if before is None or before.state is not entry.state:
                 self._events.record(
                     'runner',
--- a/bramleybend/direct/channels.py
+++ b/bramleybend/direct/channels.py
@@ -12,7 +12,7 @@
 from bramleybend.direct.answer_memory import AnswerMemory
 from bramleybend.direct.models import RunnerEntry
 
-# Runners with a free connection that an ask names.
+# Runners with a free connection that a slot request names.
 MAX_CONNECTED_RUNNERS: Final = 4
 
 
@@ -47,7 +47,7 @@
             channel = idle.pop()
             if channel.usable:
                 return channel
-            self._drop(runner.incarnation, channel)
+            self._abort(runner.incarnation, channel)
         if self._open_counts[runner.incarnation] >= self.max_connections(
             runner
         ):
@@ -64,15 +64,15 @@
     def connected_runners(self, service: str) -> frozenset[str]:
         """Return the service's runners that have a free, open connection.
 
-        Only those that were used last are named, since naming all would make an
-        ask long.
+        Only those that were used last are named, since naming all would make a
+        slot request long.
         """
-        free = (
+        free_runners = (
             name
             for name, idle in reversed(self._idle.items())
             if idle and self._services.get(name) == service and idle[-1].usable
         )
-        return frozenset(islice(free, MAX_CONNECTED_RUNNERS))
+        return frozenset(islice(free_runners, MAX_CONNECTED_RUNNERS))
 
     def release(self, runner: RunnerEntry, channel: Channel) -> None:
         """Return a connection to its pool, or drop it if it can't be reused."""
@@ -92,20 +92,20 @@
         if channel.usable:
             self._idle[runner.incarnation].append(channel)
         else:
-            self._drop(runner.incarnation, channel)
+            self._abort(runner.incarnation, channel)
 
-    def keep_only(self, incarnations: set[str]) -> None:
+    def close_all_except(self, incarnations: set[str]) -> None:
         """Close idle connections to runners that are no longer listed."""
         for stale in self._idle.keys() - incarnations:
             self._services.pop(stale, None)
             for channel in self._idle.pop(stale):
-                self._drop(stale, channel)
+                self._abort(stale, channel)
 
     def close_idle(self) -> None:
         """Close all idle connections."""
-        self.keep_only(set())
+        self.close_all_except(set())
 
-    def _drop(self, incarnation: str, channel: Channel) -> None:
+    def _abort(self, incarnation: str, channel: Channel) -> None:
         channel.abort()
         self._open_counts[incarnation] -= 1
 
--- a/bramleybend/direct/feed.py
+++ b/bramleybend/direct/feed.py
@@ -8,7 +8,7 @@
 Of the VMs that the store answers, the first `STORE_READERS` by rank read it.
 Heartbeats tell all others how far their sender has read and when that was
 confirmed as current; they fetch what they lack from the sender. A VM whose copy
-was last confirmed longer than `stale_s` ago, from any source, reads the store
+was last confirmed longer than `max_age_s` ago, from any source, reads the store
 itself.
 """
 
@@ -61,9 +61,9 @@
     """How one log is followed."""
 
     name: str
-    wait_s: float  # long-poll timeout; 0 returns at once
-    every_s: float  # min interval between two reads of the store
-    stale_s: float  # age from which a VM reads the store itself
+    poll_timeout_s: float  # long-poll timeout; 0 returns at once
+    min_interval_s: float  # min interval between two reads of the store
+    max_age_s: float  # age from which a VM reads the store itself
 
 
 class Feed:
@@ -79,7 +79,7 @@
         rng: Random,
     ) -> None:
         """Create a feed with an empty copy of the log."""
-        self.terms = settings
+        self.settings = settings
         self.copy = FeedCopy()
         self.confirmed_at = -inf
         self.on_page: Callable[[Page], None] = _ignore_argument
@@ -90,7 +90,7 @@
         self._events = events
         self._peers = PeerProgressTable()
         self.store_schedule = StoreReadSchedule(
-            settings.name, settings.every_s, self._peers, clock, rng
+            settings.name, settings.min_interval_s, self._peers, clock, rng
         )
         self._wake = asyncio.Event()
 
@@ -113,7 +113,7 @@
         """Return this VM's progress for a heartbeat."""
         age_s = self._clock.monotonic() - self.confirmed_at
         return FeedNews(
-            self.terms.name,
+            self.settings.name,
             self._next_offset(),
             min(age_s, MAX_AGE_S),
             self.store_schedule.is_store_answering,
@@ -121,13 +121,15 @@
 
     def handle_news(self, vm: str, address: str, news: FeedNews) -> None:
         """Handle the progress that another VM's heartbeat reports."""
-        at = self._clock.monotonic() - news.age_s
-        self._peers.update(vm, PeerProgress(address, news.end, at, news.reads))
+        confirmed_at = self._clock.monotonic() - news.age_s
+        self._peers.update(
+            vm, PeerProgress(address, news.end, confirmed_at, news.reads)
+        )
         own_end = self._next_offset()
         if news.end > own_end:
             self._wake.set()
         elif news.end == own_end:
-            self._confirm(at)
+            self._confirm(confirmed_at)
 
     def remove_peer(self, vm: str) -> None:
         """Forget the progress of a VM that is no longer heard."""
@@ -146,19 +148,19 @@
 
     def _is_stale(self) -> bool:
         age_s = self._clock.monotonic() - self.confirmed_at
-        return age_s > self.terms.stale_s
+        return age_s > self.settings.max_age_s
 
     def _next_offset(self) -> int:
         return BEFORE_FIRST_OFFSET if self.copy.end is None else self.copy.end
 
     async def _read_store(self) -> None:
-        started = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         start_offset = self._next_offset()
         page = await self._race_store_and_peers()
         if page is None or self._next_offset() != start_offset:
             # A peer's page was applied meanwhile. This page starts at an older
             # offset and doesn't continue it.
-            self.store_schedule.record_success(started)
+            self.store_schedule.record_success(started_at)
             return
         now = self._clock.monotonic()
         self._record_store_state(page)
@@ -167,10 +169,10 @@
                 has_fresh_copy=not self._is_stale()
             )
             return
-        self.store_schedule.record_success(started)
-        self._record_large_page(page.ok_value, 'store', started)
+        self.store_schedule.record_success(started_at)
+        self._record_large_page(page.ok_value, 'store', started_at)
         confirmed_at = _confirmed_time(
-            page.ok_value, started, now, self.terms.wait_s
+            page.ok_value, started_at, now, self.settings.poll_timeout_s
         )
         self._apply_page(page.ok_value, confirmed_at)
 
@@ -183,7 +185,7 @@
         would be late by that second.
         """
         from_store = asyncio.create_task(
-            self._read(self._store, self.terms.wait_s)
+            self._read(self._store, self.settings.poll_timeout_s)
         )
         from_peers = asyncio.create_task(
             self._read_peers_until_advanced(self._next_offset())
@@ -207,10 +209,10 @@
                 await self._read_peer(peer)
 
     async def _read_peer(self, peer: PeerProgress) -> None:
-        started = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         page = await self._read(self._peer_source(peer.address), 0)
         if isinstance(page, Ok):
-            self._record_large_page(page.ok_value, peer.address, started)
+            self._record_large_page(page.ok_value, peer.address, started_at)
             self._apply_page(page.ok_value, peer.confirmed_at)
             return
         # The peer's next heartbeat reports its progress again. After one
@@ -221,9 +223,9 @@
         self.store_schedule.is_peer_page_missing = True
         self._events.record(
             'peer_feed_failed',
-            feed=self.terms.name,
+            feed=self.settings.name,
             peer=peer.address,
-            took_s=round(self._clock.monotonic() - started, 3),
+            took_s=round(self._clock.monotonic() - started_at, 3),
             why=str(page.err_value),
         )
 
@@ -231,20 +233,20 @@
         self, source: FeedSource, wait_s: float
     ) -> Result[Page, Problem]:
         if self.copy.end is None:
-            return await source.newest(self.terms.name)
-        return await source.changes(self.terms.name, self.copy.end, wait_s)
+            return await source.newest(self.settings.name)
+        return await source.changes(self.settings.name, self.copy.end, wait_s)
 
-    def _apply_page(self, page: Page, at: float) -> None:
+    def _apply_page(self, page: Page, confirmed_at: float) -> None:
         if self.copy.end is not None and page.end < self.copy.end:
             return  # the peer has read less than this VM
         self.copy.apply(page)
         self.on_page(page)
-        self._confirm(at)
+        self._confirm(confirmed_at)
 
-    def _confirm(self, at: float) -> None:
-        if at > self.confirmed_at:
-            self.confirmed_at = at
-            self.on_confirmed(at)
+    def _confirm(self, confirmed_at: float) -> None:
+        if confirmed_at > self.confirmed_at:
+            self.confirmed_at = confirmed_at
+            self.on_confirmed(confirmed_at)
 
     async def _sleep(self) -> None:
         self._wake.clear()
@@ -255,17 +257,17 @@
             return
 
     def _record_large_page(
-        self, page: Page, source: str, started: float
+        self, page: Page, source: str, started_at: float
     ) -> None:
         if page.size < LARGE_PAGE_BYTES:
             return
         self._events.record(
             'large_page',
-            feed=self.terms.name,
+            feed=self.settings.name,
             source=source,
             bytes=page.size,
             end=page.end,
-            took_s=round(self._clock.monotonic() - started, 3),
+            took_s=round(self._clock.monotonic() - started_at, 3),
         )
 
     def _record_store_state(self, page: Result[Page, Problem]) -> None:
@@ -273,15 +275,15 @@
             case Err(problem) if self.store_schedule.is_store_answering:
                 self.store_schedule.is_store_answering = False
                 self._events.record(
-                    'store_lost', feed=self.terms.name, why=str(problem)
+                    'store_lost', feed=self.settings.name, why=str(problem)
                 )
             case Ok() if not self.store_schedule.is_store_answering:
                 self.store_schedule.is_store_answering = True
-                self._events.record('store_regained', feed=self.terms.name)
+                self._events.record('store_regained', feed=self.settings.name)
 
 
 def _confirmed_time(
-    page: Page, started: float, now: float, wait_s: float
+    page: Page, started_at: float, now: float, wait_s: float
 ) -> float:
     """Return the latest time at which a page was certainly current.
 
@@ -289,9 +291,9 @@
     dated to its start, the copy would look older than it is by that wait, and
     VMs that hear of it would read the store themselves.
     """
-    if wait_s and not page.records and now - started >= wait_s:
-        return started + wait_s
-    return started
+    if wait_s and not page.records and now - started_at >= wait_s:
+        return started_at + wait_s
+    return started_at
 
 
 def _ignore_argument(_: object) -> None:
--- a/bramleybend/direct/feed_copy.py
+++ b/bramleybend/direct/feed_copy.py
@@ -68,7 +68,9 @@
         first = self._recent[0].offset if self._recent else self.end
         if start < first:
             return None
-        records = tuple(one for one in self._recent if one.offset >= start)
+        records = tuple(
+            record for record in self._recent if record.offset >= start
+        )
         return Page(records, self.end, whole=False)
 
     def newest(self) -> Page | None:
@@ -78,5 +80,7 @@
         """
         if self.end is None:
             return None
-        records = tuple(one for one in self._newest.values() if not one.gone)
+        records = tuple(
+            record for record in self._newest.values() if not record.gone
+        )
         return Page(records, self.end, whole=True)
--- a/bramleybend/direct/header_codec.py
+++ b/bramleybend/direct/header_codec.py
@@ -57,13 +57,13 @@
 
 def hop_by_hop_names(headers: HeaderList) -> frozenset[bytes]:
     """Return the lower-case names of a message's hop-by-hop headers."""
-    named = [
+    connection_options = [
         part.strip().lower()
         for key, text in headers
         if key.lower() == b'connection'
         for part in text.split(b',')
     ]
-    return HOP_BY_HOP.union(named)
+    return HOP_BY_HOP.union(connection_options)
 
 
 HOP_BY_HOP = frozenset(
--- a/bramleybend/direct/ingress.py
+++ b/bramleybend/direct/ingress.py
@@ -165,7 +165,7 @@
     async def _reject(self, exc: h11.RemoteProtocolError) -> bool:
         if self.http.our_state in {h11.IDLE, h11.SEND_RESPONSE}:
             status = HTTPStatus(exc.error_status_hint)
-            reply = own_reply(status, str(exc), close=True)
+            reply = own_reply(status, str(exc), must_close=True)
             self._ingress.on_unreadable(reply)
             await Responder(self).send_reply(reply)
             await self._discard_remaining_input()
@@ -191,14 +191,14 @@
         except TimeoutError:
             return _request_timeout_reply()
         except MessageTooLongError as exc:
-            return own_reply(HTTPStatus.BAD_REQUEST, str(exc), close=True)
+            return own_reply(HTTPStatus.BAD_REQUEST, str(exc), must_close=True)
         finally:
             self._has_request = False
         if body is None:
             return own_reply(
                 HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
                 f'the body is over {self._limits.body_bytes} bytes',
-                close=True,
+                must_close=True,
             )
         headers = list(head.headers.raw_items())
         return RawRequest(head.method, head.target, headers, body, received_at)
@@ -335,5 +335,5 @@
     return own_reply(
         HTTPStatus.REQUEST_TIMEOUT,
         'the request was not whole in time; nothing was run',
-        close=True,
+        must_close=True,
     )
--- a/bramleybend/direct/job.py
+++ b/bramleybend/direct/job.py
@@ -28,7 +28,7 @@
     admission: Admission
     answer_due_at: float  # monotonic; when the caller times out
     fingerprint: str = ''  # hash of the content
-    excluded: frozenset[str] = frozenset()  # runners that were tried
+    excluded: frozenset[str] = frozenset()  # incarnations of tried runners
     possible_runs: int = 0  # attempts that may have run it
     refusal_count: int = 0  # by runners, `MOVED` ones not included
     last_event_id: str = ''  # id of the last event that was relayed
@@ -54,7 +54,7 @@
     @property
     def may_be_running(self) -> bool:
         """Whether the request was sent to a runner and is not answered yet."""
-        return self.current_attempt is not None and self.current_attempt.sent
+        return self.current_attempt is not None and self.current_attempt.is_sent
 
 
 @dataclass(frozen=True)
--- a/bramleybend/direct/log_backup.py
+++ b/bramleybend/direct/log_backup.py
@@ -87,7 +87,7 @@
             pause_s = LOAD_RETRY_S
 
     async def _load(self, feed: Feed) -> None:
-        match await self._page_store.load(feed.terms.name):
+        match await self._page_store.load(feed.settings.name):
             case Ok(Page() as page):
                 used = feed.use_backup(page)
                 self._record_event(
@@ -110,7 +110,7 @@
             or not log.feed.is_leader()
         ):
             return
-        match await self._page_store.save(log.feed.terms.name, page):
+        match await self._page_store.save(log.feed.settings.name, page):
             case Ok():
                 log.saved_version = version
             case Err(problem):
@@ -119,4 +119,4 @@
                 self._record_event('keep_failed', log.feed, why=str(problem))
 
     def _record_event(self, event: str, feed: Feed, **inputs: str) -> None:
-        self._events.record(event, feed=feed.terms.name, **inputs)
+        self._events.record(event, feed=feed.settings.name, **inputs)
--- a/bramleybend/direct/peer_message_handler.py
+++ b/bramleybend/direct/peer_message_handler.py
@@ -89,7 +89,7 @@
         vm, incarnation = beat.profile.vm, beat.profile.incarnation
         for news in beat.feeds:
             for feed in self.feeds:
-                if feed.terms.name == news.name:
+                if feed.settings.name == news.name:
                     feed.handle_news(vm, address, news)
         if beat.tells_all:
             self._allotments.adopt(
@@ -97,15 +97,15 @@
                 self._clock.monotonic(),
                 beat.accounts_s,
             )
-        self._take_spendings(_peer_id(vm, incarnation), beat)
+        self._apply_spendings(_peer_id(vm, incarnation), beat)
         self._containment.merge_news(beat.crashes)
         self._runner_limits.heard(beat.limits)
         if beat.runs is not None:
-            self._take_runs(vm, beat.runs)
+            self._apply_runs(vm, beat.runs)
 
     def take_spent(self, profile: Profile, spent: Spent) -> None:
         """Apply the spending of workspaces that a VM reports."""
-        self._take_spendings(_peer_id(profile.vm, profile.incarnation), spent)
+        self._apply_spendings(_peer_id(profile.vm, profile.incarnation), spent)
 
     def take(
         self,
@@ -148,7 +148,7 @@
             leaving,
         )
 
-    def _take_spendings(self, peer: str, news: Beat | Spent) -> None:
+    def _apply_spendings(self, peer: str, news: Beat | Spent) -> None:
         self._allotments.heard(
             peer,
             _parse_spendings(news.spendings),
@@ -157,7 +157,7 @@
             age_s=news.accounts_s,
         )
 
-    def _take_runs(self, vm: str, runs: Iterable[RunNews]) -> None:
+    def _apply_runs(self, vm: str, runs: Iterable[RunNews]) -> None:
         by_service: dict[str, list[RunNews]] = defaultdict(list)
         for run in runs:
             by_service[run.service].append(run)
--- a/bramleybend/direct/process.py
+++ b/bramleybend/direct/process.py
@@ -133,7 +133,7 @@
             self._request_handler.record_unreadable,
         )
         self._tasks: list[asyncio.Task[None]] = []
-        self.stopping = asyncio.Event()
+        self.stop_requested = asyncio.Event()
         self.is_leaving = False
         self.on_sweep: Callable[[], None] = _ignore_sweep
         self.book.add_listener(self._book_changed)
@@ -215,7 +215,7 @@
                 'a background task ended; stopping the process',
                 exc_info=task.exception(),
             )
-            self.stopping.set()
+            self.stop_requested.set()
 
     def _make_components(
         self, header_codec: HeaderCodec, rng: Random
@@ -290,7 +290,7 @@
             for entries in self.book.runners.values()
             for entry in entries
         }
-        self._channels.keep_only(incarnations)
+        self._channels.close_all_except(incarnations)
         self._queues.limits.keep_only(incarnations)
 
     async def _sweep_queues(self) -> None:
--- a/bramleybend/direct/replies.py
+++ b/bramleybend/direct/replies.py
@@ -43,7 +43,7 @@
     status: int
     headers: HeaderList = field(default_factory=tuple)
     body: bytes = b''
-    close: bool = False
+    must_close: bool = False
     reason: str = ''  # why this VM gave it; for the event log
     # What the decision was based on, for the event log.
     inputs: Mapping[str, str] = field(default_factory=dict)
@@ -54,7 +54,7 @@
     reason: str,
     retry_after_s: float | None = None,
     *,
-    close: bool = False,
+    must_close: bool = False,
     inputs: Mapping[str, str] | None = None,
 ) -> Reply:
     """Make an answer that states what was wrong and when to retry."""
@@ -70,7 +70,7 @@
         status,
         headers,
         json.dumps(body).encode(),
-        close,
+        must_close,
         reason,
         inputs or {},
     )
--- a/bramleybend/direct/request_handler.py
+++ b/bramleybend/direct/request_handler.py
@@ -65,7 +65,7 @@
     def _make_job(
         self, req: RawRequest, facts: RequestFacts, admission: Admission
     ) -> Job:
-        if admission.is_beyond:
+        if admission.is_beyond_allotment:
             self._components.events.record(
                 'beyond_allotment',
                 req=facts.attempt_id,
@@ -137,7 +137,7 @@
         self, job: Job, placement: Placement
     ) -> WholeAnswer | Failure:
         attempt = self._dispatcher.make_attempt(job, placement)
-        started = self._dispatcher.now()
+        started_at = self._dispatcher.now()
         outcome: WholeAnswer | Failure = CALLER_LEFT
         try:
             async with asyncio.timeout(self._dispatcher.remaining_s(job)):
@@ -156,7 +156,7 @@
             outcome = timeout_failure(attempt)
         finally:
             attempt.drop_connection()
-            self._dispatcher.finish_attempt(job, placement, outcome, started)
+            self._dispatcher.finish_attempt(job, placement, outcome, started_at)
         return outcome
 
     async def _serve_stream(self, job: Job, responder: Responder) -> None:
@@ -191,7 +191,7 @@
         self, job: Job, placement: Placement, responder: Responder
     ) -> Failure | None:
         attempt = self._dispatcher.make_attempt(job, placement)
-        started = self._dispatcher.now()
+        started_at = self._dispatcher.now()
         relay = StreamRelay(
             job,
             responder,
@@ -219,7 +219,7 @@
         finally:
             attempt.drop_connection()
             self._dispatcher.finish_attempt(
-                job, placement, outcome, started, relay.event_count
+                job, placement, outcome, started_at, relay.event_count
             )
         return outcome
 
@@ -294,11 +294,11 @@
         service, tier = job.admission.service, int(job.admission.tier)
         cause = job.last_failure.run_status if job.last_failure else 'none'
         meters.count('answers', service, tier, int(status), cause)
-        passed = self._dispatcher.now() - job.req.received_at
-        meters.observe('answer_seconds', passed, service, tier)
+        elapsed_s = self._dispatcher.now() - job.req.received_at
+        meters.observe('answer_seconds', elapsed_s, service, tier)
         if job.first_event_at is not None:
-            passed = job.first_event_at - job.req.received_at
-            meters.observe('first_event_seconds', passed, service, tier)
+            elapsed_s = job.first_event_at - job.req.received_at
+            meters.observe('first_event_seconds', elapsed_s, service, tier)
 
 
 def _shutdown_reply() -> Reply:
@@ -306,5 +306,5 @@
         HTTPStatus.SERVICE_UNAVAILABLE,
         'this VM is stopping; nothing was run',
         0,
-        close=True,
+        must_close=True,
     )
--- a/bramleybend/direct/responder.py
+++ b/bramleybend/direct/responder.py
@@ -11,7 +11,7 @@
 class AnswerWriter(Protocol):
     """The connection on which an answer is sent."""
 
-    def closes_after_answer(self, wanted: bool) -> bool:
+    def closes_after_answer(self, is_requested: bool) -> bool:
         """Return whether the connection closes after the current answer."""
 
     def enqueue(self, event: h11.Event) -> None:
@@ -37,13 +37,13 @@
         """Send a complete answer."""
         length = str(len(reply.body)).encode()
         headers = [*reply.headers, (b'Content-Length', length)]
-        await self._send_head(reply.status, headers, reply.close)
+        await self._send_head(reply.status, headers, reply.must_close)
         await self._send(h11.Data(data=reply.body), h11.EndOfMessage())
 
     async def begin_stream(self, status: int, headers: HeaderList) -> None:
         """Send the head of an answer whose body is sent in chunks."""
         framed = [*headers, (b'Transfer-Encoding', b'chunked')]
-        await self._send_head(status, framed, close=False)
+        await self._send_head(status, framed, must_close=False)
 
     async def send_chunk(self, payload: bytes) -> None:
         """Send one chunk of the body."""
@@ -59,12 +59,12 @@
         self._conn.end_incomplete()
 
     async def _send_head(
-        self, status: int, headers: HeaderList, close: bool
+        self, status: int, headers: HeaderList, must_close: bool
     ) -> None:
         self.has_begun = True
         closing = (
             [(b'Connection', b'close')]
-            if self._conn.closes_after_answer(close)
+            if self._conn.closes_after_answer(must_close)
             else []
         )
         response = h11.Response(
--- a/bramleybend/direct/store_read_schedule.py
+++ b/bramleybend/direct/store_read_schedule.py
@@ -33,10 +33,9 @@
         rng: Random,
     ) -> None:
         """Create a schedule whose first read is due at once."""
-        self.is_store_answering = True  # whether the store answers this VM
-        self.is_peer_page_missing = (
-            False  # a peer failed to send a page it had announced
-        )
+        self.is_store_answering = True
+        # Whether a peer failed to send a page that it had announced.
+        self.is_peer_page_missing = False
         self.ranks_first: IsRankedFirst = _always
         self._log = log
         self._every_s = every_s
@@ -63,10 +62,10 @@
             self._log, self._peers.store_access(), max_rank
         )
 
-    def record_success(self, started: float) -> None:
+    def record_success(self, started_at: float) -> None:
         """Record a read after which the copy is up to date."""
         self.is_peer_page_missing = False
-        self._next_at = started + self._every_s
+        self._next_at = started_at + self._every_s
 
     def record_failure(self, has_fresh_copy: bool) -> None:
         """Record a failed read."""
@@ -78,5 +77,5 @@
         return self._clock.monotonic() >= self._next_at
 
 
-def _always(log: str, reading: Mapping[str, bool], max_rank: int) -> bool:
+def _always(log: str, store_access: Mapping[str, bool], max_rank: int) -> bool:
     return True
--- a/bramleybend/platform/program.py
+++ b/bramleybend/platform/program.py
@@ -33,7 +33,7 @@
         self._clock = clock
         self._rng = Random()
         self.entry = EntryProcess(cfg, clock, make_header_codec(), self._rng)
-        self.stopping = self.entry.stopping
+        self.stopping = self.entry.stop_requested
         self.reload = self.entry.reload
         self.store = StoreClient(cfg.store.host, cfg.store.port, clock)
         self._mirrors: dict[str, StoreClient] = {}
@@ -119,7 +119,7 @@
             self._metrics,
             self._rng,
         )
-        mirror = Mirror({feed.terms.name: feed.copy for feed in self.feeds})
+        mirror = Mirror({feed.settings.name: feed.copy for feed in self.feeds})
         doors = [
             (directory.handle, cfg.ready.host, cfg.ready.port),
             (directory.handle, cfg.directory.host, cfg.directory.port),
--- a/tests/direct/test_ask_messages.py
+++ b/tests/direct/test_ask_messages.py
@@ -1,4 +1,4 @@
-"""Encoding of the asks that a VM sends to an owner."""
+"""Encoding of the slot requests that a VM sends to an owner."""
 
 from dataclasses import replace
 from math import inf
--- a/tests/direct/test_asking_owners.py
+++ b/tests/direct/test_asking_owners.py
@@ -52,7 +52,7 @@
         self.asks: list[tuple[AskNews, str]] = []
 
     def record_ask(self, message: Message, address: str) -> None:
-        """Record the receiver of an ask."""
+        """Record the receiver of a slot request."""
         if isinstance(message, AskNews):
             self.asks.append((message, address))
 
@@ -65,15 +65,15 @@
         return asyncio.create_task(self.placer.place(ask))
 
     def grant(self, runner: str) -> None:
-        """Answer the last ask with a grant of a runner."""
+        """Answer the last slot request with a grant of a runner."""
         self.answer(Granted(self.asks[-1][0].request_id, runner))
 
     def answer(self, message: Message) -> None:
-        """Deliver a message about an ask."""
+        """Deliver a message about a slot request."""
         self.placer.take(message, '', lambda reply: None)
 
     def count_asks(self, vm: str) -> int:
-        """Return the number of asks sent to one VM."""
+        """Return the number of slot requests sent to one VM."""
         return sum(one == vm for _, one in self.asks)
 
 
@@ -88,7 +88,7 @@
 ) -> None:
     """Runner lists of VMs differ briefly; the owner still schedules.
 
-    The next ask excludes the unknown runner.
+    The next slot request excludes the unknown runner.
     """
     placing = asker.place()
     await wait_until(lambda: len(asker.asks) == 1, 'an ask')
--- a/tests/direct/test_attempt.py
+++ b/tests/direct/test_attempt.py
@@ -60,7 +60,7 @@
     outcome = await attempt.send(fail_if_built, send_by)
     assert isinstance(outcome, Failure)
     assert outcome.run_status is RunStatus.NOT_RUN
-    assert not attempt.sent
+    assert not attempt.is_sent
     attempt.drop_connection()
     assert channels.was_returned
 
--- a/tests/direct/test_cluster.py
+++ b/tests/direct/test_cluster.py
@@ -106,8 +106,8 @@
 async def test_the_loss_of_an_owner_costs_callers_little() -> None:
     """After an owner's crash, callers of other VMs are served within 0.5 s.
 
-    The owner of an engine service dies. A VM whose ask it doesn't answer grants
-    the slot itself.
+    The owner of an engine service dies. A VM whose slot request it doesn't
+    answer grants the slot itself.
     """
     async with running_cluster(vms=3) as cluster:
         await cluster.add_runner('r1', ENGINE, streams)
--- a/tests/direct/test_connected_runners.py
+++ b/tests/direct/test_connected_runners.py
@@ -1,4 +1,4 @@
-"""The runners that an ask names as connected."""
+"""The runners that a slot request names as connected."""
 
 import socket
 from dataclasses import replace
@@ -31,7 +31,7 @@
         named = channels.connected_runners('app')
         assert len(named) == MAX_CONNECTED_RUNNERS
         assert runners[-1].incarnation not in named
-        channels.keep_only({engine.incarnation})
+        channels.close_all_except({engine.incarnation})
         assert not channels.connected_runners('app')
         channels.drop(runners[-1], busy)
         channels.close_idle()
--- a/tests/direct/test_owner_batches.py
+++ b/tests/direct/test_owner_batches.py
@@ -1,4 +1,4 @@
-"""An owner decides once for all asks of one turn of the event loop."""
+"""An owner decides once for all slot requests of one event loop turn."""
 
 import asyncio
 from functools import partial
@@ -40,7 +40,7 @@
 
 
 def ask(name: str, tier: Tier = Tier.HIGH) -> Ask:
-    """Return the ask of a request with a late deadline."""
+    """Return a slot request with a late deadline."""
     later = SystemClock().monotonic() + 60
     return Ask(name, SERVICE, tier, 'w', 100, 50, (), later, cancellable=False)
 
@@ -48,7 +48,7 @@
 async def test_a_burst_costs_one_decision(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Asks that arrive together must not wait for each other's decisions."""
+    """Slot requests that arrive together don't wait for each other."""
     queue = make_service_queue()
     await asyncio.sleep(0)
     ticks: list[float] = []
@@ -66,7 +66,7 @@
 
 
 async def test_a_slot_goes_to_the_highest_tier_that_came_in_the_turn() -> None:
-    """A lower tier's ask that is read first gets no slot of a higher one."""
+    """A lower tier that asks first doesn't get the slot of a higher one."""
     queue = make_service_queue()
     await asyncio.sleep(0)
     granted: list[str] = []
@@ -83,7 +83,7 @@
 
 
 async def test_only_what_waits_is_acknowledged() -> None:
-    """An ask that is granted at once gets only the grant."""
+    """A slot request that is granted at once gets only the grant."""
     queue = make_service_queue()
     await asyncio.sleep(0)
     acknowledged: list[str] = []
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize('batched', [False, True])
 def test_a_burst_on_free_slots_is_not_refused(batched: bool) -> None:
-    """Asks that arrive together don't count as a queue before each other."""
+    """Slot requests that arrive together don't count as a queue."""
     service = Service('s', ServiceKind.ENGINE, slots=8)
     policy = make_shard_policy(
         service, Random(1), switches=SWITCHES, batched=batched
@@ -121,7 +121,7 @@
 
 
 def ask_of_cost(name: str, cost: float, now: float) -> Ask:
-    """Return an ask of some cost that has to start within two seconds."""
+    """Return a slot request that has to start within two seconds."""
     return Ask(
         name,
         's',
@@ -137,7 +137,7 @@
 
 
 async def test_a_run_that_its_vm_tells_of_keeps_its_slot() -> None:
-    """A delayed ask must not free the slot of its own run."""
+    """A delayed slot request must not free the slot of its own run."""
     clock = ManualClock(START)
     queue = make_service_queue(clock, slots=1)
     queue.ask(ask('a'), lambda action: None)
@@ -149,7 +149,7 @@
 
 
 async def test_a_run_outlives_an_ask_of_it_that_lapses() -> None:
-    """An ask that expires must not end the run that it was granted."""
+    """A slot request that expires must not end the run that it was granted."""
     clock = ManualClock(START)
     queue = make_service_queue(clock, slots=1)
     queue.ask(ask('other'), lambda action: None)
@@ -162,7 +162,7 @@
 
 
 async def confirm_run_a(queue: ServiceQueue, clock: ManualClock) -> None:
-    """Let a VM's heartbeats confirm a run for longer than an ask is kept."""
+    """Let heartbeats confirm a run for longer than a slot request is kept."""
     news = RunNews('a', SERVICE, 'r1', 2, 'w', 100, 50)
     for _ in range(6):
         clock.advance(0.3)
--- a/tests/direct/test_queue_log.py
+++ b/tests/direct/test_queue_log.py
@@ -19,7 +19,7 @@
 
 
 def ask(name: str, tier: Tier) -> Ask:
-    """Return the ask of a request with a late deadline."""
+    """Return a slot request with a late deadline."""
     later = SystemClock().monotonic() + 60
     return Ask(name, SERVICE, tier, 'w', 100, 50, (), later, cancellable=False)
 
--- a/tests/direct/test_suspension.py
+++ b/tests/direct/test_suspension.py
@@ -74,7 +74,7 @@
 
 
 async def test_a_vm_that_wakes_hears_nobody_until_they_speak() -> None:
-    """Its asks must not go to an owner that may be gone by then."""
+    """Its slot requests must not go to an owner that may be gone by then."""
     clock = SuspendableClock()
     async with running_cluster(vms=2, clock=clock) as cluster:
         await cluster.add_runner('r1', ENGINE)
--- a/tests/failures/test_large_manifest.py
+++ b/tests/failures/test_large_manifest.py
@@ -290,7 +290,7 @@
         async with mirrors(1, copy, [link]) as (relays, port):
             client = StoreClient(way.host, way.port, clock)
             follower = make_follower(client, port, clock, 'vm')
-            follower.feed.confirmed_at -= 2 * MANIFEST_FEED.stale_s
+            follower.feed.confirmed_at -= 2 * MANIFEST_FEED.max_age_s
             late = await late_ones([follower], relays, clock, BEAT_S)
     assert not late
 
@@ -312,7 +312,7 @@
             relays[0].cut(Cut.BOTH)
             client = StoreClient(way.host, way.port, clock)
             follower = make_follower(client, port, clock, 'vm')
-            follower.feed.confirmed_at -= 2 * MANIFEST_FEED.stale_s
+            follower.feed.confirmed_at -= 2 * MANIFEST_FEED.max_age_s
             late = await late_ones(
                 [follower], relays, clock, BEAT_S, IN_FORCE_S / 2
             )
