--- a/bramleybend/direct/admission.py
+++ b/bramleybend/direct/admission.py
@@ -58,7 +58,7 @@
     workspace: str
     tier: Tier
     units: float  # charged to the workspace's allotment; 0: no allotment
-    # Admitted beyond the allotment because runners are idle
+    # Admitted beyond the allotment because runners are idle.
     is_beyond_allotment: bool = False
 
 
--- a/bramleybend/direct/book.py
+++ b/bramleybend/direct/book.py
@@ -32,9 +32,8 @@
         self._listed_runners: Mapping[str, RunnerEntry] = {}  # by incarnation
         # By incarnation, the monotonic end of its exclusion.
         self._moved_until: dict[str, float] = {}
-        self._used_runners: dict[
-            str, RunnerEntry
-        ] = {}  # in use, by incarnation
+        # By incarnation.
+        self._used_runners: dict[str, RunnerEntry] = {}
         self.manifest: Manifest | None = None
         self.runners: Runners = {}
         self.has_runner_list = False
@@ -96,7 +95,7 @@
             routes=sum(len(routes) for routes in manifest.routes.values()),
             keys=len(manifest.key_holders),
         )
-        self._update_entries()
+        self._update_used_runners()
         self._notify_listeners()
 
     def take_runners(self, known: Mapping[str, RunnerEntry]) -> None:
@@ -106,7 +105,7 @@
         }
         is_first_list = not self.has_runner_list
         self.has_runner_list = True
-        if self._update_entries() or is_first_list:
+        if self._update_used_runners() or is_first_list:
             self._notify_listeners()
 
     def note_moved(self, incarnation: str) -> None:
@@ -119,10 +118,10 @@
         if incarnation not in self._moved_until:
             self._events.record('runner_moved', runner=incarnation)
         self._moved_until[incarnation] = self.now() + MOVED_EXCLUSION_S
-        if self._update_entries():
+        if self._update_used_runners():
             self._notify_listeners()
 
-    def _update_entries(self) -> bool:
+    def _update_used_runners(self) -> bool:
         """Select the listed runners to use; return whether they changed."""
         now = self.now()
         self._moved_until = {
@@ -130,19 +129,19 @@
             for name, until in self._moved_until.items()
             if until > now
         }
-        entries = {
+        used_runners = {
             entry.incarnation: entry
             for entry in drop_replaced_entries(
                 self._listed_runners.values(), self._services()
             )
             if entry.incarnation not in self._moved_until
         }
-        if entries == self._used_runners:
+        if used_runners == self._used_runners:
             return False
-        self._log_changes(entries)
-        self._used_runners = entries
+        self._log_changes(used_runners)
+        self._used_runners = used_runners
         by_service: dict[str, list[RunnerEntry]] = defaultdict(list)
-        for entry in entries.values():
+        for entry in used_runners.values():
             by_service[entry.service].append(entry)
         self.runners = by_service
         return True
@@ -150,10 +149,10 @@
     def _services(self) -> Container[str]:
         return self.manifest.services if self.manifest else ()
 
-    def _log_changes(self, entries: Mapping[str, RunnerEntry]) -> None:
-        for name in self._used_runners.keys() - entries.keys():
+    def _log_changes(self, used_runners: Mapping[str, RunnerEntry]) -> None:
+        for name in self._used_runners.keys() - used_runners.keys():
             self._events.record('runner_gone', runner=name)
-        for name, entry in entries.items():
+        for name, entry in used_runners.items():
             before = self._used_runners.get(name)
             if before is None or before.state is not entry.state:
                 self._events.record(
--- a/bramleybend/direct/channels.py
+++ b/bramleybend/direct/channels.py
@@ -95,7 +95,7 @@
             self._abort(runner.incarnation, channel)
 
     def close_all_except(self, incarnations: set[str]) -> None:
-        """Close idle connections to runners that are no longer listed."""
+        """Close idle connections to runners that are not in `incarnations`."""
         for stale in self._idle.keys() - incarnations:
             self._services.pop(stale, None)
             for channel in self._idle.pop(stale):
--- a/bramleybend/direct/process.py
+++ b/bramleybend/direct/process.py
@@ -37,15 +37,15 @@
 from bramleybend.settings_parsing import FILE_FIELD, env_of, parse_program
 
 SWEEP_EVERY_S: Final = 0.2
-# Callers cache an answer of the directory for up to three times its lifetime.
-# Until then they may send new requests on open connections, and these are
-# served.
+# In a drain, requests are accepted for this long. Callers cache an answer of
+# the directory for up to three times its lifetime, and until then may send
+# requests on open connections.
 ACCEPT_REQUESTS_S: Final = 2.6
-# New connections are accepted until callers have most likely asked the
-# directory again.
+# In a drain, new connections are accepted for this long, as callers may not
+# have asked the directory again.
 ACCEPT_CONNECTIONS_S: Final = 1.6
 DRAIN_POLL_S: Final = 0.05
-# The drain ends this long before the platform kills the process.
+# A drain ends this long before the platform kills the process.
 KILL_MARGIN_S: Final = 0.5
 # Share of the connections that a runner accepts from all VMs together. The rest
 # is left for VMs that start and for connections that only one end has closed.
--- a/bramleybend/direct/relay.py
+++ b/bramleybend/direct/relay.py
@@ -40,7 +40,7 @@
         self._responder = responder
         self._header_codec = header_codec
         self._placer = placer
-        self._placed = placement
+        self._placement = placement
         self._clock = clock
         self.event_count = 0  # received from the runner
 
@@ -84,7 +84,7 @@
 
     async def _relay_event(self, head: Head, event: Event) -> None:
         if not self.event_count:
-            self._placer.filled(self._placed)
+            self._placer.filled(self._placement)
             if self._job.first_event_at is None:
                 self._job.first_event_at = self._clock.monotonic()
         self.event_count += 1
@@ -112,8 +112,8 @@
     return stated is None or stated.lower().startswith(EVENT_STREAM_TYPE)
 
 
-def is_repeat(number: str, last: str) -> bool:
+def is_repeat(event_id: str, last_event_id: str) -> bool:
     """Return whether the caller has already received an event."""
-    if not (number.isdecimal() and last.isdecimal()):
+    if not (event_id.isdecimal() and last_event_id.isdecimal()):
         return False
-    return int(number) <= int(last)
+    return int(event_id) <= int(last_event_id)
--- a/bramleybend/direct/request_handler.py
+++ b/bramleybend/direct/request_handler.py
@@ -81,8 +81,8 @@
             self._dispatcher.now(),
         )
         fingerprint = self._components.containment.fingerprint(req, facts)
-        ends_at = req.received_at + timeout_s
-        return Job(req, facts, admission, ends_at, fingerprint)
+        answer_due_at = req.received_at + timeout_s
+        return Job(req, facts, admission, answer_due_at, fingerprint)
 
     async def _serve(self, job: Job, responder: Responder) -> None:
         if job.admission.route.streaming:
