--- a/tests/direct/test_allotments_after_restart.py
+++ b/tests/direct/test_allotments_after_restart.py
@@ -141,7 +141,7 @@
     assert demand.most_in_window() <= demand.tolerated()
 
 
-def test_what_vms_assume_after_a_start_is_not_taken_for_known() -> None:
+def test_spending_assumed_after_a_start_is_not_reported() -> None:
     """A burst that restarted VMs assume as spent is not reported as spent.
 
     The VMs of one domain restart while they hear only each other, so they
--- a/tests/direct/test_answer_guarantees.py
+++ b/tests/direct/test_answer_guarantees.py
@@ -284,7 +284,7 @@
         assert answer.body == event(1) + event(2) + event(3)
 
 
-async def test_a_stream_that_may_run_once_ends_torn() -> None:
+async def test_a_stream_that_may_run_once_ends_incomplete() -> None:
     """The caller gets complete events and then a truncated stream.
 
     The runner crashes within the second event. Nothing may run again, and the
--- a/tests/direct/test_containment.py
+++ b/tests/direct/test_containment.py
@@ -72,7 +72,7 @@
             assert answer.status == 200
 
 
-async def test_a_lookup_that_crashes_runners_is_not_sent_on_for_ever() -> None:
+async def test_a_lookup_that_crashes_runners_is_not_retried_forever() -> None:
     """An idempotent request stops crashing runners after three crashes.
 
     It may run twice, so each call crashes up to two runners.
@@ -84,7 +84,7 @@
         assert count_runs(cluster, POISON) == CONDEMNED
 
 
-async def test_content_that_broke_off_in_company_is_cleared_by_one_good_run() -> (
+async def test_content_that_crashed_beside_others_is_cleared_by_one_good_run() -> (
     None
 ):
     """Content that crashed runners twice is cleared by one successful run.
@@ -164,7 +164,7 @@
             assert (await other).status == 200
 
 
-def test_only_what_is_new_or_refused_is_told() -> None:
+def test_only_new_or_refused_crash_records_are_sent() -> None:
     """Heartbeats stay small when many connections break."""
     clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
     containment = Containment(clock, EventLog('vm', 'i', clock, kept=0))
--- a/tests/direct/test_event_log.py
+++ b/tests/direct/test_event_log.py
@@ -27,7 +27,7 @@
     time.sleep(seconds)
 
 
-async def test_an_entry_vm_tells_that_its_loop_stood_still(
+async def test_an_entry_vm_logs_that_its_loop_was_late(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
@@ -77,7 +77,7 @@
     ],
     ids=['no request', 'a head too long', 'a body too long'],
 )
-async def test_a_request_that_cannot_be_read_is_told_and_counted(
+async def test_a_request_that_cannot_be_read_is_logged_and_counted(
     caplog: pytest.LogCaptureFixture, sent: bytes, status: int
 ) -> None:
     """A request that is rejected before it is read is logged and counted."""
@@ -94,7 +94,7 @@
         assert denied == {(str(status),): 1}
 
 
-def test_a_vm_tells_when_its_messages_would_fill_a_thin_link(
+def test_a_vm_logs_when_its_messages_would_fill_a_thin_link(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
--- a/tests/direct/test_feeds.py
+++ b/tests/direct/test_feeds.py
@@ -138,7 +138,7 @@
     assert [one.key for one in newest.records] == ['b']
 
 
-def test_the_same_two_vms_read_whoever_is_asked() -> None:
+def test_all_vms_agree_on_the_two_that_read() -> None:
     """All VMs compute the same ranking, so exactly two read the log."""
     names = [f'entry-{number}' for number in range(6)]
     reading = [
@@ -242,7 +242,7 @@
         return Ok(Page((), start, whole=False))
 
 
-async def test_news_is_no_older_than_the_wait_for_it() -> None:
+async def test_a_copy_is_no_older_than_its_long_poll() -> None:
     """A VM that hears of a reader's progress need not read the store.
 
     A reader polls the store for the next record again and again. An empty
--- a/tests/direct/test_limit_news.py
+++ b/tests/direct/test_limit_news.py
@@ -74,7 +74,7 @@
     assert limits.in_force() == {'r': LEAST_PER_S}
 
 
-def test_other_vms_learn_the_newest_word(
+def test_other_vms_learn_the_newest_limit(
     limits: RunnerLimits, clock: ManualClock
 ) -> None:
     """Delayed news doesn't replace a newer limit."""
@@ -86,7 +86,7 @@
     assert limits.in_force() == {'other': 5}
 
 
-def test_an_end_is_told_for_a_while(
+def test_the_end_of_a_limit_is_sent_for_a_while(
     limits: RunnerLimits, clock: ManualClock
 ) -> None:
     """A VM that missed the end would keep sending the runner too little."""
@@ -98,7 +98,7 @@
     assert not limits.news()
 
 
-def test_a_runner_that_is_gone_takes_its_limit_along(
+def test_a_limit_ends_with_its_runner(
     limits: RunnerLimits, clock: ManualClock
 ) -> None:
     """Its successor at the same address has stated no limit."""
--- a/tests/direct/test_log_backup.py
+++ b/tests/direct/test_log_backup.py
@@ -102,7 +102,7 @@
         await wait_until(serves_added, 'the added route', RECOVERY_S)
 
 
-async def test_what_cannot_be_kept_drops_what_was_kept_before() -> None:
+async def test_a_page_too_large_to_save_deletes_the_saved_one() -> None:
     """A page too large for a record deletes the page saved before.
 
     Otherwise VMs that start would use an outdated page instead of waiting for
@@ -172,7 +172,7 @@
             assert answer.status == 200
 
 
-async def test_the_log_itself_goes_before_what_was_kept() -> None:
+async def test_the_log_replaces_a_backup() -> None:
     """The log itself replaces a runner list from the backup.
 
     A runner leaves while its log is silent and all VMs are down. Once the log
@@ -192,7 +192,7 @@
         await cluster.wait_for_runners(PLAIN, 1)
 
 
-async def test_an_unreadable_page_is_told_and_waited_past() -> None:
+async def test_an_unreadable_backup_is_logged_and_ignored() -> None:
     """An unreadable page is logged, and the VM waits for the log itself."""
     async with running_cluster() as cluster:
         await cluster.add_runner('r1', PLAIN)
--- a/tests/direct/test_moved_runners.py
+++ b/tests/direct/test_moved_runners.py
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize(
     ('service', 'target'), [(ENGINE, '/draft/x'), (PLAIN, '/book/x')]
 )
-async def test_a_runner_that_left_its_address_draws_no_further_requests(
+async def test_a_runner_that_left_its_address_gets_no_further_requests(
     service: str, target: str, vms: int
 ) -> None:
     """A runner that refuses at once always looks free to the queue."""
@@ -117,7 +117,7 @@
     assert used_runners(newer, older, beside) == {'new', 'beside'}
 
 
-def test_an_entry_that_names_no_service_or_start_displaces_nobody() -> None:
+def test_an_entry_without_a_known_service_or_start_replaces_no_other() -> None:
     """Such an entry may come from another writer, with a guessed start."""
     runner = record('r', entry('10.0.0.1:80', 1000))
     assert 'r' in used_runners(
--- a/tests/direct/test_program.py
+++ b/tests/direct/test_program.py
@@ -84,7 +84,7 @@
             assert 'event=stopped' in process.log_text()
 
 
-async def test_no_key_or_body_stands_in_the_log(tmp_path: Path) -> None:
+async def test_no_key_or_body_is_logged(tmp_path: Path) -> None:
     """Keys and bodies are not logged, whether a request is served or not."""
     async with running_cluster() as cluster:
         await cluster.add_runner('r1', PLAIN)
--- a/tests/direct/test_queue_log.py
+++ b/tests/direct/test_queue_log.py
@@ -44,7 +44,7 @@
     return [line for line in lines if line['event'] == 'queue']
 
 
-async def test_a_queue_tells_what_waits_and_what_is_free(
+async def test_a_queue_logs_what_waits_and_what_is_free(
     queues: Queues, caplog: pytest.LogCaptureFixture
 ) -> None:
     """The event tells full runners, a late owner and a holding policy apart."""
@@ -69,7 +69,7 @@
     assert expected.items() <= line.items()
 
 
-async def test_a_queue_in_which_nothing_waits_tells_nothing(
+async def test_a_queue_in_which_nothing_waits_logs_nothing(
     queues: Queues, caplog: pytest.LogCaptureFixture
 ) -> None:
     """An empty queue is not logged."""
--- a/tests/direct/test_request_path.py
+++ b/tests/direct/test_request_path.py
@@ -31,7 +31,7 @@
         assert 0 < int(seen.headers['x-bramleybend-deadline-ms']) <= 4000
 
 
-async def test_what_only_the_system_may_set_is_dropped() -> None:
+async def test_headers_that_only_the_system_may_set_are_dropped() -> None:
     """Callers can't set the workspace or reserve an engine's memory."""
     async with running_cluster() as cluster:
         runner = await cluster.add_runner('r1', ENGINE, streams)
--- a/tests/direct/test_spending_reports.py
+++ b/tests/direct/test_spending_reports.py
@@ -76,7 +76,7 @@
     return reported
 
 
-def test_a_change_that_all_hubs_tell_is_weighed_once(
+def test_a_change_that_all_hubs_report_is_applied_once(
     network: WatchedNetwork,
 ) -> None:
     """Applying each hub's report would take most of a VM's CPU time."""
@@ -98,7 +98,7 @@
     assert digests.note_spendings('vm-2', spent(250), 4.0, 5.0)
 
 
-def test_two_of_three_hubs_tell_a_change(network: WatchedNetwork) -> None:
+def test_two_of_three_hubs_report_a_change(network: WatchedNetwork) -> None:
     """If each hub reported each change, it would be most of a hub's traffic."""
     vms = list(non_hubs(network))
     network.reported.clear()
--- a/tests/direct/test_suspension.py
+++ b/tests/direct/test_suspension.py
@@ -40,7 +40,7 @@
     assert not watch.slept_s()
 
 
-async def test_a_vm_that_wakes_denies_nothing_by_an_old_manifest() -> None:
+async def test_a_vm_that_resumes_denies_nothing_by_an_old_manifest() -> None:
     """An unknown key gets 503 after a suspension, not 401.
 
     The key was added while the VM was suspended, and the store is silent when
@@ -56,7 +56,7 @@
         assert (await cluster.call('/book/x', key='new')).status == 503
 
 
-async def test_a_vm_that_wakes_reads_what_changed() -> None:
+async def test_a_vm_that_resumes_reads_what_changed() -> None:
     """A new runner and a new key are known soon after the VM resumes."""
     clock = SuspendableClock()
     tenants = [{'name': 'school', 'apiKeys': ['new'], 'ratePerS': 0}]
@@ -73,7 +73,7 @@
         assert (await cluster.call('/book/x', key='new')).status == 200
 
 
-async def test_a_vm_that_wakes_hears_nobody_until_they_speak() -> None:
+async def test_a_vm_that_resumes_takes_nobody_for_alive_until_heard() -> None:
     """Its slot requests must not go to an owner that may be gone by then."""
     clock = SuspendableClock()
     async with running_cluster(vms=2, clock=clock) as cluster:
--- a/tests/direct/test_unframed_answers.py
+++ b/tests/direct/test_unframed_answers.py
@@ -142,7 +142,7 @@
             assert (await reading).endswith(event(1))
 
 
-async def test_the_log_tells_how_an_answer_was_framed_and_cut(
+async def test_the_log_shows_how_an_answer_was_framed_and_cut(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """The event shows a truncated answer, which may look complete otherwise."""
