--- a/tests/test_journal_rules.py
+++ b/tests/test_journal_rules.py
@@ -1,4 +1,4 @@
-"""Tickets, journal records and what a journal proves."""
+"""Tests of tickets, journal records and the rules of the journal."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 from bramleybend.errors import ErrorKind
 from bramleybend.models import JournalMode
 from bramleybend.state.journal_records import (
-    MAX_BODY,
+    MAX_BODY_BYTES,
     OutcomeRecord,
     decode,
     encode_intent,
@@ -15,7 +15,7 @@
     encode_seal,
 )
 from bramleybend.state.journal_rules import (
-    KEPT_EPOCHS,
+    RETAINED_EPOCHS,
     Ended,
     HomeJournal,
     JournalView,
@@ -31,11 +31,11 @@
 )
 
 
-def request(text: str = '10.0.0.1:8080:a1:0i/slot-7') -> RequestId:
+def parse_id(text: str = '10.0.0.1:8080:a1:0i/slot-7') -> RequestId:
     return parse_request_id(text).unwrap()
 
 
-def stream(*texts: str) -> list[LogRecord]:
+def make_records(*texts: str) -> list[LogRecord]:
     return [LogRecord(offset, text) for offset, text in enumerate(texts)]
 
 
@@ -76,20 +76,22 @@
 
 
 def test_mark_outlasts_a_change_of_terms() -> None:
-    plain = request('10.0.0.1:8080:a1:0/slot-7')
+    plain = parse_id('10.0.0.1:8080:a1:0/slot-7')
 
     assert dispatch_mode(plain, JournalMode.BEHIND) is JournalMode.BEHIND
     assert (
-        dispatch_mode(request(), JournalMode.BEHIND)
+        dispatch_mode(parse_id(), JournalMode.BEHIND)
         is JournalMode.BEFORE_DISPATCH
     )
 
 
 def test_small_answer_is_kept_whole_and_large_one_left_out() -> None:
-    small = encode_outcome(request(), Outcome.DONE, 200, 'text/plain', b'\xff')
-    large = encode_outcome(request(), Outcome.DONE, body=b'x' * (MAX_BODY + 1))
+    small = encode_outcome(parse_id(), Outcome.DONE, 200, 'text/plain', b'\xff')
+    large = encode_outcome(
+        parse_id(), Outcome.DONE, body=b'x' * (MAX_BODY_BYTES + 1)
+    )
 
-    ended = fate(stream(small), request())
+    ended = fate(make_records(small), parse_id())
     assert isinstance(ended, Ended)
     assert (ended.record.status, ended.record.answer) == (200, b'\xff')
     lost = decode(large).unwrap()
@@ -105,7 +107,7 @@
         '{"v":1,"kind":"intent","req":"no id"}',
         encode_seal('a').replace('"v":1', '"v":2'),
         encode_seal('a').replace('"by"', '"buy"'),
-        encode_outcome(request(), Outcome.DONE, body=b'ok').replace(
+        encode_outcome(parse_id(), Outcome.DONE, body=b'ok').replace(
             '"b2s="',
             '"b2s"',
         ),
@@ -114,25 +116,25 @@
 def test_bad_record_is_a_problem_and_counted(text: str) -> None:
     assert decode(text).unwrap_err().kind is ErrorKind.BAD_RECORD
     home, view = HomeJournal(), JournalView()
-    home.read(stream(text))
-    view.add(stream(text))
+    home.read(make_records(text))
+    view.add(make_records(text))
 
-    assert (home.bad_records, view.bad_records) == (1, 1)
-    assert not view.whole
+    assert (home.bad_record_count, view.bad_record_count) == (1, 1)
+    assert not view.is_gapless_to_seal
 
 
 def test_corrupt_record_does_not_stop_the_home() -> None:
-    rights = HomeJournal().read(stream('{', encode_intent(request())))
+    rights = HomeJournal().read(make_records('{', encode_intent(parse_id())))
 
-    assert rights == {str(request())}
+    assert rights == {str(parse_id())}
 
 
 @pytest.mark.parametrize(
     'read',
     [
-        stream(encode_seal('b2'), encode_intent(request())),
-        stream('{"v":2,"kind":"seal"}', encode_intent(request())),
-        stream('', encode_intent(request()))[1:],
+        make_records(encode_seal('b2'), encode_intent(parse_id())),
+        make_records('{"v":2,"kind":"seal"}', encode_intent(parse_id())),
+        make_records('', encode_intent(parse_id()))[1:],
     ],
 )
 def test_intent_behind_what_may_be_a_seal_gives_no_right(
@@ -145,19 +147,19 @@
 
 
 def test_seal_without_intent_proves_not_run() -> None:
-    late = stream(encode_seal('b2'), encode_intent(request()))
+    late = make_records(encode_seal('b2'), encode_intent(parse_id()))
 
-    assert fate(late, request()) == NotRun()
-    assert fate(stream(encode_seal('b2')), request()) == NotRun()
+    assert fate(late, parse_id()) == NotRun()
+    assert fate(make_records(encode_seal('b2')), parse_id()) == NotRun()
 
 
 @pytest.mark.parametrize(
     ('read', 'text'),
     [
         ([], '10.0.0.1:8080:a1:0i/slot-7'),
-        (stream(encode_seal('b2')), '10.0.0.1:8080:a1:0/slot-7'),
-        (stream('{', encode_seal('b2')), '10.0.0.1:8080:a1:0i/slot-7'),
-        (stream('', encode_seal('b2'))[1:], '10.0.0.1:8080:a1:0i/slot-7'),
+        (make_records(encode_seal('b2')), '10.0.0.1:8080:a1:0/slot-7'),
+        (make_records('{', encode_seal('b2')), '10.0.0.1:8080:a1:0i/slot-7'),
+        (make_records('', encode_seal('b2'))[1:], '10.0.0.1:8080:a1:0i/slot-7'),
     ],
     ids=['no seal', 'no mark', 'corrupt', 'forgotten'],
 )
@@ -165,21 +167,21 @@
     read: list[LogRecord],
     text: str,
 ) -> None:
-    assert isinstance(fate(read, request(text)), Unknown)
+    assert isinstance(fate(read, parse_id(text)), Unknown)
 
 
 def test_ids_of_old_epochs_are_dropped_and_unknown() -> None:
-    newer = request(f'10.0.0.1:8080:a1:{KEPT_EPOCHS}i/slot-8')
-    read = stream(
-        encode_outcome(request(), Outcome.DONE),
+    newer = parse_id(f'10.0.0.1:8080:a1:{RETAINED_EPOCHS}i/slot-8')
+    read = make_records(
+        encode_outcome(parse_id(), Outcome.DONE),
         encode_intent(newer),
         encode_seal('b2'),
     )
 
-    assert isinstance(fate(read, request()), Unknown)
+    assert isinstance(fate(read, parse_id()), Unknown)
 
 
 def test_outcome_not_run_is_told_as_such() -> None:
-    read = stream(encode_outcome(request(), Outcome.NOT_RUN))
+    read = make_records(encode_outcome(parse_id(), Outcome.NOT_RUN))
 
-    assert fate(read, request()) == NotRun()
+    assert fate(read, parse_id()) == NotRun()
--- a/tests/test_order_issuer.py
+++ b/tests/test_order_issuer.py
@@ -36,7 +36,7 @@
 )
 from bramleybend.scheduler.order_issuer import OrderIssuer
 from bramleybend.state.order_records import LOADS_STREAM, ClaimRecord
-from bramleybend.state.order_rules import PERMIT_USE_S
+from bramleybend.state.order_rules import PERMIT_VALIDITY_S
 from tests.cli.world import DOWN, LOST, FakeLog
 
 KEY = ShardKey('llm', 0, 1)
@@ -296,7 +296,7 @@
 async def test_a_permit_that_came_late_is_released() -> None:
     fixture = IssuerFixture()
     await fixture.run_rounds(EngineTarget('m', '1'))
-    fixture.log.append_delay_s = PERMIT_USE_S
+    fixture.log.append_delay_s = PERMIT_VALIDITY_S
 
     assert not await fixture.run_rounds(NEW_VERSION)
     fixture.log.append_delay_s = 0
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -56,7 +56,7 @@
     peer_heard_count: int = 0
     learn_count: int = 0
 
-    def heard_peer(self) -> None:
+    def record_peer_contact(self) -> None:
         """Count a message of a peer with the same terms."""
         self.peer_heard_count += 1
 
--- a/tests/test_spec.py
+++ b/tests/test_spec.py
@@ -1,9 +1,9 @@
-"""The models hold, their witnesses are reached, every mutant is rejected."""
+"""Tests that models hold, reach their witnesses, and reject each mutant."""
 
 import pytest
 
 from spec.__main__ import MODELS
-from spec.checking import Model, check, reach
+from spec.checking import Model, check, find_witnesses
 
 MUTANTS = [
     pytest.param(model, mutant, id=f'{model.name}: {mutant}')
@@ -22,7 +22,7 @@
 
 @pytest.mark.parametrize('model', MODELS, ids=lambda model: model.name)
 def test_model_reaches_its_witnesses(model: Model) -> None:
-    assert reach(model).traces.keys() == model.witnesses.keys()
+    assert find_witnesses(model).traces.keys() == model.witnesses.keys()
 
 
 @pytest.mark.parametrize(('model', 'mutant'), MUTANTS)
--- a/tests/test_state_machines.py
+++ b/tests/test_state_machines.py
@@ -1,4 +1,4 @@
-"""State machines over the id table and the terms, with fixed seeds."""
+"""Stateful tests of the id table and the terms, with fixed seeds."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -24,20 +24,22 @@
     encode_renew,
 )
 from bramleybend.state.terms_rules import (
-    Accepted,
+    PublishAccepted,
     Applied,
-    TermsLog,
-    Unseen,
+    TermsState,
+    PublishNotSeen,
 )
 from bramleybend.state.tickets import RequestId, Ticket
 
 LIMITS = TableLimits(epoch_s=10, grace_s=15, capacity=3)
-FIXED = settings(derandomize=True, max_examples=200, deadline=None)
-INVALID = Problem(ErrorKind.BAD_DECLARATION, 'no such profile', 'add it')
+SETTINGS = settings(derandomize=True, max_examples=200, deadline=None)
+INVALID_PROBLEM = Problem(
+    ErrorKind.BAD_DECLARATION, 'no such profile', 'add it'
+)
 
 
 class IdTableMachine(RuleBasedStateMachine):
-    """Callers, some late and some with clocks gone back, at one table."""
+    """One table with late resends and clock readings that go back."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -81,11 +83,11 @@
 
 
 def validate(document: str) -> Result[str, Problem]:
-    return Err(INVALID) if document == 'invalid' else Ok(document)
+    return Err(INVALID_PROBLEM) if document == 'invalid' else Ok(document)
 
 
 class TermsMachine(RuleBasedStateMachine):
-    """Several VMs read one log that doubles, delays and forgets records."""
+    """Several VMs read a log that duplicates, delays and drops records."""
 
     publishes = Bundle('publishes')
     renewals = Bundle('renewals')
@@ -94,17 +96,17 @@
         super().__init__()
         self.log: list[str] = []
         self.forgotten = 0
-        self.count = 0
-        self.whole = TermsLog(validate)  # has read every record
+        self.publish_count = 0
+        self.complete = TermsState(validate)  # has read every record
         self.accepted: set[str] = set()
-        self.vms = [TermsLog(validate) for _ in range(3)]
+        self.vms = [TermsState(validate) for _ in range(3)]
         self.history = {0: (0, '')}  # terms in force before each offset
 
     @rule(target=publishes, document=st.sampled_from(['a', 'b', 'invalid']))
     def publish(self, document: str) -> tuple[str, str]:
-        self.count += 1
-        name = f'publish-{self.count}'
-        text = encode_publish(name, self.whole.version, document, 'ana')
+        self.publish_count += 1
+        name = f'publish-{self.publish_count}'
+        text = encode_publish(name, self.complete.version, document, 'ana')
         return name, text
 
     @rule(published=publishes)
@@ -113,13 +115,13 @@
 
     @rule(text=st.sampled_from(['', '{', '{"v":2}', '{"v":1,"kind":"x"}']))
     def land_bad_record(self, text: str) -> None:
-        before = self.whole.version
+        before = self.complete.version
         self.append(text)
-        assert self.whole.version == before
+        assert self.complete.version == before
 
     @rule(target=renewals, index=st.integers(0, 2))
     def renew(self, index: int) -> str | None:
-        return self.vms[index].renewal()
+        return self.vms[index].build_renewal()
 
     @rule(text=renewals)
     def land_renewal(self, text: str | None) -> None:
@@ -130,8 +132,8 @@
     def read(self, index: int, limit: int) -> None:
         vm = self.vms[index]
         before = vm.version
-        start = max(vm.position, self.forgotten)
-        vm.see_first_offset(self.forgotten)
+        start = max(vm.next_offset, self.forgotten)
+        vm.advance_first_offset(self.forgotten)
         for offset, text in enumerate(self.log[start : start + limit], start):
             vm.apply(offset, text)
         assert vm.version >= before
@@ -140,12 +142,14 @@
     def learn(self, index: int, other: int) -> None:
         peer = self.vms[other]
         before = self.vms[index].version
-        self.vms[index].learn(peer.version, peer.position, peer.document)
+        self.vms[index].adopt_peer_state(
+            peer.version, peer.next_offset, peer.document
+        )
         assert self.vms[index].version >= before
 
     @rule(index=st.integers(0, 2))
     def replace(self, index: int) -> None:
-        self.vms[index] = TermsLog(validate)
+        self.vms[index] = TermsState(validate)
 
     @rule(kept=st.integers(0, 4))
     def forget(self, kept: int) -> None:
@@ -154,67 +158,67 @@
     @rule(published=publishes)
     def ask(self, published: tuple[str, str]) -> None:
         accepted = published[0] in self.accepted
-        for vm in (self.whole, *self.vms):
-            told = vm.outcome_of(published[0])
-            if not isinstance(told, Unseen):
-                assert isinstance(told, Accepted) == accepted
+        for vm in (self.complete, *self.vms):
+            told = vm.publish_outcome(published[0])
+            if not isinstance(told, PublishNotSeen):
+                assert isinstance(told, PublishAccepted) == accepted
 
     @invariant()
     def every_vm_holds_what_the_log_says(self) -> None:
         for vm in self.vms:
-            assert (vm.version, vm.document) == self.history[vm.position]
+            assert (vm.version, vm.document) == self.history[vm.next_offset]
 
     def append(self, text: str) -> None:
-        version = self.whole.version
-        verdict = self.whole.apply(len(self.log), text)
-        assert self.whole.version == version + isinstance(verdict, Applied)
+        version = self.complete.version
+        verdict = self.complete.apply(len(self.log), text)
+        assert self.complete.version == version + isinstance(verdict, Applied)
         if isinstance(verdict, Applied):
             self.accepted.add(
                 PublishRecord.model_validate_json(text).publish_id
             )
         self.log.append(text)
-        state = (self.whole.version, self.whole.document)
+        state = (self.complete.version, self.complete.document)
         self.history[len(self.log)] = state
 
 
 def test_publish_on_a_version_not_there_yet_is_ignored() -> None:
-    terms = TermsLog(validate)
+    terms = TermsState(validate)
     terms.apply(0, encode_publish('p', 5, 'a', 'ana'))
 
-    assert (terms.version, terms.outcome_of('p')) == (0, Unseen())
+    assert (terms.version, terms.publish_outcome('p')) == (0, PublishNotSeen())
 
 
 def test_vm_that_starts_late_does_not_revert_to_an_overtaken_renewal() -> None:
-    """Nobody sees terms that were replaced come back.
+    """A VM doesn't revert to terms that were replaced.
 
-    A VM renews version 1 while version 2 lands before its renewal. The log
-    forgets all but the renewal, and a new VM reads it: on its word it would
-    serve callers under version 1 again.
+    A VM renews version 1, but version 2 lands before the renewal. The log then
+    drops all records but the renewal. If a new VM adopted the renewal, it
+    would serve callers under version 1 again.
     """
-    old = TermsLog(validate)
+    old = TermsState(validate)
     old.apply(0, encode_publish('p', 0, 'a', 'ana'))
-    overtaken = str(old.renewal())
+    overtaken = str(old.build_renewal())
     old.apply(1, encode_publish('q', 1, 'b', 'boyan'))
     old.apply(2, overtaken)
-    fresh = TermsLog(validate)
-    fresh.see_first_offset(2)
+    fresh = TermsState(validate)
+    fresh.advance_first_offset(2)
     fresh.apply(2, overtaken)
-    assert (fresh.version, fresh.anchored) == (0, False)
+    assert (fresh.version, fresh.is_gapless) == (0, False)
 
-    fresh.apply(3, str(old.renewal()))
-    assert (fresh.version, fresh.document, fresh.anchored) == (2, 'b', True)
+    fresh.apply(3, str(old.build_renewal()))
+    assert (fresh.version, fresh.document, fresh.is_gapless) == (2, 'b', True)
 
 
 def test_terms_put_back_by_an_operator_hold_for_old_and_new_vms() -> None:
-    old, fresh = TermsLog(validate), TermsLog(validate)
+    old, fresh = TermsState(validate), TermsState(validate)
     old.apply(0, encode_publish('p', 0, 'a', 'ana'))
-    fresh.see_first_offset(1)
+    fresh.advance_first_offset(1)
     for vm in (old, fresh):
         vm.apply(1, encode_renew(7, 'b', 1))
-        assert (vm.version, vm.document, vm.anchored) == (7, 'b', True)
+        assert (vm.version, vm.document, vm.is_gapless) == (7, 'b', True)
 
 
 TestIdTable = IdTableMachine.TestCase
-TestIdTable.settings = FIXED
+TestIdTable.settings = SETTINGS
 TestTerms = TermsMachine.TestCase
-TestTerms.settings = FIXED
+TestTerms.settings = SETTINGS
--- a/tests/utils/membership_play.py
+++ b/tests/utils/membership_play.py
@@ -11,7 +11,11 @@
 
 from bramleybend.models import RunnerState, Vm
 from bramleybend.state.member import Member, MemberState
-from bramleybend.state.membership import PERIOD_S, Members, Outgoing
+from bramleybend.state.membership import (
+    PROBE_PERIOD_S,
+    Membership,
+    OutgoingMessage,
+)
 
 LATENCY_S = 0.0005
 PROBE_TIMEOUT_S = 0.3
@@ -45,7 +49,7 @@
     """One process at an address; a restart puts another in its place."""
 
     address: str
-    members: Members
+    members: Membership
     running: bool = True
     messages: int = 0
     largest: int = 0  # records in one message
@@ -89,13 +93,15 @@
             incarnation=f'{started_ms}-{self.rng.getrandbits(32):08x}',
             heartbeat=started_ms,
         )
-        members = Members(own, Random(self.rng.random()), self.now)
+        members = Membership(own, Random(self.rng.random()), self.now)
         node = Node(address, members)
         self.nodes[address] = node
         vm = own.vm
         self._after(LIST_LAG_S, lambda: self._listed.update({address: vm}))
-        members.learn_listed(self._listed_vms(), self.now)
-        self._after(self.rng.random() * PERIOD_S, lambda: self._tick(node))
+        members.update_listed_vms(self._listed_vms(), self.now)
+        self._after(
+            self.rng.random() * PROBE_PERIOD_S, lambda: self._tick(node)
+        )
         return node
 
     def kill(self, address: str) -> None:
@@ -132,7 +138,7 @@
 
     def state_of(self, watcher: Node, address: str) -> MemberState | None:
         """Return what one node believes of an address."""
-        known = watcher.members.known(self.now)
+        known = watcher.members.list_records(self.now)
         states = {member.address: member.state for member in known}
         return states.get(address)
 
@@ -150,7 +156,7 @@
         return {
             member.address
             for node in self.nodes.values()
-            for member in node.members.known(self.now)
+            for member in node.members.list_records(self.now)
             if member.state is MemberState.DEAD
         }
 
@@ -163,7 +169,7 @@
         return all(
             {
                 (member.address, member.incarnation)
-                for member in node.members.alive(self.now)
+                for member in node.members.owner_candidates(self.now)
             }
             == running
             for node in self.nodes.values()
@@ -181,9 +187,9 @@
         if node.running:
             for outgoing in node.members.tick(self.now):
                 self._probe(node, outgoing)
-        self._after(PERIOD_S, lambda: self._tick(node))
+        self._after(PROBE_PERIOD_S, lambda: self._tick(node))
 
-    def _probe(self, node: Node, outgoing: Outgoing) -> None:
+    def _probe(self, node: Node, outgoing: OutgoingMessage) -> None:
         target = outgoing.target
         self._exchange(
             node,
@@ -194,7 +200,7 @@
     def _exchange(
         self,
         node: Node,
-        outgoing: Outgoing,
+        outgoing: OutgoingMessage,
         done: Callable[[bool], None],
     ) -> None:
         """Send, let the target answer, and say whether the answer came."""
@@ -207,7 +213,7 @@
     def _arrive(
         self,
         node: Node,
-        outgoing: Outgoing,
+        outgoing: OutgoingMessage,
         done: Callable[[bool], None],
     ) -> None:
         peer = self.nodes.get(outgoing.target)
@@ -256,13 +262,15 @@
 
     def _helper(
         self,
-        ask: Outgoing,
+        ask: OutgoingMessage,
         reached: list[bool],
     ) -> Callable[[bool], None]:
         def probe(asked: bool) -> None:
             helper = self.nodes.get(ask.target)
             if asked and helper is not None:
-                sent = Outgoing(ask.probe, (helper.members.own.member,))
+                sent = OutgoingMessage(
+                    ask.probe_target, (helper.members.own.member,)
+                )
                 self._exchange(helper, sent, reached.append)
 
         return probe
@@ -282,7 +290,7 @@
     def _refresh_list(self) -> None:
         vms = self._listed_vms()
         for node in self.nodes.values():
-            node.members.learn_listed(vms, self.now)
+            node.members.update_listed_vms(vms, self.now)
         self._after(LIST_PERIOD_S, self._refresh_list)
 
     def _unlist(self, address: str) -> None:
