--- a/bramleybend/cli/history.py
+++ b/bramleybend/cli/history.py
@@ -14,7 +14,11 @@
 from bramleybend.declarations import parse_terms
 from bramleybend.errors import ErrorKind, Problem
 from bramleybend.models import Terms
-from bramleybend.state.terms_records import PublishRecord, RenewRecord, decode
+from bramleybend.state.terms_records import (
+    PublishRecord,
+    RenewRecord,
+    decode_terms_record,
+)
 from bramleybend.state.terms_rules import (
     Applied,
     Ignored,
@@ -138,7 +142,7 @@
 
     def _apply(self, record: LogRecord) -> None:
         verdict = self._terms.apply(record.offset, record.data)
-        decoded = decode(record.data).ok()
+        decoded = decode_terms_record(record.data).ok()
         match decoded:
             case PublishRecord():
                 self._note_publish(record.offset, decoded, verdict)
@@ -190,7 +194,7 @@
 
 
 def _is_renewal(record: LogRecord) -> bool:
-    renewal = decode(record.data).ok()
+    renewal = decode_terms_record(record.data).ok()
     return isinstance(renewal, RenewRecord) and renewal.at == record.offset
 
 
--- a/bramleybend/scheduler/peers.py
+++ b/bramleybend/scheduler/peers.py
@@ -112,7 +112,7 @@
             return
         self.newer_terms_address = peer.address
         if self._fetch_task is None or self._fetch_task.done():
-            self._fetch_task = asyncio.create_task(terms.learn_from_peer())
+            self._fetch_task = asyncio.create_task(terms.adopt_from_peer())
 
 
 class Peers:
--- a/bramleybend/scheduler/view_service.py
+++ b/bramleybend/scheduler/view_service.py
@@ -68,7 +68,7 @@
     async def _wait_for_newer_terms(self, wait_s: float) -> None:
         try:
             async with asyncio.timeout(wait_s):
-                await self._sources.terms.changed()
+                await self._sources.terms.wait_for_change()
         except TimeoutError:
             return
 
--- a/bramleybend/state/journal_records.py
+++ b/bramleybend/state/journal_records.py
@@ -117,7 +117,7 @@
     return SealRecord(by=by, complete=complete).encode()
 
 
-def decode(text: str) -> Result[JournalRecord, Problem]:
+def decode_journal_record(text: str) -> Result[JournalRecord, Problem]:
     """Decode one record; the caller counts and skips one that fails."""
     try:
         return Ok(_ADAPTER.validate_json(text))
--- a/bramleybend/state/journal_rules.py
+++ b/bramleybend/state/journal_rules.py
@@ -18,7 +18,7 @@
     JournalRecord,
     OutcomeRecord,
     SealRecord,
-    decode,
+    decode_journal_record,
 )
 from bramleybend.state.json_record import SCHEMA_VERSION
 from bramleybend.state.tickets import RequestId, parse_request_id
@@ -81,7 +81,7 @@
             yield self._decode_record(record.data)
 
     def _decode_record(self, text: str) -> JournalRecord | _Unreadable:
-        decoded = decode(text)
+        decoded = decode_journal_record(text)
         if decoded.is_err():
             self.bad_record_count += 1
         # A record of another schema version may be a seal, and a VM that can
@@ -112,12 +112,12 @@
 
     @property
     def next_offset(self) -> int:
-        """Return where to read on."""
+        """Return the next offset to read."""
         return self._stream.next_offset
 
     @property
     def bad_record_count(self) -> int:
-        """Return how many records were not understood."""
+        """Return how many records failed to decode."""
         return self._stream.bad_record_count
 
     def read(self, records: Iterable[LogRecord]) -> frozenset[str]:
@@ -155,12 +155,12 @@
 
     @property
     def next_offset(self) -> int:
-        """Return where to read on."""
+        """Return the next offset to read."""
         return self._stream.next_offset
 
     @property
     def bad_record_count(self) -> int:
-        """Return how many records were not understood."""
+        """Return how many records failed to decode."""
         return self._stream.bad_record_count
 
     def add(self, records: Iterable[LogRecord]) -> None:
@@ -175,7 +175,7 @@
                 self._store_record(record)
 
     def fate(self, request_id: RequestId) -> Fate:
-        """Return whether a request of a lost home ended, ran or never ran.
+        """Return what the journal proves about a request of the lost home.
 
         A missing intent proves `NotRun` only if the home needed an intent for
         this id, which the mark of its ticket shows, and only if a seal keeps
@@ -202,7 +202,7 @@
 
     def _apply_unreadable(self, lost: _Unreadable) -> None:
         # An intent behind the seal allows no dispatch, so records that are
-        # unreadable there don't affect `whole`.
+        # unreadable there don't hide a dispatch.
         self.is_gapless_to_seal = self.is_gapless_to_seal and self.sealed
         self._is_gapless = False
         self.sealed = self.sealed or lost.may_be_seal
--- a/bramleybend/state/membership.py
+++ b/bramleybend/state/membership.py
@@ -51,9 +51,8 @@
         self._listed = ListedAddresses(rng)
         self._table = MemberTable(rng, self._probe_order.add, now)
         self._last_tick_at = now
-        self._raised_suspicions: list[
-            str
-        ] = []  # by address; raised by this node
+        # Addresses that this node itself found unreachable.
+        self._raised_suspicions: list[str] = []
 
     # ---- queries
 
@@ -154,8 +153,8 @@
             self._suspect(target, now)
         picked = self._rng.sample(helpers, min(INDIRECT_PROBES, len(helpers)))
         return [
-            replace(self._build_message(who), probe_target=target)
-            for who in picked
+            replace(self._build_message(helper), probe_target=target)
+            for helper in picked
         ]
 
     def on_indirect_result(
--- a/bramleybend/state/order_rules.py
+++ b/bramleybend/state/order_rules.py
@@ -28,7 +28,7 @@
     """The claims on a service's engines, as one claimant has read them."""
 
     def __init__(self, own: ClaimRecord) -> None:
-        """Start as no holder, until the own claim is read back."""
+        """Hold no claim until the own one is read back."""
         self.own = own
         self.fence: int | None = None
         self.next_offset = 0  # the next offset to apply
--- a/bramleybend/state/probing.py
+++ b/bramleybend/state/probing.py
@@ -8,8 +8,8 @@
 # Probes of one address per period, by all nodes together. Usually only a
 # newcomer has addresses that it hasn't met, and this rate lets it meet the
 # last few sooner.
-PROBES_PER_DEAD_ADDRESS: Final = 2
-PROBES_PER_UNMET_ADDRESS: Final = 60
+PROBES_PER_DEAD: Final = 2
+PROBES_PER_UNMET: Final = 60
 LISTED_RETENTION_S: Final = 120.0
 
 
@@ -95,9 +95,9 @@
         ]
         dead = [addr for addr in self._last_listed_at if is_dead(addr)]
         known_count = len(self._last_listed_at) - len(unmet) - len(dead)
-        wanted_probes = PROBES_PER_UNMET_ADDRESS * len(
-            unmet
-        ) + PROBES_PER_DEAD_ADDRESS * len(dead)
+        wanted_probes = PROBES_PER_UNMET * len(unmet) + PROBES_PER_DEAD * len(
+            dead
+        )
         own_share = wanted_probes / (known_count + 1)
         probe_count = min(
             MAX_LISTED_PROBES, int(own_share + self._rng.random())
--- a/bramleybend/state/records.py
+++ b/bramleybend/state/records.py
@@ -12,8 +12,8 @@
 # A probe finds a killed VM within about one period. The timeout gives a live
 # VM time to learn of the suspicion and refute it, which takes longer with more
 # members.
-SUSPICION_TIMEOUT_S: Final = 1.0
-SUSPICION_TIMEOUT_PER_DECADE_S: Final = 0.8
+SUSPICION_BASE_S: Final = 1.0
+SUSPICION_PER_DECADE_S: Final = 0.8
 DEAD_RETENTION_S: Final = 120.0
 JOIN_PERIOD_S: Final = 10.0
 MAX_UPDATES: Final = 24
@@ -23,9 +23,7 @@
 
 def suspicion_timeout_s(members: int) -> float:
     """Return after how many seconds a suspected member counts as dead."""
-    return SUSPICION_TIMEOUT_S + SUSPICION_TIMEOUT_PER_DECADE_S * log10(
-        members + 1
-    )
+    return SUSPICION_BASE_S + SUSPICION_PER_DECADE_S * log10(members + 1)
 
 
 class MemberTable:
@@ -93,13 +91,13 @@
 
     def merge(self, record: Member, now: float) -> None:
         """Store a record and queue it for sending if it is newer."""
-        known = self.by_address.get(record.address)
-        if known is None and record.state is MemberState.DEAD:
+        stored = self.by_address.get(record.address)
+        if stored is None and record.state is MemberState.DEAD:
             return  # this node has removed it already
-        if known is not None and not record.supersedes(known):
+        if stored is not None and not record.supersedes(stored):
             return
         self.by_address[record.address] = record
-        if known is None:
+        if stored is None:
             self._on_new_address(record.address)
         if record.state in {MemberState.SUSPECT, MemberState.DEAD}:
             self._failed_since[record.address] = now
@@ -107,7 +105,7 @@
             self._failed_since.pop(record.address, None)
         # The records that a newcomer receives first are known to all others;
         # sending them on would fill its messages for minutes.
-        if known is not None or now >= self._join_ends_at:
+        if stored is not None or now >= self._join_ends_at:
             self.updates.add(record.address, len(self.by_address))
 
     def set_state(self, address: str, state: MemberState, now: float) -> None:
@@ -128,21 +126,21 @@
     ) -> list[str]:
         """Declare overdue suspects dead; remove and return long dead members.
 
-        Members on the VM list are kept, since the list may be outdated: a VM
-        that was only cut off has to see its record here to refute it.
+        Listed members are kept, although the list may be outdated: a VM that
+        was only cut off has to receive its record from here to refute it.
         """
-        forgotten = []
+        removed = []
         for address, since in list(self._failed_since.items()):
             if self.is_overdue(self.by_address[address], now):
                 self.set_state(address, MemberState.DEAD, now)
             elif self.is_dead(address) and now - since > DEAD_RETENTION_S:
-                forgotten.append(address)
-        forgotten = [addr for addr in forgotten if not is_listed(addr)]
-        for address in forgotten:
+                removed.append(address)
+        removed = [addr for addr in removed if not is_listed(addr)]
+        for address in removed:
             self.by_address.pop(address)
             self._failed_since.pop(address)
             self.updates.remove(address)
-        return forgotten
+        return removed
 
     def restart_timers(self, now: float) -> None:
         """Restart the timers of all suspected and dead members."""
@@ -155,7 +153,8 @@
         """
         picked = dict.fromkeys(self.updates.next_addresses(MAX_UPDATES))
         picked.update(
-            (fill.address, None) for fill in self._sample(MAX_RANDOM_RECORDS)
+            (record.address, None)
+            for record in self._sample(MAX_RANDOM_RECORDS)
         )
         if address in self.by_address:
             picked[address] = None
--- a/bramleybend/state/terms_follower.py
+++ b/bramleybend/state/terms_follower.py
@@ -117,7 +117,7 @@
         """Seconds since a peer last reported that it holds the same terms."""
         return self._age_s(self._peer_heard_at)
 
-    async def changed(self) -> None:
+    async def wait_for_change(self) -> None:
         """Wait until a new version is in force."""
         await self._changed.wait()
 
@@ -139,7 +139,7 @@
             if not self._state.is_gapless or self.terms is None:
                 # With a peer's state a new VM doesn't have to read the
                 # whole stream and validate each document in it.
-                await self.learn_from_peer()
+                await self.adopt_from_peer()
             batch = await self._deps.log.read(
                 TERMS_STREAM,
                 self._next_offset,
@@ -155,7 +155,7 @@
                     self._record_read_failure()
                     await asyncio.sleep(RETRY_DELAY_S)
 
-    async def learn_from_peer(self) -> None:
+    async def adopt_from_peer(self) -> None:
         """Adopt the state of a peer that has read further."""
         peer = await self._deps.fetch_from_peer()
         if peer is None:
--- a/bramleybend/state/terms_records.py
+++ b/bramleybend/state/terms_records.py
@@ -57,7 +57,7 @@
     ).encode()
 
 
-def decode(text: str) -> Result[TermsRecord, Problem]:
+def decode_terms_record(text: str) -> Result[TermsRecord, Problem]:
     """Decode one record; the caller counts and skips one that fails."""
     try:
         return Ok(_ADAPTER.validate_json(text))
--- a/bramleybend/state/terms_rules.py
+++ b/bramleybend/state/terms_rules.py
@@ -18,13 +18,13 @@
     PublishRecord,
     RenewRecord,
     TermsRecord,
-    decode,
+    decode_terms_record,
     encode_renew,
 )
 
 RENEW_EVERY_S: Final = 60.0
 MAX_OUTCOMES: Final = 1000
-Validate: TypeAlias = Callable[[str], Result[object, Problem]]
+DocumentValidator: TypeAlias = Callable[[str], Result[object, Problem]]
 
 
 @dataclass(frozen=True)
@@ -84,7 +84,7 @@
 class TermsState:
     """The terms according to the records that this VM has read."""
 
-    def __init__(self, validate: Validate) -> None:
+    def __init__(self, validate: DocumentValidator) -> None:
         """Start at offset 0 with version 0, which has no document."""
         self.version = 0
         self.document = ''
@@ -111,10 +111,12 @@
     def apply(self, offset: int, data: str) -> Applied | Renewed | Ignored:
         """Apply one record, in the log's order."""
         if offset < self.next_offset:
-            return _make_ignored('already applied', 'read on from `position`')
+            return _make_ignored(
+                'already applied', 'read on from `next_offset`'
+            )
         if offset > self.next_offset:
             self.advance_first_offset(offset)
-        verdict = self._apply_decoded(offset, decode(data))
+        verdict = self._apply_decoded(offset, decode_terms_record(data))
         if self.is_gapless:
             self.next_offset = offset + 1
         self.ignored_count += isinstance(verdict, Ignored)
@@ -201,7 +203,7 @@
 
     def _ignore_conflict(self, record: PublishRecord) -> Ignored:
         winner = self._winners.get(record.base + 1)
-        named = f' by {winner.publisher}' if winner else ''
+        by_winner = f' by {winner.publisher}' if winner else ''
         # If the winner isn't known, this record may be a second copy of the
         # winner itself, whose publisher must not be told of a conflict.
         if winner is not None and winner.publish_id != record.publish_id:
@@ -210,7 +212,7 @@
             Problem(
                 ErrorKind.CONFLICT,
                 f'publish {record.publish_id} is based on version '
-                + f'{record.base}, in force is {self.version}{named}',
+                + f'{record.base}, in force is {self.version}{by_winner}',
                 'read the terms in force and publish again from them',
             ),
         )
--- a/tests/test_journal_rules.py
+++ b/tests/test_journal_rules.py
@@ -9,7 +9,7 @@
 from bramleybend.state.journal_records import (
     MAX_BODY_BYTES,
     OutcomeRecord,
-    decode,
+    decode_journal_record,
     encode_intent,
     encode_outcome,
     encode_seal,
@@ -94,7 +94,7 @@
     ended = fate(make_records(small), parse_id())
     assert isinstance(ended, Ended)
     assert (ended.record.status, ended.record.answer) == (200, b'\xff')
-    lost = decode(large).unwrap()
+    lost = decode_journal_record(large).unwrap()
     assert isinstance(lost, OutcomeRecord)
     assert lost.answer is None
 
@@ -114,7 +114,7 @@
     ],
 )
 def test_bad_record_is_a_problem_and_counted(text: str) -> None:
-    assert decode(text).unwrap_err().kind is ErrorKind.BAD_RECORD
+    assert decode_journal_record(text).unwrap_err().kind is ErrorKind.BAD_RECORD
     home, view = HomeJournal(), JournalView()
     home.read(make_records(text))
     view.add(make_records(text))
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -60,7 +60,7 @@
         """Count a message of a peer with the same terms."""
         self.peer_heard_count += 1
 
-    async def learn_from_peer(self) -> None:
+    async def adopt_from_peer(self) -> None:
         """Count a request to fetch a peer's newer terms."""
         self.learn_count += 1
 
