--- a/bramleybend/state/records.py
+++ b/bramleybend/state/member_table.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from bramleybend.state.member import Member, MemberState
-from bramleybend.state.updates import UpdateQueue
+from bramleybend.state.update_queue import UpdateQueue
 
 # A probe finds a killed VM within about one period. The timeout gives a live
 # VM time to learn of the suspicion and refute it, which takes longer with more
--- a/bramleybend/state/membership.py
+++ b/bramleybend/state/membership.py
@@ -13,8 +13,8 @@
 
 from bramleybend.models import Vm
 from bramleybend.state.member import Member, MemberState, OwnRecord
-from bramleybend.state.probing import ListedAddresses, ProbeOrder
-from bramleybend.state.records import MemberTable
+from bramleybend.state.probe_targets import ListedAddresses, ProbeOrder
+from bramleybend.state.member_table import MemberTable
 
 PROBE_PERIOD_S: Final = 1.0
 # After three missed periods the loop wasn't just slow: this process or its VM
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,7 +9,7 @@
 from bramleybend.models import RunnerState, Vm
 from bramleybend.state.member import Member, MemberState
 from bramleybend.state.membership import Membership
-from bramleybend.state.records import (
+from bramleybend.state.member_table import (
     DEAD_RETENTION_S,
     MAX_RANDOM_RECORDS,
     MAX_UPDATES,
