--- a/spec/dispatch.py
+++ b/spec/dispatch.py
@@ -105,10 +105,10 @@
 
 def stop_steps(state: State, mutant: str) -> Iterator[Step]:
     """Yield the planned stop, if no dispatch is running or unconfirmed."""
-    confirmed = state.may_dispatch or not state.dispatch_count
+    is_confirmed = state.may_dispatch or not state.dispatch_count
     if mutant == 'home seals before its intents stand':
-        confirmed = True
-    if state.home in {'idle', 'void', 'done'} and confirmed:
+        is_confirmed = True
+    if state.home in {'idle', 'void', 'done'} and is_confirmed:
         yield (
             'home stops and seals',
             send_append(state, COMPLETE_SEAL)._replace(home='stopped'),
--- a/spec/floor.py
+++ b/spec/floor.py
@@ -194,12 +194,12 @@
     messages = replace_at(state.messages, shard, 'agreed')
     if messages != ('agreed', 'agreed') and mutant != FIRST_REPLY:
         return state._replace(messages=messages)
-    left = HOLD_TICKS if mutant == FROM_REPLY else state.round_left
+    ticks_left = HOLD_TICKS if mutant == FROM_REPLY else state.round_left
     margin = 0 if mutant == NO_MARGIN else MARGIN_TICKS
     return state._replace(
         messages=('', ''),
         round_left=0,
-        permit_left=max(state.permit_left, left - margin),
+        permit_left=max(state.permit_left, ticks_left - margin),
     )
 
 
--- a/spec/loads.py
+++ b/spec/loads.py
@@ -122,7 +122,7 @@
 
 
 def build(mutant: str) -> Transitions:
-    """Return the transitions of a mutant, or of the protocol if it is empty."""
+    """Return a mutant's transitions, or the protocol's for an empty name."""
 
     def transitions(raw: State) -> list[Step]:
         state = State(*raw)
--- a/spec/resends.py
+++ b/spec/resends.py
@@ -96,7 +96,7 @@
 def add_id(
     table: tuple[float, tuple[int, ...]],
     index: int,
-    reading: int,
+    clock_reading: int,
     mutant: str,
 ) -> AddResult:
     """Add an id to a table with a latest clock reading and kept ids."""
@@ -106,13 +106,13 @@
     for known in kept:
         epoch = REQUEST_IDS[known].ticket.epoch
         ids._epochs.setdefault(epoch, {})[REQUEST_IDS[known]] = Known(known)
-    said = ids.add(REQUEST_IDS[index], index, reading)
-    left = [
+    reply = ids.add(REQUEST_IDS[index], index, clock_reading)
+    kept_ids_left = [
         known.entry
         for epoch in ids._epochs.values()
         for known in epoch.values()
     ]
-    return AddResult(said, ids._latest_now, tuple(sorted(left)))
+    return AddResult(reply, ids._latest_now, tuple(sorted(kept_ids_left)))
 
 
 def build(mutant: str) -> Transitions:
@@ -147,21 +147,16 @@
     state: State, index: int, reading: int, mutant: str
 ) -> State:
     """Run a new id, or refuse the message, or join a running request."""
-    verdict = add_id((state.latest_now, state.kept_ids), index, reading, mutant)
-    state = state._replace(
-        latest_now=verdict.latest_now, kept_ids=verdict.kept_ids
-    )
-    if isinstance(verdict.reply, New):
-        ran = list(state.run_counts)
-        ran[index] += 1
-        return state._replace(run_counts=tuple(ran))
-    if (
-        isinstance(verdict.reply, Expired | Full)
-        and not state.run_counts[index]
-    ):
-        refused = list(state.is_refused)
-        refused[index] = True
-        return state._replace(is_refused=tuple(refused))
+    added = add_id((state.latest_now, state.kept_ids), index, reading, mutant)
+    state = state._replace(latest_now=added.latest_now, kept_ids=added.kept_ids)
+    if isinstance(added.reply, New):
+        run_counts = list(state.run_counts)
+        run_counts[index] += 1
+        return state._replace(run_counts=tuple(run_counts))
+    if isinstance(added.reply, Expired | Full) and not state.run_counts[index]:
+        is_refused = list(state.is_refused)
+        is_refused[index] = True
+        return state._replace(is_refused=tuple(is_refused))
     return state
 
 
--- a/spec/terms.py
+++ b/spec/terms.py
@@ -48,7 +48,7 @@
     """The log, the appends in flight, two VMs and what operators were told."""
 
     log: tuple[Record, ...] = ()
-    forgotten: int = 0
+    first_offset: int = 0
     in_flight: tuple[Record, ...] = ()
     vms: tuple[VmState, ...] = (VmState(), VmState())
     reverted: bool = False
@@ -118,13 +118,13 @@
 def read_to_tail(
     vm: VmState,
     log: tuple[Record, ...],
-    forgotten: int,
+    first_offset: int,
     mutant: str,
 ) -> tuple[VmState, tuple[str, ...]]:
     """Let a VM read to the tail; also return what operators are told."""
     terms = restore_terms(vm, mutant)
-    terms.advance_first_offset(forgotten)
-    for offset, record in list(enumerate(log))[forgotten:]:
+    terms.advance_first_offset(first_offset)
+    for offset, record in list(enumerate(log))[first_offset:]:
         if offset >= terms.next_offset:
             terms.apply(offset, encode_record(record))
     outcomes = [terms.publish_outcome(operator) for operator in PUBLISHERS]
@@ -141,10 +141,10 @@
 def adopt_from_peer(vm: VmState, peer: VmState, mutant: str) -> VmState | None:
     """Let a VM adopt its peer's state; return None if nothing changes."""
     terms = restore_terms(vm, mutant)
-    taken = terms.adopt_peer_state(
+    is_adopted = terms.adopt_peer_state(
         peer.version, peer.next_offset, peer.document
     )
-    return snapshot_terms(terms) if taken else None
+    return snapshot_terms(terms) if is_adopted else None
 
 
 @lru_cache(maxsize=None)
@@ -174,15 +174,17 @@
 def replace_vm(state: State, index: int, vm: VmState) -> State:
     """Replace one VM's contents and record whether its terms reverted."""
     vms = list(state.vms)
-    back = vm.version < vms[index].version
+    has_reverted = vm.version < vms[index].version
     vms[index] = vm
-    return state._replace(vms=tuple(vms), reverted=state.reverted or back)
+    return state._replace(
+        vms=tuple(vms), reverted=state.reverted or has_reverted
+    )
 
 
 def vm_steps(state: State, mutant: str) -> Iterator[Step]:
     """Yield the steps of the VMs."""
     for index, vm in enumerate(state.vms):
-        updated, told = read_to_tail(vm, state.log, state.forgotten, mutant)
+        updated, told = read_to_tail(vm, state.log, state.first_offset, mutant)
         stepped = replace_vm(state, index, updated)
         yield (
             f'VM {index} reads',
@@ -192,13 +194,13 @@
                 told_lost=state.told_lost or 'lost' in told,
             ),
         )
-        learned = adopt_from_peer(vm, state.vms[1 - index], mutant)
-        if learned is not None:
-            yield f'VM {index} learns', replace_vm(state, index, learned)
+        adopted = adopt_from_peer(vm, state.vms[1 - index], mutant)
+        if adopted is not None:
+            yield f'VM {index} learns', replace_vm(state, index, adopted)
         if vm != VmState():
-            fresh = list(state.vms)
-            fresh[index] = VmState()
-            yield f'VM {index} is replaced', state._replace(vms=tuple(fresh))
+            vms = list(state.vms)
+            vms[index] = VmState()
+            yield f'VM {index} is replaced', state._replace(vms=tuple(vms))
         yield from renew_steps(state, vm, mutant)
 
 
@@ -237,10 +239,10 @@
                 f'{record} lands',
                 state._replace(log=(*state.log, record), in_flight=left),
             )
-    if state.forgotten < len(state.log):
+    if state.first_offset < len(state.log):
         yield (
             'the log forgets',
-            state._replace(forgotten=state.forgotten + 1),
+            state._replace(first_offset=state.first_offset + 1),
         )
     corrupt = ('corrupt', -1)
     if not state.log:
@@ -263,7 +265,7 @@
 
 
 def build(mutant: str) -> Transitions:
-    """Return the transitions of a mutant, or of the protocol if it is empty."""
+    """Return a mutant's transitions, or the protocol's for an empty name."""
 
     def transitions(raw: State) -> list[Step]:
         state = State(*raw)
--- a/tests/test_conformance.py
+++ b/tests/test_conformance.py
@@ -115,9 +115,9 @@
 
 
 def read_to_tail(vm: TermsState, state: terms.State) -> None:
-    vm.advance_first_offset(state.forgotten)
+    vm.advance_first_offset(state.first_offset)
     for offset, record in enumerate(state.log):
-        if offset >= max(vm.next_offset, state.forgotten):
+        if offset >= max(vm.next_offset, state.first_offset):
             vm.apply(offset, terms.encode_record(record))
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -189,7 +189,7 @@
 
 
 @pytest.mark.parametrize('size', SIZES)
-def test_a_frozen_vm_comes_back_and_blames_nobody(size: int) -> None:
+def test_a_paused_vm_rejoins_and_declares_no_other_dead(size: int) -> None:
     """A VM is paused for a minute, and its clock jumps when it resumes.
 
     The other nodes declare it dead. When it resumes, all its own timeouts have
@@ -235,7 +235,7 @@
     ('size', 'split_s', 'healed_s'),
     [(6, 8, 8), (50, 15, 15), (350, 25, 40)],
 )
-def test_regions_that_lose_each_other_find_each_other_again(
+def test_regions_rejoin_after_a_partition(
     size: int, split_s: float, healed_s: float
 ) -> None:
     """Two regions are partitioned for most of a minute.
@@ -293,7 +293,7 @@
     assert _states_by_vm(members, 5)['entry-1'] is MemberState.DEAD
 
 
-def test_a_suspect_takes_it_back_with_its_next_answer() -> None:
+def test_a_suspect_refutes_the_suspicion_in_its_next_reply() -> None:
     suspect = Membership(_make_member(1), Random(2), 0)
     members = _make_membership()
     members.on_records([_make_member(1)], 0)
@@ -319,7 +319,7 @@
     assert _states_by_vm(members, 0)['entry-1'] is MemberState.LEAVING
 
 
-def test_a_vm_that_left_never_owns_again_while_it_is_buried() -> None:
+def test_a_vm_that_left_owns_no_shards_until_declared_dead() -> None:
     """A VM stops as planned: it announces that, moves its shards and ends.
 
     Its probes then fail. If it were suspected like other members, it could
@@ -349,7 +349,7 @@
     assert members.own.member.state is MemberState.LEAVING
 
 
-def test_a_stale_list_does_not_turn_a_successor_away() -> None:
+def test_a_stale_list_does_not_make_a_successor_leave() -> None:
     members = _make_membership()
     members.update_listed_vms([_make_listed_vm(0, RunnerState.LEAVING)], 0)
 
--- a/tests/test_order_rules.py
+++ b/tests/test_order_rules.py
@@ -58,7 +58,7 @@
     assert not rules.is_holder
 
 
-def test_a_copy_of_an_earlier_claim_takes_nothing_back() -> None:
+def test_a_copy_of_an_earlier_claim_supersedes_nothing() -> None:
     rules = read_claims(
         make_claim('other'), make_claim('own'), make_claim('other')
     )
@@ -66,13 +66,13 @@
     assert rules.is_holder
 
 
-def test_the_claim_on_another_shard_is_no_concern() -> None:
+def test_a_claim_on_another_shard_does_not_supersede() -> None:
     assert read_claims(
         make_claim('own'), make_claim('other', shard=1)
     ).is_holder
 
 
-def test_a_claim_under_another_number_of_shards_is() -> None:
+def test_a_claim_under_another_number_of_shards_supersedes() -> None:
     assert not read_claims(
         make_claim('own'), make_claim('other', 1, shards=3)
     ).is_holder
--- a/tests/test_state_machines.py
+++ b/tests/test_state_machines.py
@@ -82,7 +82,7 @@
         assert len(self.table) <= epochs * LIMITS.capacity
 
 
-def validate(document: str) -> Result[str, Problem]:
+def validate_document(document: str) -> Result[str, Problem]:
     return Err(INVALID_PROBLEM) if document == 'invalid' else Ok(document)
 
 
@@ -95,11 +95,11 @@
     def __init__(self) -> None:
         super().__init__()
         self.log: list[str] = []
-        self.forgotten = 0
+        self.first_offset = 0
         self.publish_count = 0
-        self.complete = TermsState(validate)  # has read every record
+        self.complete = TermsState(validate_document)  # has read every record
         self.accepted: set[str] = set()
-        self.vms = [TermsState(validate) for _ in range(3)]
+        self.vms = [TermsState(validate_document) for _ in range(3)]
         self.history = {0: (0, '')}  # terms in force before each offset
 
     @rule(target=publishes, document=st.sampled_from(['a', 'b', 'invalid']))
@@ -110,7 +110,7 @@
         return name, text
 
     @rule(published=publishes)
-    def land(self, published: tuple[str, str]) -> None:
+    def land_publish(self, published: tuple[str, str]) -> None:
         self.append(published[1])
 
     @rule(text=st.sampled_from(['', '{', '{"v":2}', '{"v":1,"kind":"x"}']))
@@ -132,14 +132,14 @@
     def read(self, index: int, limit: int) -> None:
         vm = self.vms[index]
         before = vm.version
-        start = max(vm.next_offset, self.forgotten)
-        vm.advance_first_offset(self.forgotten)
+        start = max(vm.next_offset, self.first_offset)
+        vm.advance_first_offset(self.first_offset)
         for offset, text in enumerate(self.log[start : start + limit], start):
             vm.apply(offset, text)
         assert vm.version >= before
 
     @rule(index=st.integers(0, 2), other=st.integers(0, 2))
-    def learn(self, index: int, other: int) -> None:
+    def adopt_from_peer(self, index: int, other: int) -> None:
         peer = self.vms[other]
         before = self.vms[index].version
         self.vms[index].adopt_peer_state(
@@ -148,15 +148,15 @@
         assert self.vms[index].version >= before
 
     @rule(index=st.integers(0, 2))
-    def replace(self, index: int) -> None:
-        self.vms[index] = TermsState(validate)
+    def replace_vm(self, index: int) -> None:
+        self.vms[index] = TermsState(validate_document)
 
     @rule(kept=st.integers(0, 4))
-    def forget(self, kept: int) -> None:
-        self.forgotten = max(self.forgotten, len(self.log) - kept)
+    def drop_records(self, kept: int) -> None:
+        self.first_offset = max(self.first_offset, len(self.log) - kept)
 
     @rule(published=publishes)
-    def ask(self, published: tuple[str, str]) -> None:
+    def check_outcome(self, published: tuple[str, str]) -> None:
         accepted = published[0] in self.accepted
         for vm in (self.complete, *self.vms):
             told = vm.publish_outcome(published[0])
@@ -182,7 +182,7 @@
 
 
 def test_publish_on_a_version_not_there_yet_is_ignored() -> None:
-    terms = TermsState(validate)
+    terms = TermsState(validate_document)
     terms.apply(0, encode_publish('p', 5, 'a', 'ana'))
 
     assert (terms.version, terms.publish_outcome('p')) == (0, PublishNotSeen())
@@ -195,12 +195,12 @@
     drops all records but the renewal. If a new VM adopted the renewal, it
     would serve callers under version 1 again.
     """
-    old = TermsState(validate)
+    old = TermsState(validate_document)
     old.apply(0, encode_publish('p', 0, 'a', 'ana'))
     overtaken = str(old.build_renewal())
     old.apply(1, encode_publish('q', 1, 'b', 'boyan'))
     old.apply(2, overtaken)
-    fresh = TermsState(validate)
+    fresh = TermsState(validate_document)
     fresh.advance_first_offset(2)
     fresh.apply(2, overtaken)
     assert (fresh.version, fresh.is_gapless) == (0, False)
@@ -210,7 +210,7 @@
 
 
 def test_terms_put_back_by_an_operator_hold_for_old_and_new_vms() -> None:
-    old, fresh = TermsState(validate), TermsState(validate)
+    old, fresh = TermsState(validate_document), TermsState(validate_document)
     old.apply(0, encode_publish('p', 0, 'a', 'ana'))
     fresh.advance_first_offset(1)
     for vm in (old, fresh):
