--- a/bramleybend/cli/history.py
+++ b/bramleybend/cli/history.py
@@ -14,13 +14,17 @@
 from bramleybend.declarations import parse_terms
 from bramleybend.errors import ErrorKind, Problem
 from bramleybend.models import Terms
-from bramleybend.state.terms_records import PublishRecord, RenewRecord, decode
+from bramleybend.state.terms_records import (
+    PublishRecord,
+    RenewRecord,
+    decode_terms_record,
+)
 from bramleybend.state.terms_rules import (
     Applied,
     Ignored,
     PublishOutcome,
     Renewed,
-    TermsLog,
+    TermsState,
 )
 
 RENEWED_BY: Final = '(renewal)'
@@ -59,7 +63,7 @@
         self.publishes: list[Publish] = []
         self.versions: dict[int, Version] = {}
         self._log = log
-        self._terms = TermsLog(_validate)
+        self._terms = TermsState(_validate)
         self._next = 0
 
     @property
@@ -75,7 +79,7 @@
     @property
     def anchored(self) -> bool:
         """Whether the terms in force are known from the log."""
-        return self._terms.anchored
+        return self._terms.is_gapless
 
     @property
     def next_offset(self) -> int:
@@ -84,7 +88,7 @@
 
     def outcome_of(self, publish_id: str) -> PublishOutcome:
         """Return what became of a publish, as far as was read."""
-        return self._terms.outcome_of(publish_id)
+        return self._terms.publish_outcome(publish_id)
 
     async def read_on(self) -> Result[None, Problem]:
         """Read to the tail; a log that has forgotten the terms is an error."""
@@ -130,7 +134,7 @@
         return first.first_offset
 
     def _take(self, batch: LogBatch) -> None:
-        self._terms.see_first_offset(batch.first_offset)
+        self._terms.advance_first_offset(batch.first_offset)
         self._next = max(self._next, batch.first_offset)
         for record in batch.records:
             self._next = record.offset + 1
@@ -138,7 +142,7 @@
 
     def _apply(self, record: LogRecord) -> None:
         verdict = self._terms.apply(record.offset, record.data)
-        decoded = decode(record.data).ok()
+        decoded = decode_terms_record(record.data).ok()
         match decoded:
             case PublishRecord():
                 self._note_publish(record.offset, decoded, verdict)
@@ -190,7 +194,7 @@
 
 
 def _is_renewal(record: LogRecord) -> bool:
-    renewal = decode(record.data).ok()
+    renewal = decode_terms_record(record.data).ok()
     return isinstance(renewal, RenewRecord) and renewal.at == record.offset
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -56,11 +56,11 @@
     peer_heard_count: int = 0
     learn_count: int = 0
 
-    def heard_peer(self) -> None:
+    def record_peer_contact(self) -> None:
         """Count a message of a peer with the same terms."""
         self.peer_heard_count += 1
 
-    async def learn_from_peer(self) -> None:
+    async def adopt_from_peer(self) -> None:
         """Count a request to fetch a peer's newer terms."""
         self.learn_count += 1
 
