--- a/bramleybend/cli/log_queries.py
+++ b/bramleybend/cli/log_queries.py
@@ -5,14 +5,14 @@
 from bramleybend.cli.exceptions import fail
 from bramleybend.cli.output import Report, table
 from bramleybend.errors import ErrorKind
-from bramleybend.timeline.cause import Finding, findings
+from bramleybend.timeline.cause import Finding, explain_request
 from bramleybend.timeline.merge import Filter, merge, select
 from bramleybend.timeline.text import render
 from bramleybend.timeline.times import (
     TierTimes,
-    sizes_shown,
-    spans_shown,
-    tier_times,
+    format_served_by_size,
+    format_durations,
+    collect_tier_times,
 )
 
 MOST_SHOWN = 5  # events of one step; the count in its text is of all
@@ -39,7 +39,7 @@
             'give the logs of all VMs; see docs/OPERATIONS.md for what it '
             'means if there is none',
         )
-    steps = findings(merged.events, own[0].req)
+    steps = explain_request(merged.events, own[0].req)
     shown = ''.join(map(_step, steps))
     return Report(
         f'{render(own)}\n{shown}',
@@ -54,7 +54,7 @@
     shares served are of all, of the fifth below the largest tenth, and of
     that tenth.
     """
-    rows = tier_times(merge(list(read_logs(ctx.flags.logs))).events)
+    rows = collect_tier_times(merge(list(read_logs(ctx.flags.logs))).events)
     shown = table(TIMES_HEADER, map(_times_row, rows))
     reasons = ''.join(map(_unserved, rows))
     return Report(
@@ -75,8 +75,8 @@
 
 
 def _times_row(row: TierTimes) -> tuple[str, ...]:
-    spans = map(spans_shown, (row.waited, row.to_first, row.rest))
-    return (row.tier, str(row.served), *spans, sizes_shown(row.sizes))
+    spans = map(format_durations, (row.waited, row.to_first, row.rest))
+    return (row.tier, str(row.served), *spans, format_served_by_size(row.sizes))
 
 
 def _unserved(row: TierTimes) -> str:
--- a/bramleybend/cli/timeline.py
+++ b/bramleybend/cli/timeline.py
@@ -16,8 +16,8 @@
 from bramleybend.errors import ErrorKind, ProblemError
 from bramleybend.status import ExitStatus
 from bramleybend.timeline.merge import Filter, merge, select
-from bramleybend.timeline.page import page
-from bramleybend.timeline.text import render, summary
+from bramleybend.timeline.page import render_page
+from bramleybend.timeline.text import render, summarize
 
 EXAMPLES = """examples:
   bramleybend-timeline run/*.log
@@ -63,7 +63,7 @@
     merged = merge(list(read_logs(flags.paths)))
     wanted = Filter(flags.req, flags.vm, flags.runner, flags.tier)
     events = select(merged.events, wanted)
-    notes = summary(merged, len(events))
+    notes = summarize(merged, len(events))
     env.stderr.write(f'{notes}\n')
     if merged.events and not events:
         fail(
@@ -72,7 +72,7 @@
             'leave out a filter, or give the logs of more processes',
         )
     if flags.html:
-        _write_page(flags.html, page(events, notes))
+        _write_page(flags.html, render_page(events, notes))
     else:
         env.stdout.write(render(events))
 
--- a/bramleybend/timeline/__init__.py
+++ b/bramleybend/timeline/__init__.py
@@ -1,1 +1,1 @@
-"""The time line: events of all processes, merged in causal order."""
+"""Merges the event logs of all processes into one causally ordered timeline."""
--- a/bramleybend/timeline/cause.py
+++ b/bramleybend/timeline/cause.py
@@ -1,8 +1,8 @@
-"""Why a request ended as it did, from the event logs of all VMs.
+"""Explains the outcome of a request from the event logs of all VMs.
 
-It says what the lines of the request say, and adds the lines of others that
-an engineer would look for next: what else the runner failed, which manifest
-the VM had in force, whom it had stopped to hear.
+The explanation starts from the request's own events and adds related events
+that an engineer would look up next: other failures of the same runner, the
+manifest that the VM had in force, the peers that it had lost contact with.
 """
 
 from collections.abc import Callable, Iterable, Iterator, Mapping, Sequence
@@ -13,49 +13,60 @@
 
 from bramleybend.timeline.read import Event
 
-# A crash breaks all that ran there within milliseconds; callers come back
-# within a second or two.
-NEAR_MS: Final = 2000
-# What a VM lost it tells once, and feels for as long as that lasts.
-BEFORE_MS: Final = 30_000
-FINAL: Final = frozenset(('denied', 'answered'))
+# A crash fails all runs of a runner within milliseconds, and their callers
+# retry within a second or two.
+CORRELATION_WINDOW_MS: Final = 2000
+# A VM logs the loss of the store or of a peer once, when it begins, but is
+# affected for as long as it lasts.
+LOOKBACK_MS: Final = 30_000
+FINAL_EVENTS: Final = frozenset(('denied', 'answered'))
 
-Explain = Callable[[Sequence[Event], Event], Iterator['Finding']]
+DenialExplainer = Callable[[Sequence[Event], Event], Iterator['Finding']]
 
 
 @dataclass(frozen=True)
 class Finding:
-    """One step towards the cause, and the events that show it."""
+    """One step of an explanation, with the events that support it."""
 
     text: str
     events: tuple[Event, ...] = ()
 
 
-def findings(events: Sequence[Event], req: str) -> list[Finding]:
-    """Return the steps from a request's id to its cause, in order."""
-    own = [event for event in events if event.req == req]
-    if not own:
+def explain_request(events: Sequence[Event], req: str) -> list[Finding]:
+    """Return the ordered steps that explain the outcome of request `req`.
+
+    The list is empty if no event belongs to the request.
+    """
+    own_events = [event for event in events if event.req == req]
+    if not own_events:
         return []
-    final = next((one for one in reversed(own) if one.name in FINAL), None)
+    final = next(
+        (event for event in reversed(own_events) if event.name in FINAL_EVENTS),
+        None,
+    )
     if final is None:
-        return list(_unanswered(events, own[-1]))
+        return list(_explain_missing_answer(events, own_events[-1]))
     if final.name == 'answered':
-        return list(_answered(events, final))
-    explain = DENIALS.get(final.fields.get('status', ''), _other_denial)
+        return list(_explain_answer(events, final))
+    explain = DENIAL_EXPLAINERS.get(
+        final.fields.get('status', ''), _explain_other_denial
+    )
     return list(explain(events, final))
 
 
-def _unanswered(events: Sequence[Event], last: Event) -> Iterator[Finding]:
+def _explain_missing_answer(
+    events: Sequence[Event], last: Event
+) -> Iterator[Finding]:
     restarts = [
         event
         for event in events
         if event.name == 'started'
-        and _vm(event) == _vm(last)
+        and _vm_of(event) == _vm_of(last)
         and event.stamp > last.stamp
     ]
     if restarts:
         yield Finding(
-            f'its VM {_vm(last)} ended before it answered, and started anew',
+            f'its VM {_vm_of(last)} ended before it answered, and started anew',
             (restarts[0],),
         )
     else:
@@ -64,7 +75,7 @@
         )
 
 
-def _answered(events: Sequence[Event], final: Event) -> Iterator[Finding]:
+def _explain_answer(events: Sequence[Event], final: Event) -> Iterator[Finding]:
     status = final.fields.get('status', '')
     took = final.fields.get('ms', '?')
     yield Finding(
@@ -72,85 +83,93 @@
         (final,),
     )
     for runner in filter(None, final.fields.get('runners', '').split(',')):
-        yield from _runner_findings(events, final, runner)
+        yield from _explain_runner(events, final, runner)
     if status == str(HTTPStatus.SERVICE_UNAVAILABLE):
-        others = _near(events, final, name='answered', status=status)
+        others = _find_nearby(events, final, name='answered', status=status)
         yield Finding(f'{len(others) - 1} others got {status} within 2 s')
 
 
-def _runner_findings(
+def _explain_runner(
     events: Sequence[Event], final: Event, runner: str
 ) -> Iterator[Finding]:
-    failed = [
+    failures = [
         event
-        for event in _near(events, final, name='try_failed', runner=runner)
+        for event in _find_nearby(
+            events, final, name='try_failed', runner=runner
+        )
         if event.req != final.req
     ]
-    if failed:
+    if failures:
         yield Finding(
-            f'runner {runner} failed {len(failed)} other sends within 2 s',
-            tuple(failed),
+            f'runner {runner} failed {len(failures)} other sends within 2 s',
+            tuple(failures),
         )
-    gone = _near(events, final, name='runner_gone', runner=runner)
-    if gone:
-        yield Finding(f'runner {runner} left the list', tuple(gone[:1]))
+    departures = _find_nearby(events, final, name='runner_gone', runner=runner)
+    if departures:
+        yield Finding(f'runner {runner} left the list', tuple(departures[:1]))
 
 
-def _over_allotment(events: Sequence[Event], final: Event) -> Iterator[Finding]:
+def _explain_over_allotment(
+    events: Sequence[Event], final: Event
+) -> Iterator[Finding]:
     workspace = final.fields.get('workspace', '')
     status = final.fields.get('status', '')
-    refused = _near(
+    refusals = _find_nearby(
         events, final, name='denied', workspace=workspace, status=status
     )
-    units = sum(float(one.fields.get('units', 0)) for one in refused)
-    vms = len({_vm(one) for one in refused})
+    units = sum(float(event.fields.get('units', 0)) for event in refusals)
+    vms = len({_vm_of(event) for event in refusals})
     yield Finding(
-        f'workspace {workspace} was over its allotment: {len(refused)} '
+        f'workspace {workspace} was over its allotment: {len(refusals)} '
         f'requests of {units:.0f} units were refused within 2 s by {vms} VMs',
         (final,),
     )
     heard = final.fields.get('vms_heard', '1.00')
     if float(heard) < 1:
         yield Finding(
-            f'{_vm(final)} heard only {heard} of the VMs, so it let in that '
+            f'{_vm_of(final)} heard only {heard} of the VMs, so it let in that '
             'part of the rate',
-            _lost_by(events, final, 'peer_silent'),
+            _find_recent_losses(events, final, 'peer_silent'),
         )
 
 
-def _unknown_to_manifest(
+def _explain_unknown_name(
     events: Sequence[Event], final: Event
 ) -> Iterator[Finding]:
     version = final.fields.get('manifest', '?')
-    age = final.fields.get('manifest_age_s', '?')
+    age_s = final.fields.get('manifest_age_s', '?')
     applied = [
         event
         for event in events
         if event.name == 'manifest' and event.fields.get('version') == version
     ]
-    ours = tuple(one for one in applied if one.writer == final.writer)
+    own_applied = tuple(
+        event for event in applied if event.writer == final.writer
+    )
     yield Finding(
-        f'denied by manifest {version}, confirmed {age} s before: '
+        f'denied by manifest {version}, confirmed {age_s} s before: '
         f'{final.fields.get("why", "")}',
-        (final, *ours),
+        (final, *own_applied),
     )
-    newer = [
+    newer_manifests = [
         event
         for event in events
         if event.name == 'manifest'
         and event.stamp < final.stamp
-        and _number(event, 'version') > _number(final, 'manifest')
+        and _int_field(event, 'version') > _int_field(final, 'manifest')
     ]
-    if newer:
+    if newer_manifests:
         yield Finding(
-            f'{_vm(newer[0])} already had version '
-            f'{newer[0].fields["version"]} in force',
-            (newer[0],),
+            f'{_vm_of(newer_manifests[0])} already had version '
+            f'{newer_manifests[0].fields["version"]} in force',
+            (newer_manifests[0],),
         )
-        yield from _news_lost(events, final)
+        yield from _explain_lost_updates(events, final)
 
 
-def _other_denial(events: Sequence[Event], final: Event) -> Iterator[Finding]:
+def _explain_other_denial(
+    events: Sequence[Event], final: Event
+) -> Iterator[Finding]:
     yield Finding(
         f'denied {final.fields.get("status", "")}: '
         f'{final.fields.get("why", "")}',
@@ -158,65 +177,74 @@
     )
     content = final.fields.get('content')
     if content:
-        told = [one for one in events if one.fields.get('content') == content]
-        crashed = [one for one in told if one.name == 'content_suspect']
+        same_content = [
+            event for event in events if event.fields.get('content') == content
+        ]
+        suspect_events = [
+            event for event in same_content if event.name == 'content_suspect'
+        ]
         yield Finding(
-            'the same content ended the runners that ran it', tuple(crashed)
+            'the same content ended the runners that ran it',
+            tuple(suspect_events),
         )
-    yield from _news_lost(events, final)
+    yield from _explain_lost_updates(events, final)
 
 
-def _news_lost(events: Sequence[Event], final: Event) -> Iterator[Finding]:
-    lost = _lost_by(events, final, 'store_lost')
-    if lost:
-        yield Finding(f'{_vm(final)} had lost the store', lost)
-    silent = _lost_by(events, final, 'peer_silent')
-    if silent:
-        yield Finding(f'{_vm(final)} had stopped to hear other VMs', silent)
+def _explain_lost_updates(
+    events: Sequence[Event], final: Event
+) -> Iterator[Finding]:
+    store_losses = _find_recent_losses(events, final, 'store_lost')
+    if store_losses:
+        yield Finding(f'{_vm_of(final)} had lost the store', store_losses)
+    silent_peers = _find_recent_losses(events, final, 'peer_silent')
+    if silent_peers:
+        yield Finding(
+            f'{_vm_of(final)} had stopped to hear other VMs', silent_peers
+        )
 
 
-def _lost_by(
+def _find_recent_losses(
     events: Sequence[Event], final: Event, name: str
 ) -> tuple[Event, ...]:
-    """Return what the same process told that it lost, lately."""
+    """Return recent events `name` of the process that wrote `final`."""
     return tuple(
         event
         for event in events
         if event.name == name
         and event.writer == final.writer
-        and 0 <= _ms_before(event, final) <= BEFORE_MS
+        and 0 <= _ms_between(event, final) <= LOOKBACK_MS
     )
 
 
-def _near(
+def _find_nearby(
     events: Iterable[Event], final: Event, name: str, **fields: str
 ) -> list[Event]:
     return [
         event
         for event in events
         if event.name == name
-        and abs(_ms_before(event, final)) <= NEAR_MS
+        and abs(_ms_between(event, final)) <= CORRELATION_WINDOW_MS
         and all(event.fields.get(key) == text for key, text in fields.items())
     ]
 
 
-def _ms_before(event: Event, final: Event) -> int:
+def _ms_between(event: Event, final: Event) -> int:
     return final.stamp.wall_ms - event.stamp.wall_ms
 
 
-def _vm(event: Event) -> str:
+def _vm_of(event: Event) -> str:
     return event.process.partition('@')[0]
 
 
-def _number(event: Event, name: str) -> int:
+def _int_field(event: Event, name: str) -> int:
     text = event.fields.get(name, '')
     return int(text) if text.isdecimal() else 0
 
 
-DENIALS: Final[Mapping[str, Explain]] = MappingProxyType(
+DENIAL_EXPLAINERS: Final[Mapping[str, DenialExplainer]] = MappingProxyType(
     {
-        str(HTTPStatus.TOO_MANY_REQUESTS.value): _over_allotment,
-        str(HTTPStatus.UNAUTHORIZED.value): _unknown_to_manifest,
-        str(HTTPStatus.NOT_FOUND.value): _unknown_to_manifest,
+        str(HTTPStatus.TOO_MANY_REQUESTS.value): _explain_over_allotment,
+        str(HTTPStatus.UNAUTHORIZED.value): _explain_unknown_name,
+        str(HTTPStatus.NOT_FOUND.value): _explain_unknown_name,
     }
 )
--- a/bramleybend/timeline/merge.py
+++ b/bramleybend/timeline/merge.py
@@ -1,4 +1,4 @@
-"""Merges the events of all processes, and tells what is missing."""
+"""Merges the events of all processes and counts missing and repeated ones."""
 
 import re
 from collections import defaultdict
@@ -10,16 +10,17 @@
 from bramleybend.timeline.read import Event, Source
 
 SEPARATORS: Final = re.compile('[/@:]')
-STARTED: Final = 'started'
-# Written by different processes about one request; the first of each pair
-# always happens first, so a smaller stamp on the second is a clock's fault.
-CAUSES: Final = (('accepted', 'grant'), ('grant', 'granted'))
+STARTED_EVENT: Final = 'started'
+# (cause, effect) pairs of event names that different processes write about
+# one request. The cause always happens first, so an effect with a smaller
+# stamp shows that the clocks of the two VMs differ.
+CAUSAL_PAIRS: Final = (('accepted', 'grant'), ('grant', 'granted'))
 VM_FIELDS: Final = ('vm', 'owner', 'member', 'home')
 
 
 @dataclass(frozen=True)
 class Filter:
-    """Which events are wanted; an empty part lets all pass."""
+    """Criteria that an event must meet; an empty criterion matches all."""
 
     req: str = ''
     vm: str = ''
@@ -29,58 +30,65 @@
 
 @dataclass(frozen=True)
 class Merged:
-    """Events in causal order, and what the sources lacked."""
+    """Events in causal order, with counts of skipped and missing lines."""
 
     events: tuple[Event, ...]
     sources: int = 0
-    torn: int = 0
-    others: int = 0
-    repeated: int = 0
-    skew_ms: int = 0  # the least by which some VMs' clocks differ
+    torn: int = 0  # lines that are truncated or malformed
+    other_lines: int = 0  # well-formed lines that are not events
+    duplicates: int = 0  # events that occur in more than one source
+    skew_ms: int = 0  # lower bound of the clock difference between VMs
     missing: dict[tuple[str, str], int] = field(default_factory=dict)
 
 
 def merge(sources: Sequence[Source]) -> Merged:
-    """Order all events by hybrid time; drop those that were given twice."""
+    """Order all events by hybrid time and drop duplicates."""
     events = [event for source in sources for event in source.events]
-    unique = {_key(event): event for event in events}
-    ordered = _named(sorted(unique.values(), key=_order))
+    unique = {_identity_key(event): event for event in events}
+    ordered = _add_vm_names(sorted(unique.values(), key=_sort_key))
     return Merged(
         tuple(ordered),
         len(sources),
         sum(source.torn for source in sources),
-        sum(source.others for source in sources),
+        sum(source.other_lines for source in sources),
         len(events) - len(unique),
-        _skew_ms(ordered),
-        _missing(ordered),
+        _measure_skew_ms(ordered),
+        _count_missing(ordered),
     )
 
 
-def select(events: Iterable[Event], wanted: Filter) -> list[Event]:
-    """Return the wanted events, in the order given.
+def select(events: Iterable[Event], criteria: Filter) -> list[Event]:
+    """Return the events that match the filter, in their given order.
 
-    Only some events of a request name its tier, so a tier brings all events
-    of the requests that were seen under it.
+    Only some events of a request carry its tier, so a tier selects all
+    events of each request that has at least one event of that tier.
     """
-    every = list(events)
-    reqs = {event.req for event in every if _names_tier(event, wanted.tier)}
-    reqs.discard('')
+    all_events = list(events)
+    tier_reqs = {
+        event.req for event in all_events if _carries_tier(event, criteria.tier)
+    }
+    tier_reqs.discard('')
     return [
         event
-        for event in every
-        if _of_request(event, wanted.req)
-        and _of_vm(event, wanted.vm)
-        and (not wanted.runner or event.fields.get('runner') == wanted.runner)
-        and (wanted.tier is None or _of_tier(event, wanted.tier, reqs))
+        for event in all_events
+        if _matches_request(event, criteria.req)
+        and _matches_vm(event, criteria.vm)
+        and (
+            not criteria.runner or event.fields.get('runner') == criteria.runner
+        )
+        and (
+            criteria.tier is None
+            or _matches_tier(event, criteria.tier, tier_reqs)
+        )
     ]
 
 
-def _named(events: Sequence[Event]) -> list[Event]:
-    """Add its VM to a process's name, from the event that it started with."""
+def _add_vm_names(events: Sequence[Event]) -> list[Event]:
+    """Append the VM to each process name, taken from its `started` event."""
     vms = {
         event.writer: event.fields['vm']
         for event in events
-        if event.name == STARTED and 'vm' in event.fields
+        if event.name == STARTED_EVENT and 'vm' in event.fields
     }
     return [
         replace(event, process=f'{event.process}@{vms[event.writer]}')
@@ -90,57 +98,58 @@
     ]
 
 
-def _key(event: Event) -> tuple[str, str, Stamp]:
+def _identity_key(event: Event) -> tuple[str, str, Stamp]:
     return (*event.writer, event.stamp)
 
 
-def _order(event: Event) -> tuple[Stamp, str, str]:
+def _sort_key(event: Event) -> tuple[Stamp, str, str]:
     return (event.stamp, *event.writer)
 
 
-def _missing(events: Iterable[Event]) -> dict[tuple[str, str], int]:
-    """Count gaps in each process's numbers, from 0 to its last line.
+def _count_missing(events: Iterable[Event]) -> dict[tuple[str, str], int]:
+    """Count the sequence numbers missing for each process.
 
-    What a process wrote after the last line that is here leaves no gap.
+    Only gaps from 0 to the last number found are counted: lines lost after
+    the last one can't be detected.
     """
-    seen: defaultdict[tuple[str, str], set[int]] = defaultdict(set)
+    numbers_found: defaultdict[tuple[str, str], set[int]] = defaultdict(set)
     for event in events:
         if event.seq is not None:
-            seen[event.writer].add(event.seq)
+            numbers_found[event.writer].add(event.seq)
     gaps = {
         writer: max(numbers) + 1 - len(numbers)
-        for writer, numbers in seen.items()
+        for writer, numbers in numbers_found.items()
     }
     return {writer: gap for writer, gap in gaps.items() if gap}
 
 
-def _skew_ms(events: Iterable[Event]) -> int:
-    """Return by how much an effect is stamped before its cause, at most."""
-    firsts: dict[tuple[str, str], int] = {}
+def _measure_skew_ms(events: Iterable[Event]) -> int:
+    """Return the largest lead of an effect's stamp over its cause's stamp."""
+    first_stamps_ms: dict[tuple[str, str], int] = {}
     for event in events:
-        firsts.setdefault((event.req, event.name), event.stamp.wall_ms)
+        first_stamps_ms.setdefault((event.req, event.name), event.stamp.wall_ms)
     skews = [
-        firsts[req, cause] - at
-        for (req, name), at in firsts.items()
-        for cause, effect in CAUSES
-        if name == effect and (req, cause) in firsts
+        first_stamps_ms[req, cause] - wall_ms
+        for (req, name), wall_ms in first_stamps_ms.items()
+        for cause, effect in CAUSAL_PAIRS
+        if name == effect and (req, cause) in first_stamps_ms
     ]
     return max([0, *skews])
 
 
-def _of_request(event: Event, req: str) -> bool:
+def _matches_request(event: Event, req: str) -> bool:
     return not req or event.req == req or event.req.endswith(f'/{req}')
 
 
-def _of_vm(event: Event, vm: str) -> bool:
+def _matches_vm(event: Event, vm: str) -> bool:
     names = {event.fields.get(name) for name in VM_FIELDS}
     names.update(SEPARATORS.split(event.process))
     return not vm or vm in names or vm == event.source
 
 
-def _of_tier(event: Event, tier: int, reqs: set[str]) -> bool:
-    return event.req in reqs or _names_tier(event, tier)
+def _matches_tier(event: Event, tier: int, tier_reqs: set[str]) -> bool:
+    return event.req in tier_reqs or _carries_tier(event, tier)
 
 
-def _names_tier(event: Event, tier: int | None) -> bool:
+def _carries_tier(event: Event, tier: int | None) -> bool:
     return event.fields.get('tier') == str(tier)
--- a/bramleybend/timeline/page.py
+++ b/bramleybend/timeline/page.py
@@ -1,13 +1,14 @@
-"""The time line as one HTML page that needs nothing else."""
+"""Renders the timeline as one self-contained HTML page."""
 
 from collections.abc import Iterator, Sequence
 from html import escape
 from typing import Final
 
 from bramleybend.timeline.read import Event
-from bramleybend.timeline.text import details_of, lane_of, time_of
+from bramleybend.timeline.text import format_details, format_lane, format_time
 
-# A browser still scrolls this many rows; the text form has no limit.
+# Browsers scroll a table of this many rows without trouble; the text form
+# has no limit.
 ROW_LIMIT: Final = 20_000
 TIERS: Final = frozenset('1234')
 
@@ -31,19 +32,19 @@
 """
 
 
-def page(events: Sequence[Event], notes: str) -> str:
-    """Return the page: a row for each event, a column for each process."""
+def render_page(events: Sequence[Event], notes: str) -> str:
+    """Return a page with a row for each event and a column for each process."""
     shown = events[:ROW_LIMIT]
     if len(shown) < len(events):
         notes = f'{notes}\nonly the first {ROW_LIMIT} are on this page'
-    lanes = list(dict.fromkeys(map(lane_of, shown)))
+    lanes = list(dict.fromkeys(map(format_lane, shown)))
     header = ''.join(f'<th>{escape(lane)}</th>' for lane in lanes)
     rows = ''.join(_rows(shown, lanes))
-    told = escape(notes).replace('\n', '<br>')
+    notes_html = escape(notes).replace('\n', '<br>')
     return (
         '<!DOCTYPE html>\n<html lang="en"><head><meta charset="utf-8">'
         f'<title>bramleybend time line</title><style>{_STYLE}</style></head>'
-        f'<body><h1>Time line</h1><p>{told}</p>'
+        f'<body><h1>Time line</h1><p>{notes_html}</p>'
         '<p><label>Show rows with <input id="filter" size="40" '
         'placeholder="a request id, a runner, an event"></label></p>'
         f'<table><thead><tr><th>UTC</th>{header}</tr></thead>'
@@ -53,12 +54,12 @@
 
 
 def _rows(events: Sequence[Event], lanes: Sequence[str]) -> Iterator[str]:
-    places = {lane: place for place, lane in enumerate(lanes)}
+    columns = {lane: column for column, lane in enumerate(lanes)}
     for event in events:
-        place = places[lane_of(event)]
-        before = '<td></td>' * place
-        after = '<td></td>' * (len(lanes) - place - 1)
-        time = time_of(event.stamp)
+        column = columns[format_lane(event)]
+        before = '<td></td>' * column
+        after = '<td></td>' * (len(lanes) - column - 1)
+        time = format_time(event.stamp)
         yield f'<tr><td>{time}</td>{before}{_cell(event)}{after}</tr>\n'
 
 
@@ -66,5 +67,5 @@
     tier = event.fields.get('tier', '')
     style = f' class="t{tier}"' if tier in TIERS else ''
     name = escape(event.name)
-    details = escape(details_of(event))
+    details = escape(format_details(event))
     return f'<td{style}><b>{name}</b> <small>{details}</small></td>'
--- a/bramleybend/timeline/read.py
+++ b/bramleybend/timeline/read.py
@@ -1,8 +1,8 @@
-"""Reads event lines, and counts what cannot be read.
+"""Parses event lines and counts the lines that can't be parsed.
 
-A killed process leaves half a line behind, and a full disk of a log collector
-leaves holes. A time line that passed them over in silence would show a run
-that never was, so each source says what it lacks.
+A killed process leaves a truncated last line, and a log collector with a full
+disk leaves gaps. A timeline that skipped these silently would show a sequence
+of events that never happened, so each source counts its unreadable lines.
 """
 
 import json
@@ -18,12 +18,14 @@
 from bramleybend.events import EVENT_LOGGER, Stamp, parse_stamp
 
 PAIR: Final = re.compile(r'([\w.-]+)=("(?:[^"\\]|\\.)*"|[^\s"]*)(?:\s+|$)')
-# A decoder puts this in place of bytes that are no text.
-REPLACED: Final = '\N{REPLACEMENT CHARACTER}'
+# The decoder substitutes this for bytes that are not valid UTF-8.
+REPLACEMENT: Final = '\N{REPLACEMENT CHARACTER}'
 NUL: Final = '\0'
-# Fields that every event has; a line cut short lacks some.
-REQUIRED: Final = ('hlc', 'process', 'incarnation', 'event')
-HEAD: Final = frozenset((*REQUIRED, 'at', 'level', 'logger', 'seq', 'req'))
+# Fields that every event has; a truncated line lacks some of them.
+REQUIRED_FIELDS: Final = ('hlc', 'process', 'incarnation', 'event')
+COMMON_FIELDS: Final = frozenset(
+    (*REQUIRED_FIELDS, 'at', 'level', 'logger', 'seq', 'req')
+)
 
 
 @dataclass(frozen=True)
@@ -37,26 +39,26 @@
     req: str
     seq: int | None
     source: str
-    fields: Mapping[str, str]  # those that only some events have
+    fields: Mapping[str, str]  # fields specific to this kind of event
 
     @property
     def writer(self) -> tuple[str, str]:
-        """The process that wrote it."""
+        """Name and incarnation of the process that wrote the event."""
         return (self.process, self.incarnation)
 
 
 @dataclass
 class Source:
-    """What one file holds."""
+    """The events of one log file, and counts of its other lines."""
 
     name: str
     events: list[Event] = field(default_factory=list)
-    torn: int = 0  # lines that are cut short or no key=value line
-    others: int = 0  # whole lines that are no events
+    torn: int = 0  # lines that are truncated or not key=value
+    other_lines: int = 0  # well-formed lines that are not events
 
 
 def read_file(path: Path) -> Result[Source, Problem]:
-    """Read one event log."""
+    """Read one event log; bytes that are not UTF-8 make a line unreadable."""
     try:
         text = path.read_bytes().decode(errors='replace')
     except OSError as exc:
@@ -76,37 +78,37 @@
     *,
     from_file: bool = False,
 ) -> Source:
-    """Read lines; in a file, one without an end of line is torn."""
+    """Parse event lines; a last line of a file without newline is torn."""
     source = Source(name)
     pending = list(lines)
     if from_file and pending.pop():
         source.torn += 1
     for line in pending:
-        _take(source, line.strip())
+        _add_line(source, line.strip())
     return source
 
 
-def _take(source: Source, line: str) -> None:
-    pairs = _pairs(line)
+def _add_line(source: Source, line: str) -> None:
+    pairs = _parse_pairs(line)
     if pairs and pairs.get('logger', EVENT_LOGGER) != EVENT_LOGGER:
-        source.others += 1
+        source.other_lines += 1
         return
-    event = _event(source.name, pairs) if pairs else None
+    event = _parse_event(source.name, pairs) if pairs else None
     if event:
         source.events.append(event)
     elif line:
         source.torn += 1
 
 
-def _pairs(line: str) -> dict[str, str] | None:
-    """Return the line's fields, or nothing if any part of it is not one."""
-    if REPLACED in line or NUL in line:
+def _parse_pairs(line: str) -> dict[str, str] | None:
+    """Return the line's fields, or `None` unless all of it is key=value."""
+    if REPLACEMENT in line or NUL in line:
         return None
     pairs: dict[str, str] = {}
     end = 0
     while end < len(line):
         match = PAIR.match(line, end)
-        text = _unquoted(match.group(2)) if match else None
+        text = _unquote(match.group(2)) if match else None
         if match is None or text is None:
             return None
         pairs[match.group(1)] = text
@@ -114,8 +116,8 @@
     return pairs
 
 
-def _unquoted(text: str) -> str | None:
-    """Read a quoted value, which the log formatter escapes as JSON does."""
+def _unquote(text: str) -> str | None:
+    """Unquote a value; the log formatter escapes quoted values like JSON."""
     if not text.startswith('"'):
         return text
     try:
@@ -124,9 +126,9 @@
         return None
 
 
-def _event(source: str, pairs: Mapping[str, str]) -> Event | None:
+def _parse_event(source: str, pairs: Mapping[str, str]) -> Event | None:
     stamp = parse_stamp(pairs.get('hlc', ''))
-    if stamp is None or not all(map(pairs.get, REQUIRED)):
+    if stamp is None or not all(map(pairs.get, REQUIRED_FIELDS)):
         return None
     number = pairs.get('seq', '')
     return Event(
@@ -137,5 +139,9 @@
         pairs.get('req', ''),
         int(number) if number.isdecimal() else None,
         source,
-        {name: text for name, text in pairs.items() if name not in HEAD},
+        {
+            name: text
+            for name, text in pairs.items()
+            if name not in COMMON_FIELDS
+        },
     )
--- a/bramleybend/timeline/text.py
+++ b/bramleybend/timeline/text.py
@@ -1,4 +1,4 @@
-"""The time line as text."""
+"""Renders the timeline as text, one line for each event."""
 
 from collections.abc import Iterable, Iterator
 from datetime import UTC, datetime
@@ -9,72 +9,72 @@
 from bramleybend.timeline.merge import Merged
 from bramleybend.timeline.read import Event
 
-SHORT: Final = 8  # letters of an incarnation that tell it from another
-LATEST_MS: Final = 253_402_300_799_999  # the last that `datetime` can hold
+INCARNATION_CHARS: Final = 8  # enough to tell two incarnations apart
+MAX_WALL_MS: Final = 253_402_300_799_999  # maximum that `datetime` can hold
 
 
 def render(events: Iterable[Event]) -> str:
     """Return one line for each event."""
-    return ''.join(f'{_line(event)}\n' for event in events)
+    return ''.join(f'{_format_line(event)}\n' for event in events)
 
 
-def summary(merged: Merged, shown: int) -> str:
-    """Say how much is shown and what the files lack."""
-    return '\n'.join(_summary(merged, shown))
+def summarize(merged: Merged, shown: int) -> str:
+    """Return notes on the number of events shown and on incomplete logs."""
+    return '\n'.join(_iter_notes(merged, shown))
 
 
-def lane_of(event: Event) -> str:
-    """Name the process that wrote an event, and its incarnation."""
-    return _lane(event.writer)
+def format_lane(event: Event) -> str:
+    """Return the column label: process name and shortened incarnation."""
+    return _format_writer(event.writer)
 
 
-def time_of(stamp: Stamp) -> str:
-    """Return a stamp's time of day in UTC; a broken clock shows as `?`."""
-    if stamp.wall_ms > LATEST_MS:
+def format_time(stamp: Stamp) -> str:
+    """Return a stamp's time of day in UTC, or `?` if it is out of range."""
+    if stamp.wall_ms > MAX_WALL_MS:
         return '?'
     at = datetime.fromtimestamp(stamp.wall_ms / MILLISECONDS, UTC)
     return at.time().isoformat('milliseconds')
 
 
-def details_of(event: Event) -> str:
-    """Return the fields that only some events have."""
-    pairs = [f'{key}={text}' for key, text in _fields(event)]
+def format_details(event: Event) -> str:
+    """Return the request id and the event's own fields as key=value text."""
+    pairs = [f'{key}={text}' for key, text in _iter_fields(event)]
     return clean(' '.join(pairs))
 
 
-def _lane(writer: tuple[str, str]) -> str:
+def _format_writer(writer: tuple[str, str]) -> str:
     process, incarnation = writer
-    return clean(f'{process}~{incarnation[:SHORT]}')
+    return clean(f'{process}~{incarnation[:INCARNATION_CHARS]}')
 
 
-def _fields(event: Event) -> Iterator[tuple[str, str]]:
+def _iter_fields(event: Event) -> Iterator[tuple[str, str]]:
     if event.req:
         yield 'req', event.req
     yield from event.fields.items()
 
 
-def _line(event: Event) -> str:
+def _format_line(event: Event) -> str:
     parts = (
-        time_of(event.stamp),
-        lane_of(event),
+        format_time(event.stamp),
+        format_lane(event),
         clean(event.name),
-        details_of(event),
+        format_details(event),
     )
     return ' '.join(parts).rstrip()
 
 
-def _summary(merged: Merged, shown: int) -> Iterator[str]:
+def _iter_notes(merged: Merged, shown: int) -> Iterator[str]:
     total = len(merged.events)
     yield f'{shown} of {total} events from {merged.sources} files'
     if merged.torn:
-        yield f'{merged.torn} torn lines were left out'
+        yield f'{merged.torn} truncated or malformed lines were skipped'
     for writer, gap in sorted(merged.missing.items()):
-        lane = _lane(writer)
+        lane = _format_writer(writer)
         yield f'{gap} events of {lane} are missing'
     if merged.skew_ms:
         yield (
             f'clocks differ by {merged.skew_ms} ms or more: '
-            'some effects stand before their causes'
+            'some effects sort before their causes'
         )
-    if merged.repeated:
-        yield f'{merged.repeated} events stood twice'
+    if merged.duplicates:
+        yield f'{merged.duplicates} duplicate events were dropped'
--- a/tests/timeline/test_times.py
+++ b/tests/timeline/test_times.py
@@ -1,34 +1,36 @@
-"""Where the time of requests went, read from logs."""
+"""The latency breakdown by tier, computed from event logs."""
 
 from bramleybend.status import ExitStatus
 from bramleybend.timeline.merge import merge
 from bramleybend.timeline.read import read_lines
 from bramleybend.timeline.times import (
     TierTimes,
-    sizes_shown,
-    spans_shown,
-    tier_times,
+    format_served_by_size,
+    format_durations,
+    collect_tier_times,
 )
 from tests.cli.world import World
-from tests.timeline.test_cause import LOGS, line
+from tests.timeline.test_cause import LOGS, event_line
 
 
-def rows(*told: str) -> list[TierTimes]:
-    """Return the rows of lines written by one VM."""
-    lines = [line('vm', seq, rest) for seq, rest in enumerate(told)]
-    return tier_times(merge([read_lines('log', lines)]).events)
+def rows(*event_fields: str) -> list[TierTimes]:
+    """Return the table rows for event lines written by one VM."""
+    lines = [
+        event_line('vm', seq, rest) for seq, rest in enumerate(event_fields)
+    ]
+    return collect_tier_times(merge([read_lines('log', lines)]).events)
 
 
-def answered(req: str, rest: str) -> str:
-    """Write the line of an answer."""
+def answered_fields(req: str, rest: str) -> str:
+    """Return the fields of an `answered` event."""
     return f'event=answered req={req} tier=1 {rest}'
 
 
 def test_a_served_request_is_split_into_its_parts() -> None:
-    """40 ms in our queue, 60 at the runner, 900 until the stream's end."""
+    """40 ms in the queue, 60 ms to the first event, 900 ms to the end."""
     (row,) = rows(
         'event=placed req=a waited_ms=40',
-        answered('a', 'status=200 first_event_ms=100 ms=1000'),
+        answered_fields('a', 'status=200 first_event_ms=100 ms=1000'),
     )
     assert row.served == 1
     parts = (row.waited, row.to_first, row.rest)
@@ -36,21 +38,21 @@
 
 
 def test_a_resend_does_not_hide_the_first_wait() -> None:
-    """The wait is that for the first slot, not for the one of the resend."""
+    """The time waited is that for the first slot, not for the resend's."""
     (row,) = rows(
         'event=placed req=a waited_ms=40',
         'event=placed req=a waited_ms=500',
-        answered('a', 'status=200 first_event_ms=600 ms=700'),
+        answered_fields('a', 'status=200 first_event_ms=600 ms=700'),
     )
     assert row.waited.values == [40]
 
 
 def test_unserved_requests_are_counted_by_reason() -> None:
-    """Refusals of an allotment have no tier: they come before the route's."""
+    """Refusals over an allotment have no tier: they precede routing."""
     found = rows(
-        answered('a', 'status=503 why="wait_exceeds_deadline" ms=2'),
-        answered('b', 'status=503 why="wait_exceeds_deadline" ms=2'),
-        answered('c', 'status=500 why= ms=9'),
+        answered_fields('a', 'status=503 why="wait_exceeds_deadline" ms=2'),
+        answered_fields('b', 'status=503 why="wait_exceeds_deadline" ms=2'),
+        answered_fields('c', 'status=500 why= ms=9'),
         'event=denied req=d status=429 why="over its allotment"',
     )
     assert [row.tier for row in found] == ['-', '1']
@@ -62,26 +64,26 @@
 
 
 def test_the_share_served_is_told_by_size() -> None:
-    """A tier that serves its small requests only doesn't look healthy."""
+    """A tier that serves only its small requests is visible as such."""
     (row,) = rows(
         *(
-            answered(
+            answered_fields(
                 f'r{work}', f'status={200 if work < 90 else 503} work={work}'
             )
             for work in range(100)
         )
     )
-    assert sizes_shown(row.sizes) == '0.90 / 1.00 / 0.00'
+    assert format_served_by_size(row.sizes) == '0.90 / 1.00 / 0.00'
 
 
 def test_nothing_measured_is_shown_as_such() -> None:
-    """A tier in which nobody was served has no times."""
-    (row,) = rows(answered('a', 'status=503 why=full ms=2'))
-    assert spans_shown(row.waited) == '-'
+    """A tier without a served request shows no times."""
+    (row,) = rows(answered_fields('a', 'status=503 why=full ms=2'))
+    assert format_durations(row.waited) == '-'
 
 
 async def test_the_command_reads_a_played_day() -> None:
-    """One row a tier, and below it why requests were not served."""
+    """The table is followed by the reasons of unserved requests."""
     world = World()
     status, out, _ = await world.run('times', '--logs', str(LOGS))
     assert status is ExitStatus.OK
@@ -90,7 +92,7 @@
 
 
 async def test_the_command_needs_logs() -> None:
-    """Processes keep too few lines for a table; the remedy is named."""
+    """The error names `--logs`: processes keep too few events for a table."""
     world = World()
     status, _, err = await world.run('times')
     assert status is ExitStatus.USAGE
