--- a/bramleybend/__init__.py
+++ b/bramleybend/__init__.py
@@ -1,1 +1,1 @@
-"""A request scheduler for unlike engines."""
+"""A request scheduler for heterogeneous inference engines."""
--- a/bramleybend/answers.py
+++ b/bramleybend/answers.py
@@ -1,4 +1,4 @@
-"""The closed set of answers a caller can get, and their HTTP form."""
+"""The final answers that a caller can get, and their HTTP status codes."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -9,15 +9,15 @@
 
 
 class Outcome(StrEnum):
-    """What became of a request; callers act on this and nothing else."""
+    """Outcome of a request; callers decide on retries by this alone."""
 
-    DONE = 'done'  # ran to its end, the answer is whole
+    DONE = 'done'  # ran to completion; the answer is complete
     NOT_RUN = 'not_run'  # never reached a runner and never will
-    FAILED = 'failed'  # ran and ended badly
-    CANCELLED = 'cancelled'  # started, then stopped by us
+    FAILED = 'failed'  # ran and failed
+    CANCELLED = 'cancelled'  # started, then stopped by the scheduler
     UNKNOWN = 'unknown'  # may have run; it will not be run again
     REJECTED = 'rejected'  # bad input; nothing ran
-    EXPIRED = 'expired'  # the id is older than what is remembered
+    EXPIRED = 'expired'  # the id is older than the retention of request ids
 
 
 STATUS: Final = MappingProxyType(
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """A final answer without a body from a runner."""
+    """A final answer that carries no body from a runner."""
 
     outcome: Outcome
     reason: str
@@ -45,12 +45,12 @@
 
     @property
     def http_status(self) -> HTTPStatus:
-        """The outcome's status, unless a closer one was named."""
+        """The outcome's status, unless a more specific one is set."""
         return self.status or STATUS[self.outcome]
 
 
 def not_run(reason: str, retry_after: timedelta) -> Answer:
-    """Say that nothing ran and when to come back."""
+    """Return the answer for a request that did not run and may be retried."""
     return Answer(
         Outcome.NOT_RUN,
         reason,
@@ -60,7 +60,7 @@
 
 
 def unknown(reason: str) -> Answer:
-    """Say that the request may have run and will not be run again."""
+    """Return the answer for a request that may have run."""
     return Answer(
         Outcome.UNKNOWN,
         reason,
@@ -73,12 +73,12 @@
     remedy: str,
     status: HTTPStatus = HTTPStatus.BAD_REQUEST,
 ) -> Answer:
-    """Say what is wrong with the input and how to mend it."""
+    """Return the answer to invalid input, with the remedy."""
     return Answer(Outcome.REJECTED, reason, remedy, status=status)
 
 
 def expired(reason: str) -> Answer:
-    """Say that the id is too old to be run or answered."""
+    """Return the answer for an id that is too old to be run or answered."""
     return Answer(
         Outcome.EXPIRED,
         reason,
@@ -87,7 +87,7 @@
 
 
 def quarantined() -> Answer:
-    """Say that the content is refused for good."""
+    """Return the answer to content that is refused permanently."""
     return rejected(
         'runners crashed while they ran this content',
         'change the content; the same one will not be run again',
--- a/bramleybend/clock.py
+++ b/bramleybend/clock.py
@@ -1,4 +1,4 @@
-"""Time, passed in as an interface so that tests can move it."""
+"""Clocks, passed as an interface so that tests can control time."""
 
 import time
 from datetime import UTC, datetime
@@ -6,17 +6,17 @@
 
 
 class Clock(Protocol):
-    """What the system asks of a clock."""
+    """A wall clock and a monotonic clock."""
 
     def now(self) -> datetime:
         """Return the wall time, in UTC; it may jump."""
 
     def monotonic(self) -> float:
-        """Return seconds that never go back and count suspensions too."""
+        """Return seconds that never go back and include suspended time."""
 
 
 class SystemClock:
-    """The machine's own clocks."""
+    """The clocks of the operating system."""
 
     def now(self) -> datetime:
         """Return the wall time, in UTC."""
@@ -25,14 +25,14 @@
     def monotonic(self) -> float:
         """Return seconds since an arbitrary start; never goes back.
 
-        A VM may be suspended for seconds, which `time.monotonic` leaves out:
-        all that the VM believed would look fresh when it wakes.
+        A VM may be suspended for seconds, which `time.monotonic` excludes:
+        stale state would then look fresh when the VM resumes.
         """
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class ManualClock:
-    """A clock that moves only when told to, for tests and virtual time."""
+    """A clock that moves only by `advance`, for tests and simulations."""
 
     def __init__(self, start: datetime) -> None:
         """Start at a wall time, with the monotonic clock at zero."""
@@ -40,7 +40,7 @@
         self._elapsed = float(0)
 
     def now(self) -> datetime:
-        """Return the start moved on by what has elapsed."""
+        """Return the start time plus the elapsed seconds."""
         return datetime.fromtimestamp(
             self._start.timestamp() + self._elapsed,
             UTC,
@@ -51,5 +51,5 @@
         return self._elapsed
 
     def advance(self, seconds: float) -> None:
-        """Move both clocks on."""
+        """Advance both clocks."""
         self._elapsed += seconds
--- a/bramleybend/control.py
+++ b/bramleybend/control.py
@@ -1,4 +1,4 @@
-"""What operators may ask of a serving program, over gRPC."""
+"""The gRPC service through which operators query and drain a process."""
 
 import json
 from typing import Protocol
@@ -17,20 +17,20 @@
 
 
 class Process(Protocol):
-    """A serving program, as operators see it."""
+    """The operations of a serving process that operators may call."""
 
     def status(self) -> dict[str, object]:
-        """Return the fields of docs/operators/CTL.md."""
+        """Return the status fields that docs/operators/CTL.md lists."""
 
     def drain(self) -> None:
-        """Begin a planned stop, as SIGTERM does."""
+        """Start a graceful shutdown, as SIGTERM does."""
 
 
 class ControlService(ControlServicer):
-    """Answers `bramleybend-ctl`."""
+    """Implements the `Control` service that `bramleybend-ctl` calls."""
 
     def __init__(self, process: Process, events: EventLog) -> None:
-        """Speak for one process."""
+        """Serve the status and the kept events of one process."""
         self._process = process
         self._events = events
 
@@ -39,7 +39,7 @@
         request: StatusRequest,
         context: Context,
     ) -> StatusReply:
-        """Say how the process stands."""
+        """Return the status of the process as JSON."""
         status = self._process.status()
         return StatusReply(json=json.dumps(status, default=str))
 
@@ -48,14 +48,16 @@
         request: ExplainRequest,
         context: Context,
     ) -> ExplainReply:
-        """Return the kept events of one request."""
-        return ExplainReply(events=self._events.of_request(request.request_id))
+        """Return the recent events of one request that are still in memory."""
+        return ExplainReply(
+            events=self._events.lines_of_request(request.request_id)
+        )
 
     async def Drain(
         self,
         request: DrainRequest,
         context: Context,
     ) -> DrainReply:
-        """Begin a planned stop."""
+        """Start a graceful shutdown."""
         self._process.drain()
         return DrainReply()
--- a/bramleybend/declarations.py
+++ b/bramleybend/declarations.py
@@ -1,7 +1,7 @@
-"""The declaration file: an institution's terms, fit for version control.
+"""Parses and validates the declaration file, an institution's configuration.
 
 Every process parses the same text and must reach the same verdict, so
-parsing does no I/O and looks at nothing but the text.
+parsing does no I/O and depends on nothing but the text.
 """
 
 import reprlib
@@ -30,43 +30,48 @@
     Tier,
     Workspace,
 )
-from bramleybend.yaml_lines import LinedData, Path, bad_declaration, read_yaml
-
-# 4,300 workspaces at about 60 bytes each need a quarter of this; gRPC's
-# default message limit, under which peers pass the text on, is four times it.
-DOCUMENT_LIMIT: Final = 1_048_576
-SLOTS_LIMIT: Final = 4096
-SHARDS_LIMIT: Final = 64
-WEIGHT_LIMIT: Final = 1_000_000
-TIMEOUT_LIMIT_S: Final = 86_400
+from bramleybend.yaml_lines import (
+    DataWithLines,
+    Path,
+    bad_declaration,
+    read_yaml,
+)
+
+# A quarter of this holds 4,300 workspaces of about 60 bytes each. Peers
+# forward the text in gRPC messages, whose default limit is four times this.
+MAX_DOCUMENT_BYTES: Final = 1_048_576
+MAX_SLOTS: Final = 4096
+MAX_SHARDS: Final = 64
+MAX_WEIGHT: Final = 1_000_000
+MAX_TIMEOUT_S: Final = 86_400
 LOWEST_TIER: Final = Tier.BULK.value
 
-SPELLING: Final = 0
-OTHER: Final = 1
-EXTRA_KEY: Final = 'extra_forbidden'
+MISSPELT_KEY_RANK: Final = 0
+OTHER_RANK: Final = 1
+EXTRA_KEY_ERROR: Final = 'extra_forbidden'
 NAME_REMEDY: Final = 'use up to 63 lower-case letters, digits and hyphens'
 
-# Names stand in HTTP headers, metric labels and log lines.
+# Names are used in HTTP headers, metric labels and log lines.
 Name = Annotated[str, Field(pattern='^[a-z0-9][a-z0-9-]{0,62}$')]
 
 
-class _Declared(BaseModel):
-    """Refuses unknown keys and numbers written as text."""
+class _StrictModel(BaseModel):
+    """Rejects unknown keys and numbers written as text."""
 
     model_config = ConfigDict(extra='forbid', strict=True)
 
 
-class ServiceDeclaration(_Declared):
-    """A pool of runners."""
+class ServiceDeclaration(_StrictModel):
+    """Declares a service, a pool of runners of one kind."""
 
     kind: ServiceKind = Field(strict=False)
-    slots: int = Field(ge=1, le=SLOTS_LIMIT)
-    shards: int = Field(default=1, ge=1, le=SHARDS_LIMIT)
+    slots: int = Field(ge=1, le=MAX_SLOTS)
+    shards: int = Field(default=1, ge=1, le=MAX_SHARDS)
     checks_fence: bool = False
     engines: EnginesDeclaration | None = None
 
     def to_service(self, name: str) -> Service:
-        """Return the model that the system works with."""
+        """Convert to the internal data type."""
         return Service(
             name,
             self.kind,
@@ -77,18 +82,18 @@
         )
 
 
-class ProfileDeclaration(_Declared):
-    """How a class of requests is treated."""
+class ProfileDeclaration(_StrictModel):
+    """Declares how a class of requests is treated."""
 
     service: str
     tier: int = Field(ge=1, le=LOWEST_TIER)
     repeat: Repeat = Field(strict=False)
     journal: JournalMode = Field(strict=False)
-    timeout_s: float = Field(gt=0, le=TIMEOUT_LIMIT_S, allow_inf_nan=False)
+    timeout_s: float = Field(gt=0, le=MAX_TIMEOUT_S, allow_inf_nan=False)
     hedge: bool = False
 
     def to_profile(self, name: str) -> Profile:
-        """Return the model that the system works with."""
+        """Convert to the internal data type."""
         return Profile(
             name,
             self.service,
@@ -100,19 +105,19 @@
         )
 
 
-class WorkspaceDeclaration(_Declared):
-    """A customer's share."""
+class WorkspaceDeclaration(_StrictModel):
+    """Declares a customer's share and the profiles it may use."""
 
-    weight: float = Field(gt=0, le=WEIGHT_LIMIT, allow_inf_nan=False)
+    weight: float = Field(gt=0, le=MAX_WEIGHT, allow_inf_nan=False)
     profiles: list[str] = Field(min_length=1)
 
     def to_workspace(self, name: str) -> Workspace:
-        """Return the model that the system works with."""
+        """Convert to the internal data type."""
         return Workspace(name, self.weight, frozenset(self.profiles))
 
 
-class Declaration(_Declared):
-    """The whole file."""
+class Declaration(_StrictModel):
+    """The whole declaration file."""
 
     schema_version: Literal[1] = Field(alias='schema')
     institution: Name
@@ -124,7 +129,7 @@
     )
 
     def to_terms(self, version: int) -> Terms:
-        """Return the terms under the version that the log gave them."""
+        """Return the terms under the version that the log assigned to them."""
         return Terms(
             version,
             self.institution,
@@ -146,131 +151,142 @@
 
 @dataclass(frozen=True, order=True)
 class _Fault:
-    """One thing wrong; the smallest is told.
+    """One fault of a file; the one that sorts first is reported.
 
-    Misspelt keys go first: each also makes the right key look missing, and
-    that second fault would send the operator the wrong way.
+    Misspelt keys sort first: each also makes the correct key look missing,
+    and reporting that second fault would mislead the operator.
     """
 
     rank: int
     line: int
-    fact: str
+    message: str
     remedy: str
 
 
 def parse_terms(text: str, version: int) -> Result[Terms, Problem]:
-    """Return the terms that the text declares, or its first fault."""
-    if len(text.encode(errors='replace')) > DOCUMENT_LIMIT:
+    """Return the terms that the text declares, or its most relevant fault."""
+    if len(text.encode(errors='replace')) > MAX_DOCUMENT_BYTES:
         return Err(
             bad_declaration(
                 1,
-                f'the file is larger than {DOCUMENT_LIMIT} bytes',
+                f'the file is larger than {MAX_DOCUMENT_BYTES} bytes',
                 'declare less, or take out comments',
             ),
         )
-    return read_yaml(text).and_then(lambda lined: _check(lined, version))
+    return read_yaml(text).and_then(
+        lambda document: _validate(document, version)
+    )
 
 
-def _check(lined: LinedData, version: int) -> Result[Terms, Problem]:
+def _validate(document: DataWithLines, version: int) -> Result[Terms, Problem]:
     try:
-        declared = Declaration.model_validate(lined.value)
+        declaration = Declaration.model_validate(document.value)
     except ValidationError as exc:
         details = exc.errors(include_url=False)
-        return Err(_problem(_shape_fault(lined, item) for item in details))
-    faults = list(_reference_faults(lined, declared))
+        return Err(
+            _report_first(_validation_fault(document, item) for item in details)
+        )
+    faults = list(_reference_faults(document, declaration))
     if faults:
-        return Err(_problem(faults))
-    return Ok(declared.to_terms(version))
+        return Err(_report_first(faults))
+    return Ok(declaration.to_terms(version))
 
 
-def _problem(faults: Iterable[_Fault]) -> Problem:
+def _report_first(faults: Iterable[_Fault]) -> Problem:
     ordered = sorted(faults)
     first = ordered[0]
-    fact = first.fact
+    message = first.message
     if ordered[1:]:
         others = len(ordered) - 1
-        fact = f'{fact} (and {others} more)'
-    return bad_declaration(first.line, fact, first.remedy)
+        message = f'{message} (and {others} more)'
+    return bad_declaration(first.line, message, first.remedy)
 
 
-def _shape_fault(lined: LinedData, detail: ErrorDetails) -> _Fault:
+def _validation_fault(document: DataWithLines, detail: ErrorDetails) -> _Fault:
     path: Path = tuple(part for part in detail['loc'] if part != '[key]')
-    place = '.'.join(str(part) for part in path) or 'the file'
-    fact, remedy = _wording(path, place, detail)
-    rank = SPELLING if detail['type'] == EXTRA_KEY else OTHER
-    return _Fault(rank, lined.line_of(path), fact, remedy)
+    location = '.'.join(str(part) for part in path) or 'the file'
+    message, remedy = _describe_error(path, location, detail)
+    rank = (
+        MISSPELT_KEY_RANK if detail['type'] == EXTRA_KEY_ERROR else OTHER_RANK
+    )
+    return _Fault(rank, document.line_of(path), message, remedy)
 
 
-def _wording(path: Path, place: str, detail: ErrorDetails) -> tuple[str, str]:
-    found = reprlib.repr(detail['input'])
+def _describe_error(
+    path: Path, location: str, detail: ErrorDetails
+) -> tuple[str, str]:
+    shown_input = reprlib.repr(detail['input'])
     match detail['type']:
         case 'extra_forbidden':
-            remedy = _nearest(str(path[-1]), _valid_keys(path))
-            return f'unknown key {place}', remedy
+            remedy = _suggest_name(str(path[-1]), _valid_keys(path))
+            return f'unknown key {location}', remedy
         case 'missing':
             key = path[-1]
-            return f'key {place} is missing', f'add `{key}:`'
+            return f'key {location} is missing', f'add `{key}:`'
         case 'string_pattern_mismatch':
-            return f'{place} is not a name', NAME_REMEDY
+            return f'{location} is not a name', NAME_REMEDY
         case 'literal_error':
-            return f'schema {found} is not known here', 'write `schema: 1`'
-    return f'{place}: {found} is not allowed', detail['msg'].lower()
+            return (
+                f'schema {shown_input} is not known here',
+                'write `schema: 1`',
+            )
+    return f'{location}: {shown_input} is not allowed', detail['msg'].lower()
 
 
 def _reference_faults(
-    lined: LinedData,
-    declared: Declaration,
+    document: DataWithLines,
+    declaration: Declaration,
 ) -> Iterator[_Fault]:
-    yield from _service_faults(lined, declared)
-    for name, profile in declared.profiles.items():
+    yield from _service_faults(document, declaration)
+    for name, profile in declaration.profiles.items():
         path: Path = ('profiles', name)
-        if profile.service not in declared.services:
+        if profile.service not in declaration.services:
             yield _Fault(
-                OTHER,
-                lined.line_of((*path, 'service')),
+                OTHER_RANK,
+                document.line_of((*path, 'service')),
                 f'profile {name} names the service {profile.service!r}, '
                 'which is not declared',
-                _nearest(profile.service, declared.services),
+                _suggest_name(profile.service, declaration.services),
             )
         if profile.hedge and profile.repeat is not Repeat.IDEMPOTENT:
             yield _Fault(
-                OTHER,
-                lined.line_of((*path, 'hedge')),
+                OTHER_RANK,
+                document.line_of((*path, 'hedge')),
                 f'profile {name} runs at most once and cannot be hedged',
                 'write `hedge: false`, or `repeat: idempotent` if it is',
             )
-    for name, workspace in declared.workspaces.items():
-        yield from _workspace_faults(lined, declared, name, workspace)
+    for name, workspace in declaration.workspaces.items():
+        yield from _workspace_faults(document, declaration, name, workspace)
 
 
 def _service_faults(
-    lined: LinedData,
-    declared: Declaration,
+    document: DataWithLines,
+    declaration: Declaration,
 ) -> Iterator[_Fault]:
-    for name, service in declared.services.items():
+    for name, service in declaration.services.items():
         if service.engines and service.kind is not ServiceKind.ENGINE:
             yield _Fault(
-                OTHER,
-                lined.line_of(('services', name, 'engines')),
+                OTHER_RANK,
+                document.line_of(('services', name, 'engines')),
                 f'service {name} is not of engines, so none can be ordered',
                 'write `kind: engine`, or take `engines:` out',
             )
 
 
 def _workspace_faults(
-    lined: LinedData,
-    declared: Declaration,
+    document: DataWithLines,
+    declaration: Declaration,
     name: str,
     workspace: WorkspaceDeclaration,
 ) -> Iterator[_Fault]:
     for index, profile in enumerate(workspace.profiles):
-        if profile not in declared.profiles:
+        if profile not in declaration.profiles:
             yield _Fault(
-                OTHER,
-                lined.line_of(('workspaces', name, 'profiles', index)),
+                OTHER_RANK,
+                document.line_of(('workspaces', name, 'profiles', index)),
                 f'workspace {name} names the profile {profile!r}, '
                 'which is not declared',
-                _nearest(profile, declared.profiles),
+                _suggest_name(profile, declaration.profiles),
             )
 
 
@@ -288,10 +304,10 @@
     return [info.alias or name for name, info in fields]
 
 
-def _nearest(word: str, valid: Iterable[str]) -> str:
+def _suggest_name(word: str, valid: Iterable[str]) -> str:
     names = list(valid)
-    near = get_close_matches(word, names, n=1)
-    if near:
-        return f'did you mean `{near[0]}`?'
-    choice = ', '.join(names)
-    return f'use one of: {choice}'
+    matches = get_close_matches(word, names, n=1)
+    if matches:
+        return f'did you mean `{matches[0]}`?'
+    choices = ', '.join(names)
+    return f'use one of: {choices}'
--- a/bramleybend/declarations_engines.py
+++ b/bramleybend/declarations_engines.py
@@ -1,4 +1,4 @@
-"""The part of the declaration file that says what engines should hold."""
+"""The parts of the declaration file on engines and the weight store."""
 
 from datetime import timedelta
 from typing import Annotated, Final
@@ -7,20 +7,20 @@
 
 from bramleybend.models import EngineRole, EngineTarget, WeightStore
 
-LOADS_LIMIT: Final = 1000
-LOAD_TIMEOUT_LIMIT_S: Final = 86_400
-DEFAULT_STORE: Final = WeightStore()
+MAX_LOADS: Final = 1000
+MAX_LOAD_TIMEOUT_S: Final = 86_400
+DEFAULT_WEIGHT_STORE: Final = WeightStore()
 
-# Names of models are the engines' own and hold slashes, dots and colons.
+# Engines define the names of models, which contain slashes, dots and colons.
 WeightsName = Annotated[str, Field(pattern=r'^[!-~]{1,200}$')]
 
 
-class _Declared(BaseModel):
+class _StrictModel(BaseModel):
     model_config = ConfigDict(extra='forbid', strict=True)
 
 
-class EnginesDeclaration(_Declared):
-    """What the engines of one service should hold."""
+class EnginesDeclaration(_StrictModel):
+    """Declares what the engines of one service should load."""
 
     model: WeightsName
     version: WeightsName
@@ -28,7 +28,7 @@
     role: EngineRole = Field(default=EngineRole.MIXED, strict=False)
 
     def to_target(self) -> EngineTarget:
-        """Return the model that the system works with."""
+        """Convert to the internal data type; adapters are sorted."""
         return EngineTarget(
             self.model,
             self.version,
@@ -37,23 +37,23 @@
         )
 
 
-class WeightStoreDeclaration(_Declared):
-    """The rate limit of the weight store."""
+class WeightStoreDeclaration(_StrictModel):
+    """Declares the limits on loads from the weight store."""
 
     loads_at_once: int = Field(
-        default=DEFAULT_STORE.loads_at_once,
+        default=DEFAULT_WEIGHT_STORE.loads_at_once,
         ge=1,
-        le=LOADS_LIMIT,
+        le=MAX_LOADS,
     )
     load_timeout_s: float = Field(
-        default=DEFAULT_STORE.load_timeout.total_seconds(),
+        default=DEFAULT_WEIGHT_STORE.load_timeout.total_seconds(),
         gt=0,
-        le=LOAD_TIMEOUT_LIMIT_S,
+        le=MAX_LOAD_TIMEOUT_S,
         allow_inf_nan=False,
     )
 
     def to_store(self) -> WeightStore:
-        """Return the model that the system works with."""
+        """Convert to the internal data type."""
         return WeightStore(
             self.loads_at_once,
             timedelta(seconds=self.load_timeout_s),
--- a/bramleybend/early_listener.py
+++ b/bramleybend/early_listener.py
@@ -1,13 +1,14 @@
-"""Listens for callers before the program's libraries are loaded.
+"""Opens the listening socket before the program's libraries are loaded.
 
-Load pattern: all VMs lose power and start again under full traffic.
-Without it: a VM refuses connections for the 0.45 s of processor time that its
-imports take, and a caller that meets two such VMs has used up its one retry.
-A connection that stands waits in the kernel's queue instead, and its request
-is read as soon as the program runs. A program that dies meanwhile resets it
-unread, which tells the caller that nothing was run.
+Load pattern: all VMs lose power and restart under full traffic.
+Without it: a VM refuses connections for the 0.45 s of CPU time that its
+imports take, and a caller that tries two such VMs has used up its one retry.
+With it, connections wait in the kernel's accept queue and their requests are
+read as soon as the program runs. If the program dies before that, the kernel
+resets the connections with their requests unread, which tells the callers
+that nothing was run.
 
-This module imports next to nothing, as its own imports come first.
+This module imports very little, because its own imports delay the socket.
 """
 
 import os
@@ -19,31 +20,36 @@
 FILE_VARIABLE: Final = 'BRAMLEYBEND_SETTINGS'
 FRONT_VARIABLE: Final = 'BRAMLEYBEND_FRONT'
 
-Where: TypeAlias = tuple[str, int]
+Address: TypeAlias = tuple[str, int]
 
-_listening: Final[dict[Where, socket.socket]] = {}
+_listeners: Final[dict[Address, socket.socket]] = {}
 
 
 def listen_early(env: Mapping[str, str]) -> None:
-    """Listen where the settings say, if they already say it.
+    """Listen on the address in the variables or in the settings file.
 
-    Wrong or missing settings are left to the program, which reports them.
+    Invalid or missing settings are ignored; the program reports them later.
     """
-    where = env.get(FRONT_VARIABLE) or _from_file(env.get(FILE_VARIABLE, ''))
-    host, _, port = where.rpartition(':')
+    address = env.get(FRONT_VARIABLE) or _read_front_from_file(
+        env.get(FILE_VARIABLE, '')
+    )
+    host, _, port = address.rpartition(':')
     if not host or not port.isdecimal():
         return
     try:
-        _listening[host, int(port)] = _listen(host, int(port))
+        _listeners[host, int(port)] = _listen(host, int(port))
     except (OSError, OverflowError):
-        # The program tries again and tells why it cannot.
+        # The program tries again later and reports the error.
         return
 
 
 def open_listener(host: str, port: int) -> socket.socket:
-    """Return the socket that listens there, or listen now."""
-    early = _listening.pop((host, port), None)
-    return _listen(host, port) if early is None else early
+    """Return the socket opened by `listen_early`, or open one now.
+
+    Raises `OSError` or `OverflowError` if the address can't be bound.
+    """
+    listener = _listeners.pop((host, port), None)
+    return _listen(host, port) if listener is None else listener
 
 
 def _listen(host: str, port: int) -> socket.socket:
@@ -59,12 +65,12 @@
     return sock
 
 
-def _from_file(path: str) -> str:
+def _read_front_from_file(path: str) -> str:
     if not path or not os.path.isfile(path):
         return ''
     with open(path, encoding='utf-8', errors='replace') as lines:
         for line in lines:
-            name, _, text = line.partition('=')
+            name, _, setting = line.partition('=')
             if name.strip() == FRONT_VARIABLE:
-                return text.strip()
+                return setting.strip()
     return ''
--- a/bramleybend/entry_setting_types.py
+++ b/bramleybend/entry_setting_types.py
@@ -1,38 +1,39 @@
-"""What a setting of the entry VM may be; each reads its text or says why not."""
+"""Parsers for entry VM settings; each raises `ValueError` on bad text."""
 
 from typing import Final
 
-from bramleybend.settings_types import amount
+from bramleybend.settings_types import parse_amount
 
-# Three tiers below the highest leave it a quarter.
-MOST_TIER_SHARE: Final = 0.25
+# With this share for each of the three lower tiers, the highest tier keeps
+# at least a quarter of the starts.
+MAX_TIER_SHARE: Final = 0.25
 
 
-def yes_no(given: str) -> bool:
-    """Read a switch."""
-    if given not in {'true', 'false'}:
+def parse_bool(text: str) -> bool:
+    """Parse `true` or `false`."""
+    if text not in {'true', 'false'}:
         raise ValueError("write 'true' or 'false'")
-    return given == 'true'
+    return text == 'true'
 
 
-def whole(given: str) -> int:
-    """Read a whole number that is not 0."""
-    if not given.isdecimal() or not int(given):
+def parse_positive_int(text: str) -> int:
+    """Parse a whole number above 0."""
+    if not text.isdecimal() or not int(text):
         raise ValueError('write a whole number above 0')
-    return int(given)
+    return int(text)
 
 
-def share(given: str) -> float:
-    """Read a part of something."""
-    number = amount(given)
+def parse_share(text: str) -> float:
+    """Parse a fraction above 0 and up to 1."""
+    number = parse_amount(text)
     if not 0 < number <= 1:
         raise ValueError('write a number above 0 and up to 1')
     return number
 
 
-def tier_share(given: str) -> float:
-    """Read a part of all starts that can be kept for each lower tier."""
-    number = amount(given)
-    if number > MOST_TIER_SHARE:
-        raise ValueError(f'write a number from 0 to {MOST_TIER_SHARE}')
+def parse_tier_share(text: str) -> float:
+    """Parse the fraction of starts that is reserved for each lower tier."""
+    number = parse_amount(text)
+    if number > MAX_TIER_SHARE:
+        raise ValueError(f'write a number from 0 to {MAX_TIER_SHARE}')
     return number
--- a/bramleybend/entry_settings.py
+++ b/bramleybend/entry_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the entry VM's program."""
+"""Settings of `bramleybend-entry`, the program of an entry VM."""
 
 from dataclasses import dataclass, field
 from typing import Final
@@ -12,24 +12,28 @@
 from bramleybend.decisions.allotments import Tolerance
 from bramleybend.decisions.overload import Overload
 from bramleybend.direct.answer_memory import AnswerMemory
-from bramleybend.entry_setting_types import share, tier_share, whole, yes_no
+from bramleybend.entry_setting_types import (
+    parse_share,
+    parse_tier_share,
+    parse_positive_int,
+    parse_bool,
+)
 from bramleybend.settings_parsing import Program
 from bramleybend.settings_types import (
     HostPort,
-    about,
-    amount,
-    domain_name,
-    host_port,
-    least_level,
-    own_address,
-    port,
-    seconds,
-    text,
-    vm_name,
+    setting_metadata,
+    parse_amount,
+    domain_metadata,
+    parse_host_port,
+    log_level_metadata,
+    address_metadata,
+    parse_port,
+    parse_seconds,
+    parse_text,
+    vm_name_metadata,
 )
 
-# As the users' contracts have them at the time of writing; each deployment
-# states its own.
+# Defaults taken from the users' contracts; each deployment sets its own.
 DRAIN_TIMEOUT_S: Final = 8
 RESEND_RATIO: Final = 0.2
 RESEND_EXTRA: Final = 52
@@ -40,77 +44,81 @@
 MEMORY_MB: Final = 300
 MEGABYTE: Final = 1_000_000
 ANSWERS_SHARE: Final = 0.2
-# Judgement, not measured: below these a VM is spared work for others.
+# A VM below these gets no work for other VMs. Chosen, not measured.
 CAPACITY_CORES: Final = 0.25
 CAPACITY_MBPS: Final = 2.5
 
 
 @dataclass(frozen=True, kw_only=True)
 class EntrySettings:
-    """What one process is told at its start."""
+    """The settings of one process, read at its start."""
 
     settings: str = field(
         default='',
-        metadata=about(
-            text,
+        metadata=setting_metadata(
+            parse_text,
             'file with lines BRAMLEYBEND_NAME=value',
             '/etc/bramleybend/settings.conf',
         ),
     )
-    vm: str = field(metadata=vm_name())
-    domain: str = field(metadata=domain_name())
-    address: str = field(metadata=own_address())
+    vm: str = field(metadata=vm_name_metadata())
+    domain: str = field(metadata=domain_metadata())
+    address: str = field(metadata=address_metadata())
     front: HostPort = field(
-        metadata=about(
-            host_port,
+        metadata=setting_metadata(
+            parse_host_port,
             'where callers connect; the same port on every entry VM',
             '10.0.1.11:8221',
         ),
     )
     ready: HostPort = field(
-        metadata=about(
-            host_port, 'where the readiness check is answered', '10.0.1.11:8224'
+        metadata=setting_metadata(
+            parse_host_port,
+            'where the readiness check is answered',
+            '10.0.1.11:8224',
         ),
     )
     directory: HostPort = field(
-        metadata=about(
-            host_port, 'where callers ask for addresses', '10.0.1.11:8220'
+        metadata=setting_metadata(
+            parse_host_port, 'where callers ask for addresses', '10.0.1.11:8220'
         ),
     )
     metrics: HostPort | None = field(
         default=None,
-        metadata=about(
-            host_port,
+        metadata=setting_metadata(
+            parse_host_port,
             'where metrics are served, under /metrics; they are also '
             'served beside the readiness check',
             '10.0.1.11:9464',
         ),
     )
     peer_port: int = field(
-        metadata=about(
-            port, 'UDP port between entry VMs; the same on every one', '7600'
+        metadata=setting_metadata(
+            parse_port,
+            'UDP port between entry VMs; the same on every one',
+            '7600',
         ),
     )
     seeds: str = field(
         default='',
-        metadata=about(
-            text,
+        metadata=setting_metadata(
+            parse_text,
             'host:port of other entry VMs, joined by commas; the '
             'ports are left out of account',
             '10.0.1.11:8229,10.0.2.11:8229',
         ),
     )
     store: HostPort = field(
-        metadata=about(
-            host_port,
+        metadata=setting_metadata(
+            parse_host_port,
             "address of the platform's metadata store",
             '10.200.1.7:8225',
         ),
     )
     drain_timeout_s: float = field(
         default=DRAIN_TIMEOUT_S,
-        metadata=about(
-            seconds,
+        metadata=setting_metadata(
+            parse_seconds,
             'seconds from the signal to stop until the process is '
             'killed; it ends with the last request in flight',
             '8',
@@ -118,16 +126,16 @@
     )
     resend_ratio: float = field(
         default=RESEND_RATIO,
-        metadata=about(
-            amount,
+        metadata=setting_metadata(
+            parse_amount,
             'requests sent to a second runner, for each request, over all VMs',
             '0.2',
         ),
     )
     resend_extra: float = field(
         default=RESEND_EXTRA,
-        metadata=about(
-            amount,
+        metadata=setting_metadata(
+            parse_amount,
             'requests sent to a second runner beyond the ratio in a '
             'window, over all VMs',
             '52',
@@ -135,12 +143,14 @@
     )
     resend_window_s: float = field(
         default=RESEND_WINDOW_S,
-        metadata=about(seconds, 'seconds of that window', '10'),
+        metadata=setting_metadata(
+            parse_seconds, 'seconds of that window', '10'
+        ),
     )
     allotment_window_s: float = field(
         default=ALLOTMENT_WINDOW_S,
-        metadata=about(
-            seconds,
+        metadata=setting_metadata(
+            parse_seconds,
             'seconds of the window in which the tolerance of '
             "workspaces' allotments counts",
             '8',
@@ -148,8 +158,8 @@
     )
     allotment_overage: float = field(
         default=0,
-        metadata=about(
-            amount,
+        metadata=setting_metadata(
+            parse_amount,
             'part of an allotment that may go beyond it in a window, '
             'over all VMs',
             '0.1',
@@ -157,8 +167,8 @@
     )
     allotment_slack: float = field(
         default=0,
-        metadata=about(
-            amount,
+        metadata=setting_metadata(
+            parse_amount,
             'units (tokens or requests) that may go beyond an '
             'allotment in a window, over all VMs',
             '190000',
@@ -166,8 +176,8 @@
     )
     min_tier_share: float = field(
         default=MIN_TIER_SHARE,
-        metadata=about(
-            tier_share,
+        metadata=setting_metadata(
+            parse_tier_share,
             'share of the starts that each tier which waits gets at least; '
             'above it, higher tiers go first',
             '0.1',
@@ -175,8 +185,8 @@
     )
     standing_queue_s: float = field(
         default=STANDING_QUEUE_S,
-        metadata=about(
-            seconds,
+        metadata=setting_metadata(
+            parse_seconds,
             'seconds for which requests of a tier may keep getting late; '
             'after that, late ones are refused while others can be on time',
             '2',
@@ -184,8 +194,8 @@
     )
     answer_bytes: int = field(
         default=ANSWER_BYTES,
-        metadata=about(
-            whole,
+        metadata=setting_metadata(
+            parse_positive_int,
             'bytes of a runner that are read of one answer at most; each '
             'chunk and event counts as 128 more',
             '8388608',
@@ -193,16 +203,16 @@
     )
     event_bytes: int = field(
         default=EVENT_BYTES,
-        metadata=about(
-            whole,
+        metadata=setting_metadata(
+            parse_positive_int,
             'bytes that one event of a stream may have',
             '1048576',
         ),
     )
     filler_bytes: int = field(
         default=FILLER_BYTES,
-        metadata=about(
-            whole,
+        metadata=setting_metadata(
+            parse_positive_int,
             'bytes of an answer that may carry nothing (informational heads, '
             'comments, chunk extensions), beyond as many as carry something',
             '65536',
@@ -210,22 +220,24 @@
     )
     memory_mb: int = field(
         default=MEMORY_MB,
-        metadata=about(
-            whole, 'memory that this process may take, in MB', '300'
+        metadata=setting_metadata(
+            parse_positive_int,
+            'memory that this process may take, in MB',
+            '300',
         ),
     )
     answers_share: float = field(
         default=ANSWERS_SHARE,
-        metadata=about(
-            share,
+        metadata=setting_metadata(
+            parse_share,
             'share of that memory that answers which are being read may take',
             '0.2',
         ),
     )
     first_start: bool = field(
         default=False,
-        metadata=about(
-            yes_no,
+        metadata=setting_metadata(
+            parse_bool,
             'whether the whole system starts for the first time; else '
             'workspaces may owe what was let in before, and their bursts '
             'are taken for spent until another VM tells',
@@ -234,8 +246,8 @@
     )
     core_share: float = field(
         default=1,
-        metadata=about(
-            amount,
+        metadata=setting_metadata(
+            parse_amount,
             'share of a core that this VM has; work for all VMs goes to '
             'those that have most',
             '0.54',
@@ -243,38 +255,39 @@
     )
     core_speed: float = field(
         default=1,
-        metadata=about(
-            amount, 'how many times as fast as usual that core is', '2'
+        metadata=setting_metadata(
+            parse_amount, 'how many times as fast as usual that core is', '2'
         ),
     )
     link_mbps: float = field(
         default=1000,
-        metadata=about(
-            amount,
+        metadata=setting_metadata(
+            parse_amount,
             "bandwidth of this VM's link, in Mbit/s; work for all VMs goes "
             'to those with most',
             '1000',
         ),
     )
-    log_level: str = field(default='INFO', metadata=least_level())
+    log_level: str = field(default='INFO', metadata=log_level_metadata())
 
     def capacity(self) -> int:
-        """Return how much this VM can carry, in powers of two.
+        """Return the capacity of this VM, as a level on a log2 scale.
 
-        Levels, as two VMs that differ by little are to rank by the hash:
-        else one of them would carry the work of all services.
+        VMs of similar capacity get the same level and are then ranked by
+        hash; otherwise the slightly larger VM would carry the work of all
+        services.
         """
         cores = self.core_share * self.core_speed
         least = min(cores / CAPACITY_CORES, self.link_mbps / CAPACITY_MBPS)
         return max(int(least), 1).bit_length()
 
     def seed_addresses(self) -> list[str]:
-        """Return the addresses of other entry VMs, without our own."""
+        """Return the hosts of the seeds, without this VM's own address."""
         hosts = [part.rpartition(':')[0] for part in self.seeds.split(',')]
         return [host for host in hosts if host and host != self.address]
 
     def allotment_tolerance(self) -> Tolerance:
-        """Return what may go beyond an allotment."""
+        """Return how far a workspace may exceed its allotment."""
         return Tolerance(
             self.allotment_window_s,
             self.allotment_overage,
@@ -282,21 +295,21 @@
         )
 
     def overload(self) -> Overload:
-        """Return what holds while there is more work than capacity."""
+        """Return the settings that apply under overload."""
         return Overload(self.min_tier_share, self.standing_queue_s)
 
     def answer_bounds(self) -> MessageBounds:
-        """Return the most that is read of one answer."""
+        """Return the limits on the bytes read of one answer."""
         return MessageBounds(
             self.answer_bytes, self.event_bytes, self.filler_bytes
         )
 
     def answer_memory(self) -> AnswerMemory:
-        """Return the memory for answers that are being read."""
+        """Return the memory budget for answers that are being read."""
         return AnswerMemory(self.memory_mb * MEGABYTE * self.answers_share)
 
     def shown(self) -> dict[str, str]:
-        """Return what the log tells of them at the start."""
+        """Return the settings that the `started` event shows."""
         return {
             'at': f'{self.front.host}:{self.front.port}',
             'store': f'{self.store.host}:{self.store.port}',
--- a/bramleybend/errors.py
+++ b/bramleybend/errors.py
@@ -1,11 +1,11 @@
-"""Typed errors; each message names what is wrong and the remedy."""
+"""Error types; each error states what is wrong and how to correct it."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class ErrorKind(StrEnum):
-    """Every kind of error the system reports."""
+    """Every kind of error that the programs report."""
 
     BAD_SETTING = 'bad_setting'
     BAD_REQUEST = 'bad_request'
@@ -28,21 +28,21 @@
 
 @dataclass(frozen=True)
 class Problem:
-    """The error half of a `Result`: a kind, the fact and the remedy."""
+    """The error value of a `Result`: kind, detail and remedy."""
 
     kind: ErrorKind
     detail: str
     remedy: str
 
     def __str__(self) -> str:
-        """Read as one sentence for people."""
+        """Return the detail and the remedy as one sentence."""
         return f'{self.detail}; {self.remedy}'
 
 
 class ProblemError(Exception):
-    """Carries a `Problem` where only an exception can pass."""
+    """Carries a `Problem` where an error can't be returned."""
 
     def __init__(self, problem: Problem) -> None:
-        """Keep the problem for the handler that turns it into an answer."""
+        """Keep the problem for the handler that reports it."""
         super().__init__(str(problem))
         self.problem = problem
--- a/bramleybend/identity.py
+++ b/bramleybend/identity.py
@@ -1,4 +1,4 @@
-"""Who a process is: its VM, and the incarnation that dies with it."""
+"""The identity of a process: its VM and a random incarnation id."""
 
 from dataclasses import dataclass
 from secrets import token_hex
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True)
 class Identity:
-    """A process's place and incarnation.
+    """The location and the incarnation of a process.
 
-    A VM replaced at an old address gets a new incarnation, so it is a
-    stranger to every message meant for the old one.
+    A process restarted or a VM replaced at the same address has a new
+    incarnation, so it can reject messages meant for its predecessor.
     """
 
     vm: str
@@ -22,5 +22,5 @@
 
 
 def make_identity(vm: str, domain: str, address: str) -> Identity:
-    """Mint an incarnation that no other process ever had."""
+    """Return an identity with a new random incarnation."""
     return Identity(vm, domain, address, token_hex(INCARNATION_BYTES))
--- a/bramleybend/loop_watch.py
+++ b/bramleybend/loop_watch.py
@@ -1,7 +1,8 @@
-"""Tells when the event loop woke late, and whether the process was to blame.
+"""Reports delays of the event loop, with the CPU time used meanwhile.
 
-Every timeout of a process counts while its loop stands still. Without a word
-of that in its log, a slow peer and an own delay look the same.
+All timeouts of a process keep running while its event loop is blocked or the
+process isn't scheduled. Without such reports in its log, a slow peer and a
+delay of the process itself look the same.
 """
 
 import asyncio
@@ -17,7 +18,7 @@
 
 
 class LoopWatch:
-    """Sleeps, and records each sleep that took much longer."""
+    """Sleeps in short intervals and records each sleep that ended late."""
 
     def __init__(
         self,
@@ -25,18 +26,18 @@
         clock: Clock,
         cpu_s: Callable[[], float] = time.process_time,
     ) -> None:
-        """Take the wall clock and the process's own processor time."""
+        """Measure delays by `clock`, and CPU time in seconds by `cpu_s`."""
         self._events = events
         self._clock = clock
         self._cpu_s = cpu_s
 
     async def work(self) -> None:
-        """Watch until cancelled."""
+        """Monitor the event loop until cancelled."""
         while True:
             await self.sleep(INTERVAL_S)
 
     async def sleep(self, seconds: float) -> None:
-        """Sleep once, for a part that wakes regularly anyhow."""
+        """Sleep once and record a late end; for periodic tasks' own sleeps."""
         before = self._clock.monotonic()
         cpu_before = self._cpu_s()
         await asyncio.sleep(seconds)
@@ -45,7 +46,8 @@
             self._record(late_s, self._cpu_s() - cpu_before)
 
     def _record(self, late_s: float, cpu_s: float) -> None:
-        # Little processor time in a long delay: the process didn't get to run.
+        # Little CPU time in a long delay means that the process was not
+        # scheduled.
         self._events.record(
             'loop_late',
             late_ms=round(late_s * MILLISECONDS),
--- a/bramleybend/metric_types.py
+++ b/bramleybend/metric_types.py
@@ -1,4 +1,4 @@
-"""What a metric is: its kind, unit, meaning and labels."""
+"""Definitions of metrics: kind, unit, meaning and labels."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -6,7 +6,7 @@
 
 
 class MetricType(StrEnum):
-    """How statsd treats a metric."""
+    """The statsd type of a metric."""
 
     COUNTER = 'counter'
     GAUGE = 'gauge'
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class MetricInfo:
-    """What an operator must know to read a metric."""
+    """Definition of a metric, as the operators' page shows it."""
 
     name: str
     kind: MetricType
@@ -25,22 +25,22 @@
 
 
 def counter(name: str, unit: str, meaning: str, *labels: str) -> MetricInfo:
-    """Describe what is added up."""
+    """Define a counter."""
     return MetricInfo(name, MetricType.COUNTER, unit, meaning, labels)
 
 
 def gauge(name: str, unit: str, meaning: str, *labels: str) -> MetricInfo:
-    """Describe a level."""
+    """Define a gauge."""
     return MetricInfo(name, MetricType.GAUGE, unit, meaning, labels)
 
 
 def timer(name: str, meaning: str, *labels: str) -> MetricInfo:
-    """Describe a duration."""
+    """Define a timer in milliseconds."""
     return MetricInfo(name, MetricType.TIMER, 'ms', meaning, labels)
 
 
 class Labels(TypedDict, total=False):
-    """Every label; the type check refuses any other."""
+    """Every label; the type checker rejects any other."""
 
     tier: int
     outcome: str
--- a/bramleybend/metrics.py
+++ b/bramleybend/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics by statsd, under a closed set of names.
+"""Metrics over statsd, under a fixed set of names.
 
-statsd is UDP: a send neither waits nor fails the caller, so a statsd that is
-away costs no more than one that is there. Without an address nothing is sent.
+statsd uses UDP: a send neither blocks nor raises, so an unreachable statsd
+costs no more than a running one. Without an address nothing is sent.
 """
 
 import logging
@@ -16,13 +16,13 @@
 from bramleybend.settings_types import HostPort
 
 PREFIX: Final = 'bramleybend'
-UNSAFE: Final = re.compile('[^A-Za-z0-9_-]')
+UNSAFE_CHARS: Final = re.compile('[^A-Za-z0-9_-]')
 
 logger = logging.getLogger(__name__)
 
 
 class Metric(Enum):
-    """Every metric; labels come from closed sets, so that names stay few."""
+    """Every metric; label values come from fixed sets, to bound the names."""
 
     ACCEPTED = counter(
         'accepted',
@@ -210,7 +210,7 @@
 
 
 class Metrics(Protocol):
-    """Where the programs count what they do; never raises, never waits."""
+    """Interface for sending metrics; no method raises or blocks."""
 
     def count(
         self, metric: Metric, number: int = 1, **labels: Unpack[Labels]
@@ -220,7 +220,7 @@
     def gauge(
         self, metric: Metric, level: float, **labels: Unpack[Labels]
     ) -> None:
-        """Set a gauge; the VM's name is part of it."""
+        """Set a gauge; its name includes the VM."""
 
     def timing(
         self,
@@ -257,7 +257,7 @@
     """Sends each metric to statsd, with its labels in the name."""
 
     def __init__(self, client: StatsClient, vm: str) -> None:
-        """Name the VM, whose gauges would else overwrite other VMs'."""
+        """Send gauges under the VM's name, so that VMs don't overwrite them."""
         self._client = client
         self._vm = vm
 
@@ -285,20 +285,20 @@
 
 
 def metric_name(metric: Metric, labels: Labels) -> str:
-    """Return the name with the values of the labels that it declares."""
+    """Return the metric's name followed by the values of its labels."""
     info = metric.value
-    shown = [str(labels.get(label, 'none')) for label in info.labels]
-    return '.'.join([info.name, *map(_safe, shown)])
+    label_values = [str(labels.get(label, 'none')) for label in info.labels]
+    return '.'.join([info.name, *map(_sanitize, label_values)])
 
 
 def make_metrics(address: HostPort | None, vm: str = 'unnamed') -> Metrics:
-    """Return metrics that go to the address, or nowhere without one."""
+    """Return a statsd client for the address, or a null client without one."""
     if address is None:
         return NullMetrics()
     try:
         client = StatsClient(address.host, address.port, prefix=PREFIX)
     except OSError as exc:
-        # The name does not resolve. Metrics are no reason not to serve.
+        # The host name doesn't resolve; the program serves without metrics.
         logger.warning(
             {
                 'event': 'statsd_unknown',
@@ -308,8 +308,8 @@
             },
         )
         return NullMetrics()
-    return StatsdMetrics(client, _safe(vm))
+    return StatsdMetrics(client, _sanitize(vm))
 
 
-def _safe(text: str) -> str:
-    return UNSAFE.sub('_', text)
+def _sanitize(text: str) -> str:
+    return UNSAFE_CHARS.sub('_', text)
--- a/bramleybend/metrics_page.py
+++ b/bramleybend/metrics_page.py
@@ -1,4 +1,4 @@
-"""Writes docs/operators/METRICS.md: `python -m bramleybend.metrics_page`."""
+"""Generates docs/operators/METRICS.md by `-m bramleybend.metrics_page`."""
 
 import re
 import sys
@@ -11,7 +11,7 @@
 from bramleybend.metric_types import MetricInfo, MetricType
 from bramleybend.metrics import PREFIX, Metric
 
-USE: Final = re.compile(r'\bMetric\.([A-Z_]+)')
+METRIC_USE: Final = re.compile(r'\bMetric\.([A-Z_]+)')
 INTRODUCTION: Final = """# Metrics
 
 Written by `python -m bramleybend.metrics_page`; do not edit. A test compares
@@ -63,10 +63,12 @@
 
 
 def _names_sent() -> frozenset[str]:
-    """Return the metrics that any module of the package names."""
+    """Return the names of metrics that any module of the package uses."""
     modules = Path(__file__).parent.rglob('*.py')
     sources = (module.read_text(encoding='utf-8') for module in modules)
-    return frozenset(name for text in sources for name in USE.findall(text))
+    return frozenset(
+        name for text in sources for name in METRIC_USE.findall(text)
+    )
 
 
 def _row(info: MetricInfo, is_sent: bool) -> str:
--- a/bramleybend/models.py
+++ b/bramleybend/models.py
@@ -1,4 +1,4 @@
-"""Data inside the system: what a request, a profile and a runner are."""
+"""Data types shared by all components: requests, services, configuration."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -7,7 +7,7 @@
 
 
 class Tier(IntEnum):
-    """Rank of a request; a lower number is more important."""
+    """Priority of a request; a lower number is more important."""
 
     CRITICAL = 1
     HIGH = 2
@@ -16,7 +16,7 @@
 
 
 class Repeat(StrEnum):
-    """How often a request under a profile may be run."""
+    """Whether a request under a profile may be run again or cancelled."""
 
     NON_IDEMPOTENT = 'non_idempotent'  # runs at most once, never cancelled
     AT_MOST_ONCE = 'at_most_once'  # dispatched at most once, may be cancelled
@@ -26,26 +26,28 @@
 class JournalMode(StrEnum):
     """When the intent to dispatch is written to the log."""
 
-    BEFORE_DISPATCH = 'before_dispatch'  # definite answers; stops with the log
-    BEHIND = 'behind'  # runs on in an outage; a crash leaves `unknown`
+    # The outcome is known after a crash; dispatch stops while the log is down.
+    BEFORE_DISPATCH = 'before_dispatch'
+    # Dispatch goes on while the log is down; a crash leaves `unknown`.
+    BEHIND = 'behind'
 
 
 class ServiceKind(StrEnum):
-    """What stands behind a service."""
+    """What kind of runners serve a service."""
 
     ENGINE = 'engine'
     PLAIN = 'plain'
 
 
 class RunnerState(StrEnum):
-    """What the VM list says of a VM."""
+    """State of a VM in the VM list."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
 
 
 class EngineRole(StrEnum):
-    """Which half of a request's work an engine takes."""
+    """Which phases of a request (prefill, decode) an engine processes."""
 
     MIXED = 'mixed'
     PREFILL = 'prefill'
@@ -54,7 +56,7 @@
 
 @dataclass(frozen=True)
 class EngineTarget:
-    """What the engines of a service should hold."""
+    """The model, adapters and role that a service's engines should load."""
 
     model: str
     version: str
@@ -64,7 +66,7 @@
 
 @dataclass(frozen=True)
 class WeightStore:
-    """How hard engines may press the store that weights come from."""
+    """Limits on loads from the store that model weights are read from."""
 
     loads_at_once: int = 2
     load_timeout: timedelta = timedelta(minutes=10)
@@ -72,7 +74,7 @@
 
 @dataclass(frozen=True)
 class Profile:
-    """How a class of requests is treated."""
+    """How a class of requests is scheduled, logged and retried."""
 
     name: str
     service: str
@@ -84,7 +86,7 @@
 
     @property
     def cancellable(self) -> bool:
-        """Whether a run may be stopped to make room for a higher tier."""
+        """Whether a run may be preempted by a request of a higher tier."""
         return self.repeat is not Repeat.NON_IDEMPOTENT
 
 
@@ -94,10 +96,10 @@
 
     name: str
     kind: ServiceKind
-    slots: int  # concurrent requests a runner is first trusted with
-    shards: int = 1  # queues the pool is split into, one owner each
+    slots: int  # initial limit of concurrent requests for each runner
+    shards: int = 1  # queues that the pool is split into, one owner each
     checks_fence: bool = False
-    engines: EngineTarget | None = None  # none: no orders are given
+    engines: EngineTarget | None = None  # `None`: engines get no load orders
 
 
 @dataclass(frozen=True)
@@ -111,7 +113,7 @@
 
 @dataclass(frozen=True)
 class Terms:
-    """One accepted configuration, whole."""
+    """One accepted version of the whole configuration."""
 
     version: int
     institution: str
@@ -123,7 +125,7 @@
 
 @dataclass(frozen=True)
 class Vm:
-    """One line of the VM list."""
+    """One entry of the VM list."""
 
     name: str
     address: str
@@ -140,7 +142,7 @@
 
 @dataclass(frozen=True)
 class Ask:
-    """What a gateway asks an owner for: a slot for one request."""
+    """A gateway's request to an owner for a slot for one request."""
 
     request_id: str
     service: str
@@ -148,13 +150,13 @@
     workspace: str
     cost: float  # expected work, in prompt-token equivalents
     prompt_tokens: int
-    prefixes: tuple[str, ...]  # hashes of growing prompt prefixes
-    deadline: float  # on the deciding process's monotonic clock, seconds
+    prefixes: tuple[str, ...]  # hashes of prompt prefixes, shortest first
+    deadline: float  # seconds on the deciding process's monotonic clock
     cancellable: bool
     fingerprint: str = ''  # equal for equal content
     suspect: bool = False  # its content was in flight when a runner crashed
     excluded: frozenset[str] = field(default_factory=frozenset)
-    on_time_until: float = inf  # for a start, on the same clock
-    begin_by: float = inf  # without an answer begun its caller leaves then
-    # Runners to which the asking VM has a free connection.
+    on_time_until: float = inf  # latest start that is on time, same clock
+    begin_by: float = inf  # the caller leaves unless an answer begins by then
+    # Runners to which the requesting VM has an idle connection.
     connected: frozenset[str] = field(default_factory=frozenset)
--- a/bramleybend/patience.py
+++ b/bramleybend/patience.py
@@ -1,7 +1,8 @@
-"""Time limits that don't count while this process stands still.
+"""Timeouts that tolerate pauses of the process itself.
 
-A process that isn't run for two seconds wakes to find both the answer and the
-timeout of two seconds. Taken by the clock alone it would call its peer silent.
+A process that isn't scheduled for two seconds finds both the answer and an
+expired timeout of two seconds when it resumes. By the clock alone it would
+wrongly treat its peer as silent.
 """
 
 import asyncio
@@ -17,10 +18,10 @@
 async def within(
     limit_s: float, work: Coroutine[Any, Any, Returned]
 ) -> Returned:
-    """Return what `work` returns; `TimeoutError` after `limit_s` seconds.
+    """Return the result of `work`; raise `TimeoutError` after `limit_s`.
 
-    The limit is waited for in steps, and a step counts once however long it
-    took, so that an answer that came meanwhile is read before the next ends.
+    The limit is waited for in steps. A step counts once, however long it
+    took, so an answer that arrived during a pause is read before the limit.
     """
     task = asyncio.create_task(work)
     try:
@@ -35,10 +36,10 @@
 
 @asynccontextmanager
 async def patience(limit_s: float) -> AsyncIterator[None]:
-    """Raise `TimeoutError` from a body that takes over `limit_s` seconds.
+    """Raise `TimeoutError` in a body that takes more than `limit_s` seconds.
 
     The limit is counted as in `within`. The body runs in the caller's own
-    task, so what it opens is not lost if that task is cancelled.
+    task, so resources that it opens aren't lost if that task is cancelled.
     """
     async with asyncio.timeout(None) as limit:
         counting = asyncio.create_task(_count(limit, limit_s))
--- a/bramleybend/settings_page.py
+++ b/bramleybend/settings_page.py
@@ -1,4 +1,4 @@
-"""Writes docs/operators/SETTINGS.md: `python -m bramleybend.settings_page`."""
+"""Generates docs/operators/SETTINGS.md by `-m bramleybend.settings_page`."""
 
 import sys
 from typing import Final
@@ -38,7 +38,7 @@
 def settings_page() -> str:
     """Return the whole page."""
     both = ''.join(map(_shared_row, settings_of(ProcessKind.GATEWAY)))
-    entry = ''.join(map(_entry_row, ENTRY.offered()))
+    entry = ''.join(map(_entry_row, ENTRY.offered_settings()))
     return INTRODUCTION + both + ENTRY_INTRODUCTION + entry
 
 
@@ -57,8 +57,8 @@
         f'`{env_of(setting.name)}`',
         programs,
         'required' if setting.is_required else default,
-        f'`{setting.about.example}`',
-        setting.about.description,
+        f'`{setting.info.example}`',
+        setting.info.description,
     ]
     joined = ' | '.join(cells)
     return f'| {joined} |\n'
--- a/bramleybend/status.py
+++ b/bramleybend/status.py
@@ -1,10 +1,10 @@
-"""Exit codes of every program."""
+"""Exit codes that all programs share."""
 
 from enum import IntEnum
 
 
 class ExitStatus(IntEnum):
-    """What a program's exit tells a script."""
+    """The exit code of a program."""
 
     OK = 0
     ERROR = 1
--- a/tests/benchmarks/capacity_control.py
+++ b/tests/benchmarks/capacity_control.py
@@ -19,7 +19,7 @@
 from bramleybend.decisions.ownership import owners_of
 from bramleybend.decisions.quarantine import CrashBook
 from bramleybend.declarations import parse_terms
-from bramleybend.events import KEPT_EVENTS, EventLog
+from bramleybend.events import MAX_KEPT_EVENTS, EventLog
 from bramleybend.gateway.view import ViewFollower
 from bramleybend.identity import Identity
 from bramleybend.metrics import make_metrics
@@ -126,7 +126,7 @@
 def events() -> Iterator[Series]:
     """The events that a process keeps for questions about a request."""
     points = tuple((count, _events_mb(count)) for count in EVENTS)
-    yield Series('events kept: memory', 'events', 'MB', points, KEPT_EVENTS)
+    yield Series('events kept: memory', 'events', 'MB', points, MAX_KEPT_EVENTS)
 
 
 def _events_mb(count: int) -> float:
--- a/tests/test_declarations.py
+++ b/tests/test_declarations.py
@@ -1,4 +1,4 @@
-"""A declaration is taken whole, or refused with its line and a remedy."""
+"""Parsing of declarations: either terms, or an error with line and remedy."""
 
 from pathlib import Path
 
@@ -6,7 +6,7 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from bramleybend.declarations import DOCUMENT_LIMIT, parse_terms
+from bramleybend.declarations import MAX_DOCUMENT_BYTES, parse_terms
 from bramleybend.errors import ErrorKind, Problem
 from bramleybend.models import (
     EngineRole,
@@ -18,7 +18,7 @@
 )
 
 EXAMPLES = Path(__file__).parent.parent / 'examples'
-GOOD = """schema: 1
+VALID_TEXT = """schema: 1
 institution: parwaz
 services:
   booking-app: {kind: plain, slots: 4}
@@ -36,20 +36,20 @@
 """
 
 
-def refuse(text: str) -> Problem:
-    """Return the problem of a text that must not be taken."""
+def parse_rejected(text: str) -> Problem:
+    """Return the problem of a text that must be rejected."""
     problem = parse_terms(text, 1).unwrap_err()
     assert problem.kind is ErrorKind.BAD_DECLARATION
     return problem
 
 
-def changed(old: str, new: str) -> str:
-    """Return the good text with one slip in it."""
-    assert old in GOOD
-    return GOOD.replace(old, new)
+def replace_in_valid(old: str, new: str) -> str:
+    """Return the valid text with one replacement."""
+    assert old in VALID_TEXT
+    return VALID_TEXT.replace(old, new)
 
 
-ENGINES = GOOD.replace(
+VALID_ENGINES_TEXT = VALID_TEXT.replace(
     'services:\n',
     """weight_store: {loads_at_once: 3}
 services:
@@ -65,17 +65,17 @@
 
 
 def test_what_engines_should_hold_becomes_terms() -> None:
-    """Left out, the role is mixed; without `engines` there is no target."""
-    terms = parse_terms(ENGINES, 1).unwrap()
+    """The role defaults to mixed; without `engines` there is no target."""
+    terms = parse_terms(VALID_ENGINES_TEXT, 1).unwrap()
     target = EngineTarget('org/model', 'v2', ('a', 'b'), EngineRole.MIXED)
     assert terms.services['llm'].engines == target
     assert terms.services['booking-app'].engines is None
     assert terms.weight_store.loads_at_once == 3
-    assert parse_terms(GOOD, 1).unwrap().weight_store == WeightStore()
+    assert parse_terms(VALID_TEXT, 1).unwrap().weight_store == WeightStore()
 
 
 @pytest.mark.parametrize(
-    ('old', 'new', 'line', 'named', 'remedy'),
+    ('old', 'new', 'line', 'message', 'remedy'),
     [
         ('version: v2', 'verison: v2', 10, 'verison', '`version`'),
         ('version: v2', 'version: 2', 10, 'engines.version', 'string'),
@@ -90,20 +90,20 @@
     old: str,
     new: str,
     line: int,
-    named: str,
+    message: str,
     remedy: str,
 ) -> None:
-    """Also with its line and a remedy."""
-    assert old in ENGINES
-    problem = refuse(ENGINES.replace(old, new))
+    """Errors in nested keys also carry their line and a remedy."""
+    assert old in VALID_ENGINES_TEXT
+    problem = parse_rejected(VALID_ENGINES_TEXT.replace(old, new))
     assert problem.detail.startswith(f'line {line}: ')
-    assert named in problem.detail
+    assert message in problem.detail
     assert remedy in problem.remedy
 
 
 def test_a_good_declaration_becomes_terms() -> None:
-    """The version is the caller's; all else is from the text."""
-    terms = parse_terms(GOOD, 7).unwrap()
+    """The caller sets the version; everything else comes from the text."""
+    terms = parse_terms(VALID_TEXT, 7).unwrap()
     claim = terms.profiles['slot-claim']
     assert terms.version == 7
     assert terms.services['booking-app'].kind is ServiceKind.PLAIN
@@ -113,7 +113,7 @@
 
 
 @pytest.mark.parametrize(
-    ('old', 'new', 'line', 'named', 'remedy'),
+    ('old', 'new', 'line', 'message', 'remedy'),
     [
         ('tier: 1', 'teir: 1', 8, 'profiles.slot-claim.teir', '`tier`'),
         ('services:', 'servcies:', 3, 'servcies', '`services`'),
@@ -147,13 +147,13 @@
     old: str,
     new: str,
     line: int,
-    named: str,
+    message: str,
     remedy: str,
 ) -> None:
-    """An operator at night finds the place and the cure in the message."""
-    problem = refuse(changed(old, new))
+    """The message names the line, the faulty input and the remedy."""
+    problem = parse_rejected(replace_in_valid(old, new))
     assert problem.detail.startswith(f'line {line}: ')
-    assert named in problem.detail
+    assert message in problem.detail
     assert remedy in problem.remedy
 
 
@@ -171,8 +171,8 @@
     ],
 )
 def test_what_is_no_declaration_is_refused(text: str) -> None:
-    """No other document, however short, breaks the parser."""
-    refuse(text)
+    """Malformed or empty documents are rejected without an exception."""
+    parse_rejected(text)
 
 
 @given(
@@ -184,21 +184,23 @@
 @example(text='<<: {a: 1}')
 @example(text='--- a\n--- b')
 def test_any_text_gets_a_verdict(text: str) -> None:
-    """One record that raised would stop every process that follows terms."""
-    refuse(text)
-    parse_terms(GOOD + text, 1)
+    """The parser never raises: an exception would stop every process."""
+    parse_rejected(text)
+    parse_terms(VALID_TEXT + text, 1)
 
 
 def test_an_oversized_declaration_is_refused_before_it_is_read() -> None:
-    """A huge text must not hold up every process that parses it."""
-    assert 'larger' in refuse('#' * (DOCUMENT_LIMIT + 1)).detail
+    """Parsing a huge text would block every process."""
+    assert 'larger' in parse_rejected('#' * (MAX_DOCUMENT_BYTES + 1)).detail
 
 
 def test_faults_are_told_in_the_order_of_the_file() -> None:
-    """The first is named and the rest are counted."""
-    text = changed('tier: 1', 'tier: 9').replace('weight: 2', 'weight: -1')
-    assert refuse(text).detail.startswith('line 8: ')
-    assert '(and 1 more)' in refuse(text).detail
+    """The message shows the first fault and counts the others."""
+    text = replace_in_valid('tier: 1', 'tier: 9').replace(
+        'weight: 2', 'weight: -1'
+    )
+    assert parse_rejected(text).detail.startswith('line 8: ')
+    assert '(and 1 more)' in parse_rejected(text).detail
 
 
 @pytest.mark.parametrize(
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics go out under declared names and never stand in the way."""
+"""Metrics are sent under their declared names and never block or raise."""
 
 import socket
 from datetime import timedelta
@@ -13,7 +13,7 @@
 
 
 def test_labels_become_parts_of_the_name() -> None:
-    """What arrives is what the page says, and no label breaks the format."""
+    """The names match the operators' page; label values are sanitized."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as server:
         server.bind((LOOPBACK, 0))
         server.settimeout(5)
@@ -24,8 +24,8 @@
         metrics.gauge(Metric.WAITING, 7, tier=4)
         metrics.timing(Metric.QUEUED, timedelta(seconds=1), tier=1)
         metrics.count(Metric.LOG_ERRORS)
-        arrived = [server.recv(1000).decode() for _ in range(5)]
-    assert arrived == [
+        received = [server.recv(1000).decode() for _ in range(5)]
+    assert received == [
         'bramleybend.goodput.1:1|c',
         'bramleybend.refused.a_b_c_d.2:3|c',
         'bramleybend.vm.entry-1.waiting.4:7|g',
@@ -35,11 +35,15 @@
 
 
 def test_statsd_being_away_fails_nothing() -> None:
-    """Nobody listens there, or nowhere is named: the calls return."""
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
-        taken.bind((LOOPBACK, 0))
-        closed = HostPort(host=LOOPBACK, port=taken.getsockname()[1])
-    for address in (closed, None, HostPort(host='no.such.invalid', port=1)):
+    """Calls return if nothing listens, no address is set or DNS fails."""
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as server:
+        server.bind((LOOPBACK, 0))
+        unused_address = HostPort(host=LOOPBACK, port=server.getsockname()[1])
+    for address in (
+        unused_address,
+        None,
+        HostPort(host='no.such.invalid', port=1),
+    ):
         metrics = make_metrics(address)
         for _ in range(3):
             metrics.count(Metric.GOODPUT, tier=1)
@@ -48,11 +52,11 @@
 
 
 def test_names_are_given_once() -> None:
-    """Two metrics of one name would be added up in silence."""
+    """Two metrics with the same name would silently be added up."""
     names = [metric.value.name for metric in Metric]
     assert len(names) == len(set(names))
 
 
 def test_the_operators_page_matches_the_code() -> None:
-    """Write it anew with `python -m bramleybend.metrics_page`."""
+    """Regenerate the page with `python -m bramleybend.metrics_page`."""
     assert PAGE.read_text(encoding='utf-8') == metrics_page()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""A wrong setting is named with its value and the remedy."""
+"""Parsing of settings: precedence, defaults and error messages."""
 
 from pathlib import Path
 
@@ -27,7 +27,7 @@
 
 
 def test_flags_go_before_variables() -> None:
-    """What stands on the command line is what the operator sees."""
+    """A flag overrides the environment variable of the same setting."""
     args = ['--vm', 'entry-2', '--statsd', '10.0.0.1:8125']
     cfg = parse_settings(ProcessKind.GATEWAY, args, ENV).unwrap()
     assert cfg.vm == 'entry-2'
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize(
-    ('args', 'env', 'named', 'remedy'),
+    ('args', 'env', 'message', 'remedy'),
     [
         ([], {'BRAMLEYBEND_VM': ''}, '--vm is not set', 'BRAMLEYBEND_VM'),
         (['--http-port', '0'], {}, '--http-port 0', '--http-port 8080'),
@@ -59,47 +59,50 @@
 def test_a_wrong_setting_is_refused_by_name(
     args: list[str],
     env: dict[str, str],
-    named: str,
+    message: str,
     remedy: str,
 ) -> None:
     """The message holds the flag or variable, the value and the remedy."""
     parsed = parse_settings(ProcessKind.GATEWAY, args, ENV | env)
     problem = parsed.unwrap_err()
     assert problem.kind is ErrorKind.BAD_SETTING
-    assert named in problem.detail
+    assert message in problem.detail
     assert remedy in problem.remedy
 
 
-def entry_vm_env() -> dict[str, str]:
-    """Return what an entry VM has to be told."""
+def required_variables() -> dict[str, str]:
+    """Return variables with example values of all required settings."""
     return {
-        env_of(setting.name): setting.about.example
-        for setting in ENTRY.offered()
+        env_of(setting.name): setting.info.example
+        for setting in ENTRY.offered_settings()
         if setting.is_required
     }
 
 
-@pytest.mark.parametrize('given', ['yes', '1', 'True'])
-def test_whether_a_system_starts_first_is_told_in_one_way(given: str) -> None:
-    """A restart that is taken for a first start gives out bursts again."""
-    required = entry_vm_env()
-    assert parse_program(ENTRY, [], required).is_ok()
-    args = ['--first-start', given]
-    problem = parse_program(ENTRY, args, required).unwrap_err()
-    assert f'--first-start {given}' in problem.detail
+@pytest.mark.parametrize('text', ['yes', '1', 'True'])
+def test_whether_a_system_starts_first_is_told_in_one_way(text: str) -> None:
+    """Only `true` and `false` are accepted.
+
+    A restart mistaken for a first start grants all bursts a second time.
+    """
+    variables = required_variables()
+    assert parse_program(ENTRY, [], variables).is_ok()
+    args = ['--first-start', text]
+    problem = parse_program(ENTRY, args, variables).unwrap_err()
+    assert f'--first-start {text}' in problem.detail
     assert "'true' or 'false'" in problem.detail
 
 
-@pytest.mark.parametrize('given', ['0.3', '-0.1', 'nan', 'some'])
-def test_lower_tiers_can_not_be_given_all_starts(given: str) -> None:
-    """The highest tier would wait for three lower ones."""
-    args = ['--min-tier-share', given]
-    problem = parse_program(ENTRY, args, entry_vm_env()).unwrap_err()
-    assert f'--min-tier-share {given}' in problem.detail
+@pytest.mark.parametrize('text', ['0.3', '-0.1', 'nan', 'some'])
+def test_lower_tiers_can_not_be_given_all_starts(text: str) -> None:
+    """Otherwise the highest tier would wait for the three lower ones."""
+    args = ['--min-tier-share', text]
+    problem = parse_program(ENTRY, args, required_variables()).unwrap_err()
+    assert f'--min-tier-share {text}' in problem.detail
 
 
 def test_the_scheduler_opens_no_port_to_callers() -> None:
-    """Its flags leave the callers' port out; a shared variable is taken."""
+    """It has no flag for the callers' port but accepts the shared variable."""
     args = ['--http-port', '80']
     parsed = parse_settings(ProcessKind.SCHEDULER, args, ENV)
     assert '--http-port' in parsed.unwrap_err().detail
@@ -110,16 +113,16 @@
 def test_help_lists_each_flag_and_its_variable(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """An operator needs no other page to start a program."""
+    """The help names the flag and the variable of each setting."""
     with pytest.raises(SystemExit) as exit_info:
         parse_settings(ProcessKind.GATEWAY, ['--help'], {})
-    shown = capsys.readouterr().out
+    help_text = capsys.readouterr().out
     assert exit_info.value.code == 0
     for setting in settings_of(ProcessKind.GATEWAY):
-        assert flag_of(setting.name) in shown
-        assert env_of(setting.name) in shown
+        assert flag_of(setting.name) in help_text
+        assert env_of(setting.name) in help_text
 
 
 def test_the_operators_page_matches_the_code() -> None:
-    """Write it anew with `python -m bramleybend.settings_page`."""
+    """Regenerate the page with `python -m bramleybend.settings_page`."""
     assert PAGE.read_text(encoding='utf-8') == settings_page()
--- a/tests/utils/own_loop.py
+++ b/tests/utils/own_loop.py
@@ -16,7 +16,7 @@
     EVENT_LOGGER,
     EventLog,
     LineStream,
-    line_handler,
+    make_line_handler,
 )
 from bramleybend.loop_watch import LoopWatch
 
@@ -40,7 +40,7 @@
 @contextlib.contextmanager
 def _events_to(stream: LineStream) -> Iterator[None]:
     logger = logging.getLogger(EVENT_LOGGER)
-    handler = line_handler(stream)
+    handler = make_line_handler(stream)
     level = logger.level
     logger.addHandler(handler)
     logger.setLevel(logging.INFO)
