--- a/bramleybend/cli/connection_arguments.py
+++ b/bramleybend/cli/connection_arguments.py
@@ -2,7 +2,7 @@
 
 from argparse import ArgumentParser
 
-from bramleybend.cli.argtypes import (
+from bramleybend.cli.argument_types import (
     parse_port,
     parse_seconds,
     parse_url,
--- a/bramleybend/cli/context.py
+++ b/bramleybend/cli/context.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from bramleybend.cli.argtypes import VmAddress
+from bramleybend.cli.argument_types import VmAddress
 from bramleybend.cli.constants import (
     ENV_LOG_SERVICE,
     ENV_USER,
--- a/bramleybend/cli/ctl.py
+++ b/bramleybend/cli/ctl.py
@@ -18,7 +18,7 @@
 from bramleybend.cli.output import Report, write_problem, write_report
 from bramleybend.cli.queries import diff, history, show, validate
 from bramleybend.errors import ProblemError
-from bramleybend.status import ExitStatus
+from bramleybend.exit_status import ExitStatus
 
 Handler: TypeAlias = Callable[[Context], Awaitable[Report]]
 
--- a/bramleybend/cli/definition.py
+++ b/bramleybend/cli/definition.py
@@ -26,7 +26,7 @@
 )
 from bramleybend.cli.constants import CTL
 from bramleybend.cli.context import Flags
-from bramleybend.cli.parsing import Parser
+from bramleybend.cli.argument_parser import Parser
 
 EXIT_CODES: Final = """exit codes:
   0 done          1 error           2 wrong flag or setting
--- a/bramleybend/cli/draining.py
+++ b/bramleybend/cli/draining.py
@@ -7,7 +7,7 @@
 from bramleybend.cli.control import ProcessStatus
 from bramleybend.cli.exceptions import fail, unwrap
 from bramleybend.cli.output import Report
-from bramleybend.cli.persistence import retry_until
+from bramleybend.cli.retries import retry_until
 from bramleybend.cli.processes import (
     Process,
     StatusResult,
--- a/bramleybend/cli/entry.py
+++ b/bramleybend/cli/entry.py
@@ -6,7 +6,7 @@
 from typing import NoReturn
 
 from bramleybend.cli.environment import Environment
-from bramleybend.status import ExitStatus
+from bramleybend.exit_status import ExitStatus
 
 
 def enter(main: Callable[[Sequence[str], Environment], ExitStatus]) -> NoReturn:
--- a/bramleybend/cli/entry_program.py
+++ b/bramleybend/cli/entry_program.py
@@ -7,7 +7,7 @@
 from bramleybend.cli.serving import Environment, serve, system_environment
 from bramleybend.entry_settings import ENTRY
 from bramleybend.platform.program import make_platform_process
-from bramleybend.status import ExitStatus
+from bramleybend.exit_status import ExitStatus
 
 
 def main(args: Sequence[str], env: Environment) -> ExitStatus:
--- a/bramleybend/cli/exceptions.py
+++ b/bramleybend/cli/exceptions.py
@@ -6,7 +6,7 @@
 from result import Err, Ok, Result
 
 from bramleybend.errors import ErrorKind, Problem, ProblemError
-from bramleybend.status import ExitStatus
+from bramleybend.exit_status import ExitStatus
 
 Value = TypeVar('Value')
 
--- a/bramleybend/cli/fleet_queries.py
+++ b/bramleybend/cli/fleet_queries.py
@@ -8,7 +8,7 @@
 from bramleybend.cli.exceptions import fail
 from bramleybend.cli.log_queries import explain_from_logs
 from bramleybend.cli.output import Report
-from bramleybend.cli.persistence import retry_until
+from bramleybend.cli.retries import retry_until
 from bramleybend.cli.processes import (
     Process,
     StatusResult,
@@ -18,7 +18,7 @@
 )
 from bramleybend.cli.status_tables import status_tables
 from bramleybend.errors import ErrorKind
-from bramleybend.status import ExitStatus
+from bramleybend.exit_status import ExitStatus
 from bramleybend.timeline.merge import merge
 from bramleybend.timeline.read import read_lines
 from bramleybend.timeline.text import render
--- a/bramleybend/cli/gateway.py
+++ b/bramleybend/cli/gateway.py
@@ -7,7 +7,7 @@
 from bramleybend.cli.serving import Environment, serve, system_environment
 from bramleybend.gateway.gateway_process import make_gateway
 from bramleybend.settings import ProcessKind, program_of
-from bramleybend.status import ExitStatus
+from bramleybend.exit_status import ExitStatus
 
 
 def main(args: Sequence[str], env: Environment) -> ExitStatus:
--- a/bramleybend/cli/log_queries.py
+++ b/bramleybend/cli/log_queries.py
@@ -5,10 +5,10 @@
 from bramleybend.cli.exceptions import fail
 from bramleybend.cli.output import Report, format_table
 from bramleybend.errors import ErrorKind
-from bramleybend.timeline.cause import Finding, explain_request
+from bramleybend.timeline.explanation import Finding, explain_request
 from bramleybend.timeline.merge import Filter, merge, select
 from bramleybend.timeline.text import render
-from bramleybend.timeline.times import (
+from bramleybend.timeline.latencies import (
     TierTimes,
     format_served_by_size,
     format_durations,
--- a/bramleybend/cli/output.py
+++ b/bramleybend/cli/output.py
@@ -6,7 +6,7 @@
 from typing import Final, TextIO
 
 from bramleybend.errors import Problem
-from bramleybend.status import ExitStatus
+from bramleybend.exit_status import ExitStatus
 
 COLUMN_GAP: Final = '  '
 UNPRINTABLE: Final = '?'
--- a/bramleybend/cli/processes.py
+++ b/bramleybend/cli/processes.py
@@ -7,7 +7,7 @@
 
 from result import Result
 
-from bramleybend.cli.argtypes import VmAddress
+from bramleybend.cli.argument_types import VmAddress
 from bramleybend.cli.constants import ENV_VM_LIST
 from bramleybend.cli.context import Context
 from bramleybend.cli.control import ControlClient, ProcessStatus
--- a/bramleybend/cli/queries.py
+++ b/bramleybend/cli/queries.py
@@ -15,7 +15,7 @@
 from bramleybend.declarations import parse_terms
 from bramleybend.errors import ErrorKind, Problem, ProblemError
 from bramleybend.models import Terms
-from bramleybend.status import ExitStatus
+from bramleybend.exit_status import ExitStatus
 
 
 async def validate(ctx: Context) -> Report:
--- a/bramleybend/cli/serving.py
+++ b/bramleybend/cli/serving.py
@@ -14,7 +14,7 @@
 from bramleybend.events import setup_logging
 from bramleybend.log_output import LineWriter, RateFilter
 from bramleybend.settings_parsing import Model, Program, parse_program
-from bramleybend.status import ExitStatus
+from bramleybend.exit_status import ExitStatus
 
 DEFAULT_LEVEL = 'INFO'
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
--- a/bramleybend/cli/timeline.py
+++ b/bramleybend/cli/timeline.py
@@ -5,16 +5,16 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from bramleybend.cli.argtypes import parse_tier
+from bramleybend.cli.argument_types import parse_tier
 from bramleybend.cli.constants import TIMELINE
 from bramleybend.cli.entry import enter
 from bramleybend.cli.environment import Environment
 from bramleybend.cli.event_logs import read_logs
 from bramleybend.cli.exceptions import fail, exit_status_of
 from bramleybend.cli.output import write_problem
-from bramleybend.cli.parsing import Parser
+from bramleybend.cli.argument_parser import Parser
 from bramleybend.errors import ErrorKind, ProblemError
-from bramleybend.status import ExitStatus
+from bramleybend.exit_status import ExitStatus
 from bramleybend.timeline.merge import Filter, merge, select
 from bramleybend.timeline.page import render_page
 from bramleybend.timeline.text import render, summarize
--- a/tests/cli/world.py
+++ b/tests/cli/fakes.py
@@ -21,7 +21,7 @@
 from bramleybend.clock import ManualClock
 from bramleybend.errors import ErrorKind, Problem
 from bramleybend.models import RunnerState, Vm
-from bramleybend.status import ExitStatus
+from bramleybend.exit_status import ExitStatus
 
 EXAMPLES = Path(__file__).parent.parent.parent / 'examples'
 PARWAZ = str(EXAMPLES / 'parwaz.yaml')
--- a/tests/cli/test_publish.py
+++ b/tests/cli/test_publish.py
@@ -6,8 +6,8 @@
 import pytest
 
 from bramleybend.state.terms_records import encode_renew
-from bramleybend.status import ExitStatus
-from tests.cli.world import PARWAZ, FakeEnvironment
+from bramleybend.exit_status import ExitStatus
+from tests.cli.fakes import PARWAZ, FakeEnvironment
 
 
 @pytest.fixture(name='world')
--- a/tests/cli/test_queries.py
+++ b/tests/cli/test_queries.py
@@ -6,8 +6,8 @@
 import pytest
 
 from bramleybend.errors import ErrorKind, Problem
-from bramleybend.status import ExitStatus
-from tests.cli.world import NO_ANSWER, NOT_LISTENING, PARWAZ, FakeEnvironment
+from bramleybend.exit_status import ExitStatus
+from tests.cli.fakes import NO_ANSWER, NOT_LISTENING, PARWAZ, FakeEnvironment
 
 
 @pytest.fixture(name='world')
--- a/tests/cli/test_real_clients.py
+++ b/tests/cli/test_real_clients.py
@@ -10,13 +10,13 @@
 
 from bramleybend.cli.ctl import execute
 from bramleybend.cli.environment import Environment
-from bramleybend.status import ExitStatus
+from bramleybend.exit_status import ExitStatus
 from bramleybend.wire.bramleybend_pb2 import StatusReply, StatusRequest
 from bramleybend.wire.bramleybend_pb2_grpc import (
     ControlServicer,
     add_ControlServicer_to_server,
 )
-from tests.cli.world import PARWAZ
+from tests.cli.fakes import PARWAZ
 from tests.utils.log_service import LogService
 
 PUBLISH = ('publish', PARWAZ, '--base', '0', '--timeout', '8')
--- a/tests/failures/test_operators_at_work.py
+++ b/tests/failures/test_operators_at_work.py
@@ -17,7 +17,7 @@
 from bramleybend.cli.environment import Environment
 from bramleybend.cli.timeline import main as show_timeline
 from bramleybend.clients.log_service import TERMS_STREAM
-from bramleybend.status import ExitStatus
+from bramleybend.exit_status import ExitStatus
 from examples.caller import send
 from tests.utils.cluster import EXAMPLE, Layout
 from tests.utils.engine import EngineConfig
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -13,7 +13,7 @@
 from random import SystemRandom
 from typing import Final
 
-from bramleybend.status import ExitStatus
+from bramleybend.exit_status import ExitStatus
 from tests.soak.play import Played, play
 
 MOST_VMS: Final = 99  # one address each in the last byte's tens
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -19,7 +19,7 @@
     WeightStoreDeclaration,
 )
 from bramleybend.gateway.request_checks import REQUIRED_HEADERS
-from bramleybend.status import ExitStatus
+from bramleybend.exit_status import ExitStatus
 
 ROOT = Path(__file__).parent.parent
 LINK = re.compile(r'\]\(([^)#:]+)[^):]*\)')
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -23,7 +23,7 @@
     encode_seal,
 )
 from bramleybend.state.tickets import RequestId, Ticket
-from tests.cli.world import FakeLog
+from tests.cli.fakes import FakeLog
 
 INCARNATION = 'feed'
 LIMIT_S = 5
--- a/tests/test_order_issuer.py
+++ b/tests/test_order_issuer.py
@@ -37,7 +37,7 @@
 from bramleybend.scheduler.order_issuer import OrderIssuer
 from bramleybend.state.order_records import LOADS_STREAM, ClaimRecord
 from bramleybend.state.order_rules import PERMIT_USE_S
-from tests.cli.world import LOG_DOWN, REPLY_LOST, FakeLog
+from tests.cli.fakes import LOG_DOWN, REPLY_LOST, FakeLog
 
 KEY = ShardKey('llm', 0, 1)
 CLAIMS_STREAM = 'orders-llm'
--- a/tests/timeline/test_cause.py
+++ b/tests/timeline/test_cause.py
@@ -6,11 +6,11 @@
 import pytest
 
 from bramleybend.cli.event_logs import read_logs
-from bramleybend.timeline.cause import explain_request
+from bramleybend.timeline.explanation import explain_request
 from bramleybend.timeline.merge import merge
 from bramleybend.timeline.read import read_lines
-from bramleybend.status import ExitStatus
-from tests.cli.world import FakeEnvironment
+from bramleybend.exit_status import ExitStatus
+from tests.cli.fakes import FakeEnvironment
 from tests.utils.processes import ROOT
 
 LOGS = ROOT / 'tests' / 'timeline' / 'played_day'
--- a/tests/timeline/test_timeline.py
+++ b/tests/timeline/test_timeline.py
@@ -11,7 +11,7 @@
 from bramleybend.cli.timeline import main
 from bramleybend.clock import ManualClock
 from bramleybend.events import EventLog, setup_logging
-from bramleybend.status import ExitStatus
+from bramleybend.exit_status import ExitStatus
 
 START = datetime(2026, 1, 1, 12, tzinfo=UTC)
 LAGGING_START = datetime(2026, 1, 1, 11, 59, 30, tzinfo=UTC)
--- a/tests/timeline/test_times.py
+++ b/tests/timeline/test_times.py
@@ -1,15 +1,15 @@
 """The latency breakdown by tier, computed from event logs."""
 
-from bramleybend.status import ExitStatus
+from bramleybend.exit_status import ExitStatus
 from bramleybend.timeline.merge import merge
 from bramleybend.timeline.read import read_lines
-from bramleybend.timeline.times import (
+from bramleybend.timeline.latencies import (
     TierTimes,
     format_served_by_size,
     format_durations,
     collect_tier_times,
 )
-from tests.cli.world import FakeEnvironment
+from tests.cli.fakes import FakeEnvironment
 from tests.timeline.test_cause import LOGS, event_line
 
 
