--- a/bramleybend/answers.py
+++ b/bramleybend/answers.py
@@ -20,7 +20,7 @@
     EXPIRED = 'expired'  # the id is older than the retention of request ids
 
 
-STATUS: Final = MappingProxyType(
+HTTP_STATUSES: Final = MappingProxyType(
     {
         Outcome.DONE: HTTPStatus.OK,
         Outcome.NOT_RUN: HTTPStatus.SERVICE_UNAVAILABLE,
@@ -46,10 +46,10 @@
     @property
     def http_status(self) -> HTTPStatus:
         """The outcome's status, unless a more specific one is set."""
-        return self.status or STATUS[self.outcome]
+        return self.status or HTTP_STATUSES[self.outcome]
 
 
-def not_run(reason: str, retry_after: timedelta) -> Answer:
+def answer_not_run(reason: str, retry_after: timedelta) -> Answer:
     """Return the answer for a request that did not run and may be retried."""
     return Answer(
         Outcome.NOT_RUN,
@@ -59,7 +59,7 @@
     )
 
 
-def unknown(reason: str) -> Answer:
+def answer_unknown(reason: str) -> Answer:
     """Return the answer for a request that may have run."""
     return Answer(
         Outcome.UNKNOWN,
@@ -68,7 +68,7 @@
     )
 
 
-def rejected(
+def answer_rejected(
     reason: str,
     remedy: str,
     status: HTTPStatus = HTTPStatus.BAD_REQUEST,
@@ -77,7 +77,7 @@
     return Answer(Outcome.REJECTED, reason, remedy, status=status)
 
 
-def expired(reason: str) -> Answer:
+def answer_expired(reason: str) -> Answer:
     """Return the answer for an id that is too old to be run or answered."""
     return Answer(
         Outcome.EXPIRED,
@@ -86,9 +86,9 @@
     )
 
 
-def quarantined() -> Answer:
+def answer_quarantined() -> Answer:
     """Return the answer to content that is refused permanently."""
-    return rejected(
+    return answer_rejected(
         'runners crashed while they ran this content',
         'change the content; the same one will not be run again',
         HTTPStatus.UNPROCESSABLE_ENTITY,
--- a/bramleybend/gateway/caller_connection.py
+++ b/bramleybend/gateway/caller_connection.py
@@ -15,7 +15,7 @@
 
 import h11
 
-from bramleybend.answers import Answer, not_run, rejected
+from bramleybend.answers import Answer, answer_not_run, answer_rejected
 from bramleybend.clients.http import READ_SIZE
 from bramleybend.clients.message_bounds import (
     MessageBounds,
@@ -132,7 +132,7 @@
             return _incomplete_answer()
         if self._http.their_state is h11.IDLE:
             return None
-        return not_run('this VM is stopping', STOPPING_RETRY_AFTER)
+        return answer_not_run('this VM is stopping', STOPPING_RETRY_AFTER)
 
     async def _read_request(self) -> HttpRequest | Answer | None:
         async with self._limit_read_time():
@@ -250,7 +250,7 @@
 
 def _malformed_answer(exc: h11.RemoteProtocolError) -> Answer:
     status = HTTPStatus(exc.error_status_hint)
-    return rejected(
+    return answer_rejected(
         f'this is not a valid HTTP/1.1 request: {exc}',
         'send headers under 16 KiB and a body as its length says',
         status,
@@ -258,7 +258,7 @@
 
 
 def _overhead_answer(exc: MessageTooLongError) -> Answer:
-    return rejected(
+    return answer_rejected(
         str(exc),
         'send larger chunks and no extensions; nothing was run',
         HTTPStatus.BAD_REQUEST,
@@ -266,7 +266,7 @@
 
 
 def _incomplete_answer() -> Answer:
-    return rejected(
+    return answer_rejected(
         f'the request was not whole after {READ_TIMEOUT_S:.0f} s',
         'send it whole; nothing was run',
         HTTPStatus.REQUEST_TIMEOUT,
@@ -274,7 +274,7 @@
 
 
 def _too_large_answer() -> Answer:
-    return rejected(
+    return answer_rejected(
         f'the body is over {MAX_REQUEST_BYTES} bytes',
         'send less in one request; nothing was run',
         HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
--- a/bramleybend/gateway/dispatcher.py
+++ b/bramleybend/gateway/dispatcher.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 from typing import Final
 
-from bramleybend.answers import Answer, Outcome, not_run, unknown
+from bramleybend.answers import Answer, Outcome, answer_not_run, answer_unknown
 from bramleybend.decisions.retries import RetryBudgets, backoff
 from bramleybend.gateway.attempt import AttemptEnd, EndKind
 from bramleybend.gateway.hedge import Hedger
@@ -55,7 +55,7 @@
             self._deps.metrics.count(Metric.RETRIED, tier=int(job.tier))
             delay = backoff(attempt_number + 1, self._deps.rng)
             await asyncio.sleep(delay.total_seconds())
-        refusal = not_run('no runner took it', RETRY_AFTER)
+        refusal = answer_not_run('no runner took it', RETRY_AFTER)
         return self._failure_answer(job, refusal, sent_end)
 
     def _failure_answer(
@@ -103,7 +103,7 @@
                 'send it under a new id if it is still wanted',
             )
         case EndKind.UNHEARD:
-            return unknown('the runner was sent it and did not answer')
+            return answer_unknown('the runner was sent it and did not answer')
         case EndKind.ANSWERED:
             return Answer(
                 Outcome.FAILED,
--- a/bramleybend/gateway/home.py
+++ b/bramleybend/gateway/home.py
@@ -14,7 +14,13 @@
 
 from result import Err, Ok
 
-from bramleybend.answers import Answer, Outcome, expired, not_run, rejected
+from bramleybend.answers import (
+    Answer,
+    Outcome,
+    answer_expired,
+    answer_not_run,
+    answer_rejected,
+)
 from bramleybend.events import MILLISECONDS, EventLog
 from bramleybend.gateway.dispatcher import Dispatcher
 from bramleybend.gateway.job import DispatchDeps, Job
@@ -74,7 +80,9 @@
     def expired_answer(self, request_id: RequestId) -> Answer | None:
         """Return `expired` for an id too old to know whether it has run."""
         seen = self._ids.lookup(request_id, self._deps.clock.monotonic())
-        return expired(seen.reason) if isinstance(seen, Expired) else None
+        return (
+            answer_expired(seen.reason) if isinstance(seen, Expired) else None
+        )
 
     def submit(
         self,
@@ -109,9 +117,11 @@
         run = Run(replace(req, deadline=min(req.deadline, max_deadline)))
         added = self._ids.add(request_id, run, self._deps.clock.monotonic())
         if isinstance(added, Expired):
-            return expired(added.reason)
+            return answer_expired(added.reason)
         if isinstance(added, Full):
-            return not_run('this VM holds too many ids', NEW_TICKET_RETRY_AFTER)
+            return answer_not_run(
+                'this VM holds too many ids', NEW_TICKET_RETRY_AFTER
+            )
         job = Job(run, profile, terms.services[profile.service])
         started_at = self._deps.clock.monotonic()
         run.on_first_data = partial(
@@ -173,7 +183,9 @@
             if not dispatch_task.done() and not job.run.was_dispatched:
                 job.run.give_up()
                 dispatch_task.cancel()
-                return not_run('its caller has gone', NEW_TICKET_RETRY_AFTER)
+                return answer_not_run(
+                    'its caller has gone', NEW_TICKET_RETRY_AFTER
+                )
             return await dispatch_task
         finally:
             abandoned.cancel()
@@ -194,11 +206,11 @@
 
     def _intent_refusal(self) -> Answer:
         if self.journal.is_sealed:
-            return not_run(
+            return answer_not_run(
                 'this ticket has ended; ask for a new one',
                 NEW_TICKET_RETRY_AFTER,
             )
-        return not_run(
+        return answer_not_run(
             'the log is down and this profile writes to it first',
             LOG_RETRY_AFTER,
         )
@@ -242,7 +254,7 @@
 def _join_run(run: Run, req: CallerRequest) -> Run | Answer:
     # The same id with another body must not get the first body's answer.
     if run.req.fingerprint != req.fingerprint:
-        return rejected(
+        return answer_rejected(
             'this id was sent before with another body',
             'mint a new id for a new request',
         )
--- a/bramleybend/gateway/intake.py
+++ b/bramleybend/gateway/intake.py
@@ -9,7 +9,13 @@
 
 from result import Err, Ok
 
-from bramleybend.answers import Answer, Outcome, not_run, quarantined, rejected
+from bramleybend.answers import (
+    Answer,
+    Outcome,
+    answer_not_run,
+    answer_quarantined,
+    answer_rejected,
+)
 from bramleybend.clock import Clock
 from bramleybend.events import EventLog
 from bramleybend.gateway.forwarding import Forwarder
@@ -134,7 +140,7 @@
     def _route(self, req: CallerRequest) -> Run | Answer:
         match parse_request_id(req.request_id):
             case Err(problem):
-                return rejected(problem.detail, problem.remedy)
+                return answer_rejected(problem.detail, problem.remedy)
             case Ok(request_id):
                 if request_id.ticket.incarnation in self._homes:
                     return self._submit(request_id, req)
@@ -162,13 +168,13 @@
         if rejection is not None:
             return rejection
         if self.is_draining:
-            return not_run(
+            return answer_not_run(
                 'this VM is stopping; ask another one for a ticket',
                 DRAIN_RETRY_AFTER,
             )
         if req.fingerprint in self._deps.views.view.refused_fingerprints:
             self._deps.metrics.count(Metric.QUARANTINED)
-            return quarantined()
+            return answer_quarantined()
         return self._refuse_on_stale_terms()
 
     def _refuse_on_stale_terms(self) -> Answer | None:
@@ -177,7 +183,7 @@
         views = self._deps.views
         is_stale = views.terms_age_s > self._deps.terms_stale_after_s
         if views.view.terms is None or is_stale:
-            return not_run(
+            return answer_not_run(
                 'this VM has no fresh terms; try another address',
                 STALE_RETRY_AFTER,
             )
--- a/bramleybend/gateway/lost_home.py
+++ b/bramleybend/gateway/lost_home.py
@@ -11,7 +11,7 @@
 from http import HTTPStatus
 from typing import Final
 
-from bramleybend.answers import Answer, Outcome, not_run, unknown
+from bramleybend.answers import Answer, Outcome, answer_not_run, answer_unknown
 from bramleybend.clients.log_service import LogBatch, LogService
 from bramleybend.clock import Clock
 from bramleybend.events import EventLog
@@ -87,7 +87,7 @@
             async with asyncio.timeout(self._time_limit_s(run)), journal.lock:
                 return await self._find_answer(request_id, run, journal.view)
         except TimeoutError:
-            return unknown(LOG_DOWN_REASON)
+            return answer_unknown(LOG_DOWN_REASON)
 
     def _time_limit_s(self, run: Run) -> float:
         left_s = run.req.deadline - self._clock.monotonic() - ANSWER_MARGIN_S
@@ -100,7 +100,7 @@
         view: JournalView,
     ) -> Answer:
         if not await self._read_to_tail(request_id, view):
-            return unknown(LOG_DOWN_REASON)
+            return answer_unknown(LOG_DOWN_REASON)
         if request_id.ticket.intent_first and not view.sealed:
             # If the home is still alive, it reads the seal back before its
             # next dispatch, and dispatches nothing reported as `not_run` here.
@@ -109,14 +109,16 @@
                 not await self._read_to_tail(request_id, view)
                 or not view.sealed
             ):
-                return unknown(LOG_DOWN_REASON)
+                return answer_unknown(LOG_DOWN_REASON)
         match view.fate(request_id):
             case Ended(record):
                 return _repeat_outcome(record, run)
             case NotRun():
-                return not_run('its home was lost before it ran', RETRY_AFTER)
+                return answer_not_run(
+                    'its home was lost before it ran', RETRY_AFTER
+                )
             case Unknown(reason):
-                return unknown(reason)
+                return answer_unknown(reason)
         raise AssertionError(request_id)
 
     def _open_journal(self, incarnation: str) -> LockedJournal:
@@ -167,7 +169,7 @@
             status=status,
         )
     if record.answer is None:
-        return unknown('it ran to its end, but the answer was lost')
+        return answer_unknown('it ran to its end, but the answer was lost')
     run.content_type = record.content_type
     run.add_chunk(record.answer)
     return Answer(Outcome.DONE, 'whole')
--- a/bramleybend/gateway/request_checks.py
+++ b/bramleybend/gateway/request_checks.py
@@ -10,7 +10,7 @@
 from result import Err, Ok, Result
 from xxhash import xxh3_128_hexdigest
 
-from bramleybend.answers import Answer, rejected
+from bramleybend.answers import Answer, answer_rejected
 from bramleybend.clock import Clock
 from bramleybend.gateway.run import CallerRequest
 from bramleybend.models import Profile, Terms
@@ -42,7 +42,7 @@
     ]
     if missing:
         return Err(
-            rejected(
+            answer_rejected(
                 f'header {missing[0]} is missing',
                 'send it; docs/CALLERS.md lists the headers',
             ),
@@ -67,14 +67,14 @@
         return Err(_unknown_name('profile', req.profile))
     if profile.service != req.service:
         return Err(
-            rejected(
+            answer_rejected(
                 f'profile {req.profile} belongs to {profile.service}',
                 f'send it to {profile.service} or name another profile',
             ),
         )
     if req.profile not in workspace.profiles:
         return Err(
-            rejected(
+            answer_rejected(
                 f'workspace {req.workspace} may not use {req.profile}',
                 'name a profile that its terms list',
                 HTTPStatus.FORBIDDEN,
@@ -91,7 +91,7 @@
     """
     if req.deadline > clock.monotonic():
         return None
-    return rejected(
+    return answer_rejected(
         'the deadline has passed',
         'send a later one; check that both clocks agree',
     )
@@ -132,7 +132,7 @@
         deadline = datetime.fromisoformat(text)
     except ValueError:
         return Err(
-            rejected(
+            answer_rejected(
                 f'deadline {text[:MAX_ECHOED_CHARS]!r} is not a time',
                 'send RFC 3339 in UTC, as in 2026-12-02T21:00:00Z',
             ),
@@ -143,7 +143,7 @@
 
 
 def _unknown_name(kind: str, name: str) -> Answer:
-    return rejected(
+    return answer_rejected(
         f'there is no {kind} {name[:MAX_ECHOED_CHARS]!r}',
         'use a name that the published terms hold',
         HTTPStatus.NOT_FOUND,
--- a/bramleybend/gateway/routes.py
+++ b/bramleybend/gateway/routes.py
@@ -7,7 +7,7 @@
 from typing import Final
 from urllib.parse import parse_qs, urlsplit
 
-from bramleybend.answers import Answer, Outcome, not_run, rejected
+from bramleybend.answers import Answer, Outcome, answer_not_run, answer_rejected
 from bramleybend.gateway.http_messages import (
     EVENT_TYPE,
     JSON_TYPE,
@@ -51,7 +51,7 @@
             case HTTPMethod.POST, '/v1/requests':
                 return await self._post_request(req)
         return make_http_answer(
-            rejected(
+            answer_rejected(
                 f'there is no {req.method} {parts.path[:MAX_ECHOED_CHARS]}',
                 'use GET /v1/address or POST /v1/requests',
                 HTTPStatus.NOT_FOUND,
@@ -72,7 +72,7 @@
         )
 
     def _refuse_ticket(self, addresses: list[str]) -> HttpAnswer:
-        answer = not_run('this VM takes no new requests', RETRY_AFTER)
+        answer = answer_not_run('this VM takes no new requests', RETRY_AFTER)
         payload = {**make_payload(answer), 'addresses': addresses[1:]}
         refused = make_http_answer(answer)
         return HttpAnswer(
@@ -85,7 +85,7 @@
     def _get_ready(self) -> HttpAnswer:
         if self._intake.is_ready:
             return _json_answer({'ready': True})
-        return make_http_answer(not_run('not ready', RETRY_AFTER))
+        return make_http_answer(answer_not_run('not ready', RETRY_AFTER))
 
     async def _post_request(self, req: HttpRequest) -> HttpAnswer:
         await self._intake.wait_for_fresh_view()
--- a/bramleybend/gateway/run.py
+++ b/bramleybend/gateway/run.py
@@ -12,7 +12,7 @@
 from datetime import timedelta
 from typing import Final
 
-from bramleybend.answers import Answer, Outcome, not_run, unknown
+from bramleybend.answers import Answer, Outcome, answer_not_run, answer_unknown
 from bramleybend.events import EventLog
 
 # A well-written caller resends the same id at once when its connection breaks.
@@ -53,9 +53,9 @@
     if run.answer is not None:
         return
     if run.was_dispatched:
-        run.finish(unknown('a fault of this VM while it ran'))
+        run.finish(answer_unknown('a fault of this VM while it ran'))
     else:
-        run.finish(not_run('a fault of this VM', FAULT_RETRY_AFTER))
+        run.finish(answer_not_run('a fault of this VM', FAULT_RETRY_AFTER))
     fault = None if task.cancelled() else task.exception()
     events.record('fault', run.req.request_id, fault=repr(fault))
 
--- a/bramleybend/gateway/slot_search.py
+++ b/bramleybend/gateway/slot_search.py
@@ -7,7 +7,7 @@
 
 from result import Err, Ok
 
-from bramleybend.answers import Answer, not_run, quarantined
+from bramleybend.answers import Answer, answer_not_run, answer_quarantined
 from bramleybend.decisions.floor import grant_usable
 from bramleybend.decisions.routing import rank_shards
 from bramleybend.errors import Problem
@@ -154,7 +154,7 @@
             case Err(Problem() as problem) if is_extra:
                 return Refused(reason=str(problem), shed=True)
             case Err(Problem() as problem):
-                return not_run(str(problem), RETRY_AFTER)
+                return answer_not_run(str(problem), RETRY_AFTER)
             case Err(Refused() as refused):
                 # An urgent request was refused for lack of capacity before,
                 # or waits at another shard: a refusal sheds it, also if it
@@ -193,8 +193,8 @@
 
 def _refusal_answer(refused: Refused) -> Answer:
     if refused.quarantined:
-        return quarantined()
-    return not_run(
+        return answer_quarantined()
+    return answer_not_run(
         refused.reason,
         timedelta(seconds=refused.retry_after_s),
     )
--- a/bramleybend/log_output.py
+++ b/bramleybend/log_output.py
@@ -25,7 +25,7 @@
 # Lines a second for each kind of event: four times what a VM logs at its peak
 # of 50 requests a second.
 MAX_LINES_PER_S: Final = 200
-BURST: Final = 400
+BURST_LINES: Final = 400
 STOP_TIMEOUT_S: Final = 1.0
 
 
@@ -99,8 +99,8 @@
             return True
         kind = str(record.msg.get('event', ''))
         now = self._clock.monotonic()
-        tokens, filled_at = self._buckets.get(kind, (float(BURST), now))
-        tokens = min(tokens + (now - filled_at) * MAX_LINES_PER_S, BURST)
+        tokens, filled_at = self._buckets.get(kind, (float(BURST_LINES), now))
+        tokens = min(tokens + (now - filled_at) * MAX_LINES_PER_S, BURST_LINES)
         if tokens < 1:
             self._buckets[kind] = (tokens, now)
             self._dropped[kind] += 1
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -6,7 +6,7 @@
 import pytest
 from pydantic import BaseModel
 
-from bramleybend.answers import STATUS
+from bramleybend.answers import HTTP_STATUSES
 from bramleybend.cli.control import ProcessStatus
 from bramleybend.cli.definition import COMMANDS, QUERIES
 from bramleybend.declarations import (
@@ -71,5 +71,5 @@
     text = (ROOT / 'docs' / 'CALLERS.md').read_text(encoding='utf-8')
     for name in REQUIRED_HEADERS:
         assert name in text.lower()
-    for outcome, status in STATUS.items():
+    for outcome, status in HTTP_STATUSES.items():
         assert f'| `{outcome}` | {status.value}' in text
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -8,7 +8,7 @@
 
 from bramleybend.clock import ManualClock
 from bramleybend.log_output import (
-    BURST,
+    BURST_LINES,
     MAX_QUEUED_LINES,
     LineWriter,
     RateFilter,
@@ -62,13 +62,14 @@
     clock = ManualClock(START)
     rate_filter = RateFilter(clock)
     passed_count = sum(
-        rate_filter.filter(make_record('refused')) for _ in range(BURST * 2)
+        rate_filter.filter(make_record('refused'))
+        for _ in range(BURST_LINES * 2)
     )
-    assert passed_count == BURST
+    assert passed_count == BURST_LINES
     assert rate_filter.filter(make_record('manifest'))
     assert rate_filter.filter(make_record('refused', logging.ERROR))
     clock.advance(1)
     record = make_record('refused')
     assert rate_filter.filter(record)
     assert isinstance(record.msg, dict)
-    assert record.msg['dropped_before'] == BURST
+    assert record.msg['dropped_before'] == BURST_LINES
--- a/tests/test_shard_race.py
+++ b/tests/test_shard_race.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from bramleybend.answers import Answer, not_run
+from bramleybend.answers import Answer, answer_not_run
 from bramleybend.gateway.shard_race import (
     MAX_CONCURRENT_ASKS,
     AskResult,
@@ -111,7 +111,7 @@
 
 
 async def test_a_final_answer_ends_the_search() -> None:
-    answer: Answer = not_run('quarantined', timedelta(seconds=1))
+    answer: Answer = answer_not_run('quarantined', timedelta(seconds=1))
     shards = _Shards({0: (0, answer)})
     assert await _race(shards.ask, [0, 1]).run(LONG_S) is answer
     assert shards.asked == [(0, False)]
