--- a/examples/caller.py
+++ b/examples/caller.py
@@ -1,4 +1,7 @@
-"""A caller of bramleybend in the standard library alone; docs/CALLERS.md."""
+"""A client of bramleybend that uses only the standard library.
+
+See docs/CALLERS.md.
+"""
 
 import json
 import sys
@@ -9,38 +12,39 @@
 from urllib.error import HTTPError
 from urllib.request import Request, urlopen
 
-PATIENCE_S = 30
-BROKEN = (OSError, HTTPException)  # also no answer in time, or half of one
+DEADLINE_S = 30
+# Includes timeouts and incomplete responses.
+CONNECTION_ERRORS = (OSError, HTTPException)
 
 
-Told = tuple[str, str, float]  # outcome, answer, when to come back
+Reply = tuple[str, str, float]  # outcome, answer, seconds until a retry
 
 
-def ask(entries: list[str], profile: str) -> tuple[list[str], str]:
-    """Return addresses and a ticket from the first entry VM that serves."""
+def get_ticket(entries: list[str], profile: str) -> tuple[list[str], str]:
+    """Return addresses and a ticket from the first entry VM that answers."""
     for entry in entries:
         url = f'http://{entry}/v1/address?profile={profile}'
         try:
-            told = json.load(urlopen(url, timeout=2))
-        except BROKEN:
-            continue  # the next entry VM may serve
-        return told['addresses'], told['ticket']
+            answer = json.load(urlopen(url, timeout=2))
+        except CONNECTION_ERRORS:
+            continue  # try the next entry VM
+        return answer['addresses'], answer['ticket']
     return [], ''
 
 
-def post(addresses: list[str], headers: dict[str, str], body: bytes) -> Told:
-    """Send one id until an answer comes whole, to whichever address."""
+def post(addresses: list[str], headers: dict[str, str], body: bytes) -> Reply:
+    """Send a request under one id until an address returns a full answer."""
     for address in addresses * 3:
         req = Request(f'http://{address}/v1/requests', body, headers)
         try:
-            reply = urlopen(req, timeout=PATIENCE_S)
+            reply = urlopen(req, timeout=DEADLINE_S)
         except HTTPError as exc:
-            reply = exc  # any answer but `done`
-        except BROKEN:
-            continue  # the same id again: it runs once, wherever it goes
+            reply = exc  # an answer with any outcome but `done`
+        except CONNECTION_ERRORS:
+            continue  # retry with the same id, so that it runs at most once
         try:
             text = reply.read().decode()
-        except BROKEN:
+        except CONNECTION_ERRORS:
             continue
         pause = float(reply.headers.get('Retry-After', 1))
         return reply.headers.get('Bramleybend-Outcome', 'unknown'), text, pause
@@ -48,19 +52,19 @@
 
 
 def send(entries: list[str], names: list[str], body: bytes) -> tuple[str, str]:
-    """Send until an outcome other than `not_run` is known; return both."""
-    due = datetime.now(UTC) + timedelta(seconds=PATIENCE_S)
+    """Send until the outcome isn't `not_run`; return outcome and answer."""
+    deadline = datetime.now(UTC) + timedelta(seconds=DEADLINE_S)
     headers = dict(zip(('Workspace', 'Service', 'Profile'), names, strict=True))
-    headers['Deadline'] = due.isoformat()
+    headers['Deadline'] = deadline.isoformat()
     headers = {f'Bramleybend-{name}': headers[name] for name in headers}
     while True:
-        addresses, ticket = ask(entries, names[-1])
+        addresses, ticket = get_ticket(entries, names[-1])
         headers['Bramleybend-Request-Id'] = f'{ticket}/{uuid.uuid4().hex}'
         outcome, text, pause = post(addresses, headers, body)
         done = outcome != 'not_run' and addresses
-        if done or datetime.now(UTC) >= due:
+        if done or datetime.now(UTC) >= deadline:
             return outcome, text
-        time.sleep(pause)  # it was not run: a new ticket and a new id
+        time.sleep(pause)  # not run: retry with a new ticket and a new id
 
 
 if __name__ == '__main__':
--- a/examples/caller.sh
+++ b/examples/caller.sh
@@ -1,18 +1,18 @@
 #!/usr/bin/env bash
-# A whole caller: caller.sh ENTRY[,ENTRY...] WORKSPACE SERVICE PROFILE < body
+# A complete client: caller.sh ENTRY[,ENTRY...] WORKSPACE SERVICE PROFILE < body
 set -u
 IFS=, read -ra entries <<<"$1"
 work=$(mktemp -d); trap 'rm -rf "$work"' EXIT; cat >"$work/body"
 due=$(date -u -d '+30 seconds' +%Y-%m-%dT%H:%M:%SZ)
 while :; do
-  for entry in "${entries[@]}"; do # the first entry VM that serves
-    curl -sf -m 2 -o "$work/told" "http://$entry/v1/address?profile=$4" && break
+  for entry in "${entries[@]}"; do # the first entry VM that answers
+    curl -sf -m 2 -o "$work/address" "http://$entry/v1/address?profile=$4" && break
   done
-  ticket=$(sed -nE 's/.*"ticket": "([^"]+)".*/\1/p' "$work/told")
-  addresses=$(sed -E 's/.*\[([^]]*)\].*/\1/; s/[",]//g' "$work/told")
+  ticket=$(sed -nE 's/.*"ticket": "([^"]+)".*/\1/p' "$work/address")
+  addresses=$(sed -E 's/.*\[([^]]*)\].*/\1/; s/[",]//g' "$work/address")
   id="$ticket/$(cat /proc/sys/kernel/random/uuid)"
   outcome=unknown
-  for address in $addresses $addresses $addresses; do # the same id each time
+  for address in $addresses $addresses $addresses; do # retries keep the id
     curl -s -m 30 -D "$work/head" -o "$work/answer" --data-binary @"$work/body" \
       -H "Bramleybend-Request-Id: $id" -H "Bramleybend-Workspace: $2" \
       -H "Bramleybend-Service: $3" -H "Bramleybend-Profile: $4" \
@@ -22,6 +22,6 @@
   done
   [ "$outcome" = not_run ] && [ "$(date -u +%FT%TZ)" \< "$due" ] || break
   sleep "$(tr -d '\r' <"$work/head" | sed -nE 's/^Retry-After: //Ip')"
-done # not run: a new ticket and a new id, when the answer said
+done # not run: retry with a new ticket and id after Retry-After
 echo "$outcome"
 cat "$work/answer"
