--- a/bramleybend/control.py
+++ b/bramleybend/control.py
@@ -16,7 +16,7 @@
 from bramleybend.wire.check import Context
 
 
-class Process(Protocol):
+class ControllableProcess(Protocol):
     """The operations of a serving process that operators may call."""
 
     def status(self) -> dict[str, object]:
@@ -29,7 +29,7 @@
 class ControlService(ControlServicer):
     """Implements the `Control` service that `bramleybend-ctl` calls."""
 
-    def __init__(self, process: Process, events: EventLog) -> None:
+    def __init__(self, process: ControllableProcess, events: EventLog) -> None:
         """Serve the status and the kept events of one process."""
         self._process = process
         self._events = events
--- a/bramleybend/declarations.py
+++ b/bramleybend/declarations.py
@@ -15,7 +15,7 @@
 from pydantic_core import ErrorDetails
 from result import Err, Ok, Result
 
-from bramleybend.declarations_engines import (
+from bramleybend.engine_declarations import (
     EnginesDeclaration,
     WeightStoreDeclaration,
 )
--- a/bramleybend/entry_settings.py
+++ b/bramleybend/entry_settings.py
@@ -12,7 +12,7 @@
 from bramleybend.decisions.allotments import Tolerance
 from bramleybend.decisions.overload import Overload
 from bramleybend.direct.answer_memory import AnswerMemory
-from bramleybend.entry_setting_types import (
+from bramleybend.entry_setting_parsers import (
     parse_share,
     parse_tier_share,
     parse_positive_int,
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -14,7 +14,7 @@
     ServiceDeclaration,
     WorkspaceDeclaration,
 )
-from bramleybend.declarations_engines import (
+from bramleybend.engine_declarations import (
     EnginesDeclaration,
     WeightStoreDeclaration,
 )
