--- a/bramleybend/gateway/gateway_process.py
+++ b/bramleybend/gateway/gateway_process.py
@@ -101,7 +101,7 @@
         )
         await self._grpc.start()
         self._start_task(self.views.follow())
-        self._start_task(LoopWatch(self.events, self._clock).work())
+        self._start_task(LoopWatch(self.events, self._clock).run())
         await self._http.start(self._cfg.address, self._cfg.http_port)
         self.events.record('started', vm=self._cfg.vm)
 
--- a/bramleybend/loop_watch.py
+++ b/bramleybend/loop_watch.py
@@ -31,7 +31,7 @@
         self._clock = clock
         self._cpu_s = cpu_s
 
-    async def work(self) -> None:
+    async def run(self) -> None:
         """Monitor the event loop until cancelled."""
         while True:
             await self.sleep(INTERVAL_S)
--- a/bramleybend/scheduler/core.py
+++ b/bramleybend/scheduler/core.py
@@ -157,7 +157,7 @@
             self.shard_table.run(),
             self.order_manager.run(),
             self._send_gauges(),
-            LoopWatch(self.events, self._clock).work(),
+            LoopWatch(self.events, self._clock).run(),
         ):
             self._tasks.append(asyncio.create_task(work))
 
--- a/tests/test_loop_watch.py
+++ b/tests/test_loop_watch.py
@@ -23,7 +23,7 @@
     clock = SystemClock()
     caplog.set_level(logging.INFO)
     monitor = asyncio.create_task(
-        LoopWatch(EventLog('test', 'a', clock), clock).work()
+        LoopWatch(EventLog('test', 'a', clock), clock).run()
     )
     await asyncio.sleep(INTERVAL_S / 2)
     deadline = time.monotonic() + STALL_S
--- a/tests/utils/own_loop.py
+++ b/tests/utils/own_loop.py
@@ -30,7 +30,7 @@
     clock = SystemClock()
     with (run_dir / LOG_NAME).open('a') as log, _events_to(log):
         watch = LoopWatch(EventLog(PROCESS, run_dir.name, clock), clock)
-        watching = asyncio.create_task(watch.work())
+        watching = asyncio.create_task(watch.run())
         try:
             yield
         finally:
