--- a/bramleybend/cli/__init__.py
+++ b/bramleybend/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The programs."""
+"""Command line programs for operators, and entry points of the servers."""
--- a/bramleybend/entry_settings.py
+++ b/bramleybend/entry_settings.py
@@ -44,7 +44,8 @@
 MEMORY_MB: Final = 300
 MEGABYTE: Final = 1_000_000
 ANSWERS_SHARE: Final = 0.2
-# A VM below these gets no work for other VMs. Chosen, not measured.
+# One unit of capacity. VMs with less than two units have the lowest level and
+# are the last to get work that one VM does for all.
 CAPACITY_CORES: Final = 0.25
 CAPACITY_MBPS: Final = 2.5
 
@@ -278,8 +279,8 @@
         services.
         """
         cores = self.core_share * self.core_speed
-        least = min(cores / CAPACITY_CORES, self.link_mbps / CAPACITY_MBPS)
-        return max(int(least), 1).bit_length()
+        units = min(cores / CAPACITY_CORES, self.link_mbps / CAPACITY_MBPS)
+        return max(int(units), 1).bit_length()
 
     def seed_addresses(self) -> list[str]:
         """Return the hosts of the seeds, without this VM's own address."""
--- a/bramleybend/events.py
+++ b/bramleybend/events.py
@@ -3,8 +3,8 @@
 Each event is one key=value line; `bramleybend.timeline` merges the lines of
 all processes. A hybrid logical clock orders them: wall milliseconds plus a
 counter, which never goes back and advances past every stamp received in a
-message. A cause so sorts before its effect even when the wall clocks of two
-VMs differ.
+message. A cause therefore sorts before its effect even when the wall clocks
+of two VMs differ.
 """
 
 import logging
--- a/bramleybend/log_output.py
+++ b/bramleybend/log_output.py
@@ -54,7 +54,7 @@
         """Do nothing: the thread flushes after each write."""
 
     def close(self) -> None:
-        """Write the queued lines, for `STOP_TIMEOUT_S` at most."""
+        """Write the queued lines; give up after `STOP_TIMEOUT_S`."""
         self._closed = True
         self._close_requested.set()
         self._thread.join(STOP_TIMEOUT_S)
--- a/bramleybend/yaml_lines.py
+++ b/bramleybend/yaml_lines.py
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class DataWithLines:
-    """Plain data, and the line on which the value of each path begins."""
+    """Plain data, and the line of the key or list item at each path."""
 
     value: object
     lines: dict[Path, int]
