--- a/examples/caller.sh
+++ b/examples/caller.sh
@@ -6,10 +6,10 @@
 due=$(date -u -d '+30 seconds' +%Y-%m-%dT%H:%M:%SZ)
 while :; do
   for entry in "${entries[@]}"; do # the first entry VM that answers
-    curl -sf -m 2 -o "$work/address" "http://$entry/v1/address?profile=$4" && break
+    curl -sf -m 2 -o "$work/addr" "http://$entry/v1/address?profile=$4" && break
   done
-  ticket=$(sed -nE 's/.*"ticket": "([^"]+)".*/\1/p' "$work/address")
-  addresses=$(sed -E 's/.*\[([^]]*)\].*/\1/; s/[",]//g' "$work/address")
+  ticket=$(sed -nE 's/.*"ticket": "([^"]+)".*/\1/p' "$work/addr")
+  addresses=$(sed -E 's/.*\[([^]]*)\].*/\1/; s/[",]//g' "$work/addr")
   id="$ticket/$(cat /proc/sys/kernel/random/uuid)"
   outcome=unknown
   for address in $addresses $addresses $addresses; do # retries keep the id
