--- a/spec/dispatch.py
+++ b/spec/dispatch.py
@@ -23,9 +23,9 @@
     OUTCOME,
     SEAL,
     State,
-    read_journal,
-    read_fate,
     make_request_id,
+    read_fate,
+    read_journal,
 )
 
 MAX_LOG: Final = 4
--- a/tests/test_conformance.py
+++ b/tests/test_conformance.py
@@ -26,7 +26,7 @@
 from spec import dispatch, floor, floor_state, terms
 from spec.checking import Model
 from spec.dispatch_rules import State as DispatchState
-from spec.dispatch_rules import read_records, make_request_id
+from spec.dispatch_rules import make_request_id, read_records
 
 SEEDS = range(150)
 STEPS = 40
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,13 +8,13 @@
 
 from bramleybend.models import RunnerState, Vm
 from bramleybend.state.member import Member, MemberState
-from bramleybend.state.membership import Membership
 from bramleybend.state.member_table import (
     DEAD_RETENTION_S,
+    MAX_NEWCOMER_RECORDS,
     MAX_RANDOM_RECORDS,
     MAX_UPDATES,
-    MAX_NEWCOMER_RECORDS,
 )
+from bramleybend.state.membership import Membership
 from tests.utils.membership_play import Play
 
 SIZES = [6, 50, 350]
--- a/tests/test_state_machines.py
+++ b/tests/test_state_machines.py
@@ -24,10 +24,10 @@
     encode_renew,
 )
 from bramleybend.state.terms_rules import (
-    PublishAccepted,
     Applied,
-    TermsState,
+    PublishAccepted,
     PublishNotSeen,
+    TermsState,
 )
 from bramleybend.state.tickets import RequestId, Ticket
 
