--- a/tests/failures/__init__.py
+++ b/tests/failures/__init__.py
@@ -1,1 +1,1 @@
-"""What must hold, under failures of real processes."""
+"""Tests that inject failures into real processes under load."""
--- a/tests/failures/test_answers_whole.py
+++ b/tests/failures/test_answers_whole.py
@@ -1,10 +1,10 @@
-"""Runners and callers misbehave while answers are under way.
+"""Answers stay whole while runners and callers fail.
 
-What the caller sees: its own whole answer, or a final word that there is
-none. Order: streams break off and are resumed on the same run, engines crash,
-a plain service acts and then dies, a caller sends one id twice at once or
-goes away. Why: an answer belongs to one run of one id, and only that run's
-end makes it whole.
+Streams break off and are resumed on the same run, engines crash, a plain
+service dies after its side effect, a caller sends one request id several times
+at once or disconnects. Each caller must receive either its own whole answer or
+a final outcome that says there is none. An answer belongs to one run of one
+id, and is whole only once that run has ended.
 """
 
 import asyncio
@@ -55,7 +55,7 @@
         yield ready
 
 
-async def _ended(scene: Scenario, count: int) -> None:
+async def _wait_until_ended(scene: Scenario, count: int) -> None:
     await wait_until(
         lambda: (
             sum(each.final is not None for each in scene.ledger.records)
@@ -66,24 +66,24 @@
 
 
 async def test_a_cut_stream_is_resumed_and_whole(scene: Scenario) -> None:
-    """The caller sees neither a gap nor an event twice."""
+    """The caller receives each event exactly once."""
     for engine in scene.cluster.runners.engines:
         engine.faults.cut_streams = 0.5
     async with scene.load(ENGINE_LOAD):
-        await _ended(scene, 50)
+        await _wait_until_ended(scene, 50)
     verdict = scene.verdict()
     assert_clean(verdict)
     assert verdict.is_clean, verdict.reasons
 
 
 async def test_a_crashed_engine_tears_no_answer(scene: Scenario) -> None:
-    """What ran there ends as failed or unknown, or runs again if it may."""
+    """Runs on it end as failed or unknown, or are retried if idempotent."""
     async with scene.load(ENGINE_LOAD):
-        await _ended(scene, 15)
+        await _wait_until_ended(scene, 15)
         scene.cluster.runners.engines[0].crash()
-        await _ended(scene, 40)
+        await _wait_until_ended(scene, 40)
         scene.cluster.runners.engines[1].crash()
-        await _ended(scene, 60)
+        await _wait_until_ended(scene, 60)
     assert scene.count(Outcome.DONE)
     assert_clean(scene.verdict())
 
@@ -91,24 +91,27 @@
 async def test_a_service_that_dies_after_acting_is_not_called_again(
     scene: Scenario,
 ) -> None:
-    """A claim that may have landed is told as unknown, never repeated."""
+    """A claim that may have taken effect is never retried.
+
+    Its caller receives `unknown` or `failed`.
+    """
     for plain in scene.cluster.runners.plains:
         plain.faults.die_after_effect = 0.2
     async with scene.load(PLAIN_LOAD):
-        await _ended(scene, 80)
+        await _wait_until_ended(scene, 80)
     assert_clean(scene.verdict())
     claims = scene.count(Outcome.UNKNOWN, 'slot-claim')
     claims += scene.count(Outcome.FAILED, 'slot-claim')
     assert claims, 'no claim met the fault'
 
 
-async def _send(
+async def _send_with_id(
     scene: Scenario,
     work: Work,
     request_id: str,
     vm: EntryVm,
 ) -> Record:
-    """Send under a given id to one VM, and keep the record."""
+    """Send work under a given id to one VM and record the outcome."""
     record = scene.ledger.open(work)
     attempt = Attempt(request_id, sends=1)
     record.attempts.append(attempt)
@@ -127,7 +130,7 @@
     scene: Scenario,
     profile: str,
 ) -> None:
-    """Every copy gets the same whole answer."""
+    """Each of the nine sends receives the same whole answer."""
     if profile == 'slot-claim':
         work = scene.make.plain(LARGE_SCHOOL, profile)
     else:
@@ -136,7 +139,7 @@
     request_id = f'{route.ticket}/{uuid.uuid4().hex}'
     records = await asyncio.gather(
         *(
-            _send(scene, work, request_id, vm)
+            _send_with_id(scene, work, request_id, vm)
             for vm in scene.cluster.vms
             for _ in range(3)
         ),
@@ -149,7 +152,7 @@
 async def test_the_run_of_a_caller_that_is_gone_is_cancelled(
     scene: Scenario,
 ) -> None:
-    """Tokens that nobody reads hold no slot for long."""
+    """A run whose caller has disconnected must not keep its slot."""
     work = scene.make.engine(
         LARGE_SCHOOL,
         'syllabus-summary',
@@ -182,7 +185,10 @@
 async def test_a_resend_after_its_deadline_is_not_told_that_nothing_ran(
     scene: Scenario,
 ) -> None:
-    """A late resend of an id that ran gets its answer, at any VM."""
+    """A resend of a finished id receives its answer at any VM.
+
+    An id that was never sent before is rejected past its deadline.
+    """
     work = scene.make.plain(LARGE_SCHOOL, 'slot-claim')
     record = await scene.caller().send(work)
     assert record.outcome is Outcome.DONE
@@ -195,12 +201,12 @@
             time.monotonic() - 1,
         )
         assert late.outcome is Outcome.DONE, (vm.name, late)
-    unseen = scene.make.plain(LARGE_SCHOOL, 'slot-claim')
+    new_work = scene.make.plain(LARGE_SCHOOL, 'slot-claim')
     ticket = request_id.rpartition('/')[0]
     for vm in scene.cluster.vms:
         refused = await post(
             f'{ticket}/{uuid.uuid4().hex}',
-            unseen,
+            new_work,
             vm.endpoint,
             time.monotonic() - 1,
         )
--- a/tests/failures/test_brief_pause.py
+++ b/tests/failures/test_brief_pause.py
@@ -1,4 +1,4 @@
-"""The owner of a queue stands still for a moment and goes on."""
+"""The owner of a queue is paused for about a second under load."""
 
 import asyncio
 import signal
@@ -22,7 +22,7 @@
     tmp_path: Path,
     pause_s: float,
 ) -> None:
-    """Guards against waiting at a VM whose grants nobody may use."""
+    """Guards against lookups that wait at an owner whose grants are unusable."""
     async with scenario(LAYOUT, tmp_path) as scene:
         async with scene.load(LOAD):
             await wait_until(
--- a/tests/failures/test_demo_interrupted.py
+++ b/tests/failures/test_demo_interrupted.py
@@ -1,9 +1,8 @@
-"""The demo is ended from outside, by Ctrl-C, a plain kill or a hard one.
+"""The demo is ended by SIGINT (Ctrl-C), SIGTERM or SIGKILL.
 
-What the user sees: the prompt, at once. Order: the signal reaches the demo
-alone, as its processes have sessions of their own; it ends them by pid. Why
-no process stays even after SIGKILL: the kernel ends children whose parent has
-died.
+Only the demo itself receives the signal, as its processes run in sessions of
+their own; the demo ends them by pid and exits at once. After SIGKILL it can't,
+so the kernel ends each child whose parent has died.
 """
 
 import asyncio
@@ -21,15 +20,15 @@
 PROGRAMS = ('bramleybend.cli.gateway', 'bramleybend.cli.scheduler')
 
 
-def _children(parent: int) -> list[int]:
-    found = []
+def _child_pids(parent: int) -> list[int]:
+    pids = []
     for entry in Path('/proc').iterdir():
-        if entry.name.isdigit() and _is_child(entry, parent):
-            found.append(int(entry.name))
-    return found
+        if entry.name.isdigit() and _is_entry_process(entry, parent):
+            pids.append(int(entry.name))
+    return pids
 
 
-def _is_child(entry: Path, parent: int) -> bool:
+def _is_entry_process(entry: Path, parent: int) -> bool:
     try:
         stat = (entry / 'stat').read_text().rpartition(')')[2].split()
         command = (entry / 'cmdline').read_text()
@@ -46,9 +45,9 @@
     return stat.split()[0] != 'Z'
 
 
-def _as_in_a_terminal() -> None:
-    # Shells start what runs in the background with SIGINT ignored, and
-    # children inherit that: the demo would not notice a Ctrl-C at all.
+def _restore_sigint_handler() -> None:
+    # Shells start background jobs with SIGINT ignored, and children inherit
+    # that: without this reset, the demo would ignore Ctrl-C.
     signal.signal(signal.SIGINT, signal.SIG_DFL)
 
 
@@ -59,7 +58,7 @@
 async def test_an_interrupted_demo_leaves_no_process(
     number: signal.Signals,
 ) -> None:
-    """All twelve processes are gone soon after the demo is."""
+    """All twelve entry processes end soon after the demo has ended."""
     demo = await asyncio.create_subprocess_exec(
         sys.executable,
         '-m',
@@ -67,14 +66,14 @@
         cwd=ROOT,
         env={**os.environ, 'PYTHONPATH': str(ROOT)},
         stdout=asyncio.subprocess.DEVNULL,
-        preexec_fn=_as_in_a_terminal,
+        preexec_fn=_restore_sigint_handler,
     )
     try:
         await wait_until(
-            lambda: len(_children(demo.pid)) == ENTRY_PROCESSES,
+            lambda: len(_child_pids(demo.pid)) == ENTRY_PROCESSES,
             'all processes of the demo run',
         )
-        children = _children(demo.pid)
+        child_pids = _child_pids(demo.pid)
         demo.send_signal(number)
         code = await asyncio.wait_for(demo.wait(), 10)
     finally:
@@ -82,6 +81,6 @@
             demo.kill()
     assert code == (-9 if number is signal.SIGKILL else 130)
     await wait_until(
-        lambda: not any(map(_is_alive, children)),
+        lambda: not any(map(_is_alive, child_pids)),
         'no process is left',
     )
--- a/tests/failures/test_entry_vm_killed.py
+++ b/tests/failures/test_entry_vm_killed.py
@@ -1,10 +1,10 @@
-"""One entry VM dies under load.
+"""One entry VM is killed under load.
 
-What the caller sees: its connection breaks, it sends the same id to another
-address and gets one answer from the closed set. Order: the home has dispatched
-some requests and not others when SIGKILL ends both its processes; a resend
-reaches a VM that reads the dead home's journal. Why: only the home may
-dispatch its ids, so no other VM runs them a second time.
+SIGKILL ends both its processes while it, as a home, has dispatched some
+requests and not others. Callers' connections break; a resend of the same id
+reaches another VM, which reads the killed home's journal and must answer with
+one definite outcome. Only the home may dispatch its ids, so no other VM runs
+them a second time.
 """
 
 from pathlib import Path
@@ -29,20 +29,20 @@
 
 
 async def _kill_under_load(scene: Scenario) -> None:
-    victim = scene.cluster.vms[0]
+    killed_vm = scene.cluster.vms[0]
     async with scene.load(LOAD):
         await wait_until(
             lambda: scene.count(Outcome.DONE) > 60,
             '60 requests done before the kill',
         )
-        await victim.kill()
+        await killed_vm.kill()
         await scene.done_more(60, '60 more requests done after the kill')
 
 
 async def test_each_caller_of_a_killed_vm_gets_one_true_answer(
     tmp_path: Path,
 ) -> None:
-    """No answer is lost, wrong or doubled; nothing ran twice."""
+    """No answer is lost, wrong or duplicated, and nothing runs twice."""
     async with scenario(LAYOUT, tmp_path) as scene:
         await _kill_under_load(scene)
         assert scene.broken_sends(), 'the kill was not felt by any caller'
@@ -52,16 +52,16 @@
 async def test_a_vm_replaced_at_its_address_is_a_stranger(
     tmp_path: Path,
 ) -> None:
-    """The new incarnation serves, and never runs the old one's ids."""
+    """The new VM serves requests and never runs ids of the killed one."""
     async with scenario(LAYOUT, tmp_path) as scene:
-        victim = scene.cluster.vms[0]
+        killed_vm = scene.cluster.vms[0]
         async with scene.load(LOAD):
             await wait_until(
                 lambda: scene.count(Outcome.DONE) > 60,
                 '60 requests done before the kill',
             )
-            await victim.replace()
-            await wait_until(victim.is_ready, 'the new VM is ready')
+            await killed_vm.replace()
+            await wait_until(killed_vm.is_ready, 'the new VM is ready')
             await scene.done_more(
                 40, '40 more requests done after the replacement'
             )
--- a/tests/failures/test_home_paused.py
+++ b/tests/failures/test_home_paused.py
@@ -1,10 +1,9 @@
-"""A home is paused over its requests, and wakes after others answered.
+"""A home is paused with requests under way and resumes after others answered.
 
-What the caller sees: silence, so it sends the same id to another address and
-is told something final. Order: the home is stopped (SIGSTOP) before, while or
-after it dispatches; the resend is settled elsewhere; the home wakes (SIGCONT)
-and acts on what lay in its sockets. Why: it still believes in its right to
-dispatch, and only the journal's seal stops it.
+The home is stopped (SIGSTOP) before, while or after it dispatches. Its callers
+time out, send the same ids to another VM and receive a final outcome. The home
+then resumes (SIGCONT), reads the requests left in its sockets and still
+considers itself entitled to dispatch; only the seal on its journal stops it.
 """
 
 import asyncio
@@ -35,21 +34,21 @@
     engines=(EngineConfig(decode_tps=200),),
     plain_latencies_ms=(50,),
 )
-BURST = 12
+REQUEST_COUNT = 12
 
 
-def _work(scene: Scenario, profile: str) -> Work:
+def _make_work(scene: Scenario, profile: str) -> Work:
     if profile == 'slot-claim':
         return scene.make.plain(LARGE_SCHOOL, profile, deadline_s=9)
     return scene.make.engine(LARGE_SCHOOL, profile, 100, 40, deadline_s=9)
 
 
-async def _send_first(
+async def _send_to_home(
     record: Record,
     caller: Caller,
     home: EntryVm,
 ) -> None:
-    """Send to the home alone; whatever comes of it, the id is out."""
+    """Send to the home alone and record the result, also where it fails."""
     deadline = time.monotonic() + record.work.deadline_s
     route = await caller.route(record.work.profile, deadline)
     attempt = Attempt(f'{route.ticket}/{uuid.uuid4().hex}')
@@ -67,7 +66,7 @@
         attempt.broken.append(repr(exc))
 
 
-async def _send_again(record: Record, other: EntryVm) -> Reading:
+async def _resend_to(record: Record, other: EntryVm) -> Reading:
     """Send the same id to a VM that is not its home."""
     attempt = record.attempts[0]
     attempt.sends += 1
@@ -85,43 +84,44 @@
     tmp_path: Path,
     profile: str,
 ) -> None:
-    """Told `not_run` stays true after the home has woken."""
+    """A request reported as `not_run` never runs after the home resumes."""
     async with scenario(LAYOUT, tmp_path) as scene:
         home, other = scene.cluster.vms[:2]
         caller = scene.caller(home)
         await caller.route(profile, time.monotonic() + 5)
         records = [
-            scene.ledger.open(_work(scene, profile)) for _ in range(BURST)
+            scene.ledger.open(_make_work(scene, profile))
+            for _ in range(REQUEST_COUNT)
         ]
-        firsts = [
-            asyncio.create_task(_send_first(record, caller, home))
-            for record in records[: BURST // 2]
+        first_sends = [
+            asyncio.create_task(_send_to_home(record, caller, home))
+            for record in records[: REQUEST_COUNT // 2]
         ]
         await wait_until(
             lambda: bool(scene.cluster.runners.runs_of()),
             'the home has begun to dispatch',
         )
         home.freeze()
-        firsts.extend(
-            asyncio.create_task(_send_first(record, caller, home))
-            for record in records[BURST // 2 :]
+        first_sends.extend(
+            asyncio.create_task(_send_to_home(record, caller, home))
+            for record in records[REQUEST_COUNT // 2 :]
         )
-        await asyncio.gather(*firsts)
-        told = await asyncio.gather(
-            *(_send_again(record, other) for record in records),
+        await asyncio.gather(*first_sends)
+        final_readings = await asyncio.gather(
+            *(_resend_to(record, other) for record in records),
         )
-        for record, reading in zip(records, told, strict=True):
+        for record, reading in zip(records, final_readings, strict=True):
             record.attempts[0].reading = reading
             record.finish(reading)
         home.thaw()
-        await _home_serves_again(scene, home)
+        await _wait_until_home_serves(scene, home)
         assert_clean(scene.verdict())
 
 
-async def _home_serves_again(scene: Scenario, home: EntryVm) -> None:
-    """Return once the home has worked off what it woke to."""
-    await wait_until(home.is_ready, 'the woken home is ready')
+async def _wait_until_home_serves(scene: Scenario, home: EntryVm) -> None:
+    """Wait until the home has handled the requests left in its sockets."""
+    await wait_until(home.is_ready, 'the resumed home is ready')
     for profile in ('slot-claim', 'debrief'):
-        work = _work(scene, profile)
+        work = _make_work(scene, profile)
         record = await scene.caller(home).send(work)
         assert record.outcome is Outcome.DONE, record.describe()
--- a/tests/failures/test_large_manifest.py
+++ b/tests/failures/test_large_manifest.py
@@ -1,4 +1,4 @@
-"""A change that adds many routes is in force on every VM in time."""
+"""A manifest that adds many routes takes effect on every VM in time."""
 
 import asyncio
 import itertools
@@ -27,54 +27,62 @@
 from tests.utils.platform_store import PlatformStore
 from tests.utils.relay import Cut, Link, Relay
 
-# What operators are promised on the smallest deployments; large ones have
-# three seconds.
-IN_FORCE_S: Final = 2.0
-THIN_LINK: Final = 5e6 / 8  # bytes a second; 5 Mbit/s
+# The documented limit of the smallest deployments; that of large ones is three
+# seconds.
+MAX_UPDATE_S: Final = 2.0
+SLOW_LINK_BYTES_PER_S: Final = 5e6 / 8  # 5 Mbit/s
 ADDED_ROUTES: Final = 1400
-VMS_OF_A_DOMAIN: Final = 26  # of 78 VMs in three failure domains
-ADDED: Final = '/added/'
+VMS_PER_DOMAIN: Final = 26  # of 78 VMs in three failure domains
+ADDED_PATH: Final = '/added/'
 _PORTS = itertools.count(26_000)
 _SUBNET = 20 + os.getpid() % 200
 
 
-def large_manifest(
-    version: int, added: int = ADDED_ROUTES
+def make_large_manifest(
+    version: int, added_count: int = ADDED_ROUTES
 ) -> dict[str, object]:
     """Return a manifest with many routes, of about 240 bytes each."""
-    # Names as unlike as operators' own, or they would deflate too well.
-    rng = Random(added)
-    names = [f'{rng.randbytes(4).hex()}-{number}' for number in range(added)]
+    # Random names, as similar ones would compress better than operators' own.
+    rng = Random(added_count)
+    names = [
+        f'{rng.randbytes(4).hex()}-{number}' for number in range(added_count)
+    ]
     routes = [
         route(f'/{name}/', 'idempotent', 'app', sticky=True) for name in names
     ]
-    routes.append(route(ADDED, 'idempotent', 'app'))
+    routes.append(route(ADDED_PATH, 'idempotent', 'app'))
     return manifest(version, routes=[*manifest()['routes'], *routes])
 
 
-def record(offset: int, content: dict[str, object]) -> KeyedRecord:
-    """Return a version as the store holds it."""
+def make_record(offset: int, content: dict[str, object]) -> KeyedRecord:
+    """Return a manifest version as a record of the store."""
     text = json.dumps(content).encode()
     return KeyedRecord(offset, MANIFEST_KEY, text)
 
 
 @dataclass
 class Follower:
-    """One VM's manifest, and how it follows it."""
+    """One VM's manifest and the feed that updates it."""
 
     book: Book
     feed: Feed
 
     def serves_added(self) -> bool:
-        """Tell whether callers of an added route get no 404."""
+        """Return whether the VM knows the added route, so answers no 404."""
         current = self.book.manifest
-        return current is not None and current.route_of(HOST, ADDED) is not None
+        return (
+            current is not None
+            and current.route_of(HOST, ADDED_PATH) is not None
+        )
 
 
 def make_follower(
     store: StoreClient, vm_port: int, clock: Clock, name: str
 ) -> Follower:
-    """Make a VM that has the version before."""
+    """Return a VM that has manifest version 1 and never ranks first to read.
+
+    It asks the store only once the feed's age requires it.
+    """
     events = EventLog(name, 'i', clock, kept=0)
     book = Book(clock, events)
     clients: dict[str, StoreClient] = {}
@@ -86,16 +94,18 @@
 
     feed = Feed(MANIFEST_FEED, store, peer_source, clock, events, Random(name))
     feed.on_page = ManifestApplier(book, events).take
-    feed.copy.apply(Page((record(0, manifest(1)),), 1, whole=True))
-    feed.on_page(Page((record(0, manifest(1)),), 1, whole=True))
+    feed.copy.apply(Page((make_record(0, manifest(1)),), 1, whole=True))
+    feed.on_page(Page((make_record(0, manifest(1)),), 1, whole=True))
     feed.confirmed_at = clock.monotonic()
     feed.store_schedule.ranks_first = lambda *_: False
     return Follower(book, feed)
 
 
 @asynccontextmanager
-async def store_over(link: Link) -> AsyncIterator[tuple[PlatformStore, Relay]]:
-    """Start a store that one VM reaches over its own link."""
+async def start_store_behind(
+    link: Link,
+) -> AsyncIterator[tuple[PlatformStore, Relay]]:
+    """Start a store behind a relay that models one VM's link."""
     store = PlatformStore('127.0.0.1')
     await store.server.start()
     relay = Relay(
@@ -114,20 +124,20 @@
 
 
 @asynccontextmanager
-async def mirrors(
+async def serve_mirrors(
     count: int, copy: FeedCopy, links: list[Link]
 ) -> AsyncIterator[tuple[list[Relay], int]]:
-    """Serve one copy from VMs behind their own links, all on one port."""
+    """Serve one feed copy from `count` VMs behind the links, on one port."""
     port = next(_PORTS)
     clock = SystemClock()
     mirror = Mirror({MANIFEST_TOPIC: copy})
-    door = Ingress(mirror.handle, IngressLimits, clock)
-    inner = next(_PORTS)
-    # An address of this process's own: tests run beside each other.
+    ingress = Ingress(mirror.handle, IngressLimits, clock)
+    ingress_port = next(_PORTS)
+    # The address is unique to this process, as tests run in parallel.
     host = f'127.{_SUBNET}.9.200'
-    await door.start(host, inner)
+    await ingress.start(host, ingress_port)
     relays = [
-        Relay(f'127.{_SUBNET}.9.{number + 1}', port, host, inner, links)
+        Relay(f'127.{_SUBNET}.9.{number + 1}', port, host, ingress_port, links)
         for number in range(count)
     ]
     for relay in relays:
@@ -137,36 +147,38 @@
     finally:
         for relay in relays:
             await relay.stop()
-        await door.stop()
+        await ingress.stop()
 
 
-async def tell(followers: list[Follower], relays: list[Relay]) -> None:
-    """Send heartbeats that tell of the version, until cancelled."""
+async def announce_version(
+    followers: list[Follower], relays: list[Relay]
+) -> None:
+    """Deliver heartbeats that announce version 2, until cancelled."""
     while True:
         for number, relay in enumerate(relays):
             news = FeedNews(MANIFEST_TOPIC, 2, 0, reads=True)
-            for one in followers:
-                one.feed.handle_news(f'hub-{number}', relay.host, news)
+            for follower in followers:
+                follower.feed.handle_news(f'hub-{number}', relay.host, news)
         await asyncio.sleep(BEAT_S)
 
 
-async def late_ones(
+async def find_late_followers(
     followers: list[Follower],
     relays: list[Relay],
     clock: Clock,
-    told_after_s: float = 0,
-    within_s: float = IN_FORCE_S,
+    announce_delay_s: float = 0,
+    timeout_s: float = MAX_UPDATE_S,
 ) -> list[Follower]:
-    """Return the VMs that still answer 404 when the change is to be in force."""
-    tasks = [asyncio.create_task(one.feed.run()) for one in followers]
-    ends_at = clock.monotonic() + within_s
-    await asyncio.sleep(told_after_s)
-    tasks.append(asyncio.create_task(tell(followers, relays)))
+    """Return the VMs that still answer 404 after `timeout_s`."""
+    tasks = [asyncio.create_task(follower.feed.run()) for follower in followers]
+    ends_at = clock.monotonic() + timeout_s
+    await asyncio.sleep(announce_delay_s)
+    tasks.append(asyncio.create_task(announce_version(followers, relays)))
     while clock.monotonic() < ends_at:
-        if all(one.serves_added() for one in followers):
+        if all(follower.serves_added() for follower in followers):
             break
         await asyncio.sleep(0.02)
-    late = [one for one in followers if not one.serves_added()]
+    late = [follower for follower in followers if not follower.serves_added()]
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
@@ -176,24 +188,27 @@
 async def test_a_domain_gets_a_large_change_from_one_vm_on_a_thin_link() -> (
     None
 ):
-    """Callers of added routes get 404 seconds after the change was accepted.
-
-    One VM on a link of 5 Mbit/s is the first of its domain to have 1,400
-    routes more, and tells the others, whom the store turns away. All 26 ask it
-    at once; 9 MB would take its link 14 s, no call is through in the second
-    that it has, each begins again from nothing, and none ever has it. In a
-    deployment that was watched, one VM of each domain sent its whole domain
-    the document at once (5.9 MB in a second), and VMs turned unready in the
-    seconds in which one still answered 404.
+    """Guards against VMs that never finish a read from an overloaded peer.
+
+    One VM behind a link of 5 Mbit/s is the first of its failure domain to have
+    a manifest with 1,400 more routes; it announces the version to the other
+    VMs, which the store refuses. If all 26 ask that VM at once, its link needs
+    14 s for the 9 MB, every read times out after a second and starts again from
+    nothing, and callers of added routes get 404. In one deployment, one VM of
+    each domain sent the document to its whole domain at once (5.9 MB within a
+    second), and VMs became unready while another still answered 404.
     """
     clock = SystemClock()
     copy = FeedCopy()
-    copy.apply(Page((record(0, manifest(1)),), 1, whole=True))
-    copy.apply(Page((record(1, large_manifest(2)),), 2, whole=False))
+    copy.apply(Page((make_record(0, manifest(1)),), 1, whole=True))
+    copy.apply(Page((make_record(1, make_large_manifest(2)),), 2, whole=False))
     store = PlatformStore('127.0.0.1')
     store.status = 503
     await store.server.start()
-    async with mirrors(1, copy, [Link(THIN_LINK)]) as (relays, port):
+    async with serve_mirrors(1, copy, [Link(SLOW_LINK_BYTES_PER_S)]) as (
+        relays,
+        port,
+    ):
         followers = [
             make_follower(
                 StoreClient('127.0.0.1', store.server.port, clock),
@@ -201,38 +216,52 @@
                 clock,
                 f'vm-{number}',
             )
-            for number in range(VMS_OF_A_DOMAIN)
+            for number in range(VMS_PER_DOMAIN)
         ]
-        late = await late_ones(followers, relays, clock)
+        late = await find_late_followers(followers, relays, clock)
     await store.server.stop()
     assert not late, f'{len(late)} of {len(followers)} VMs answer 404'
 
 
 async def test_a_manifest_that_takes_over_a_second_to_read_arrives() -> None:
-    """A VM that starts on a thin link answers 503 for as long as it lives.
+    """Guards against a VM on a slow link that answers 503 forever.
 
-    Its callers take half of its 5 Mbit/s; 3,000 routes take 3 s of the rest.
-    Cut off after a second in all, each read began again from nothing. What
-    keeps coming is read to its end.
+    Its callers use half of its 5 Mbit/s; a manifest of 3,000 routes takes 3 s
+    over the rest. A limit of one second on the whole read made each read start
+    again from nothing, so a read must go on as long as data arrives.
     """
-    async with store_over(Link(THIN_LINK / 2)) as (store, relay):
-        store.put(MANIFEST_TOPIC, MANIFEST_KEY, large_manifest(2, added=3000))
+    async with start_store_behind(Link(SLOW_LINK_BYTES_PER_S / 2)) as (
+        store,
+        relay,
+    ):
+        store.put(
+            MANIFEST_TOPIC,
+            MANIFEST_KEY,
+            make_large_manifest(2, added_count=3000),
+        )
         client = StoreClient(relay.host, relay.port, SystemClock())
         page = await client.newest(MANIFEST_TOPIC)
         client.close()
     assert page.is_ok(), page
-    assert page.unwrap().size > 2 * THIN_LINK / 2
+    assert page.unwrap().size > 2 * SLOW_LINK_BYTES_PER_S / 2
 
 
 async def test_an_answer_that_stops_midway_is_given_up_soon() -> None:
-    """The path to the store is cut while a manifest arrives.
+    """The link to the store is cut while a manifest is being received.
 
-    The connection stays open and nothing more comes; the read ends a second
-    later, so that the VM can ask elsewhere.
+    The connection stays open but no more data arrives; the read must end about
+    a second later, so that the VM can ask another source.
     """
     clock = SystemClock()
-    async with store_over(Link(THIN_LINK / 2)) as (store, relay):
-        store.put(MANIFEST_TOPIC, MANIFEST_KEY, large_manifest(2, added=3000))
+    async with start_store_behind(Link(SLOW_LINK_BYTES_PER_S / 2)) as (
+        store,
+        relay,
+    ):
+        store.put(
+            MANIFEST_TOPIC,
+            MANIFEST_KEY,
+            make_large_manifest(2, added_count=3000),
+        )
         client = StoreClient(relay.host, relay.port, clock)
         reading = asyncio.create_task(client.newest(MANIFEST_TOPIC))
         await asyncio.sleep(0.4)
@@ -241,79 +270,85 @@
         page = await reading
         client.close()
     assert page.is_err()
-    assert clock.monotonic() - cut_at < IN_FORCE_S
+    assert clock.monotonic() - cut_at < MAX_UPDATE_S
 
 
 async def test_a_change_that_frozen_vms_tell_of_is_read_from_the_store() -> (
     None
 ):
-    """Callers of an added route get 404 over two seconds after its acceptance.
+    """Guards against reading from frozen peers one by one before the store.
 
-    The three VMs that tell a failure domain of the change freeze right after
-    that; their connections stay open and bring nothing. Each is given a
-    second, and only news that is over two seconds old was read from the store.
+    The three VMs that announce a change to a failure domain freeze right
+    afterwards; their connections stay open and deliver nothing. Each read from
+    one of them takes a second to fail. While VMs asked the store only about
+    announcements over two seconds old, callers of an added route got 404 more
+    than two seconds after the store had accepted it.
     """
     clock = SystemClock()
     copy = FeedCopy()
-    copy.apply(Page((record(1, large_manifest(2)),), 2, whole=True))
-    links = [Link(THIN_LINK), Link(THIN_LINK)]
-    async with store_over(links[0]) as (store, way):
+    copy.apply(Page((make_record(1, make_large_manifest(2)),), 2, whole=True))
+    links = [Link(SLOW_LINK_BYTES_PER_S), Link(SLOW_LINK_BYTES_PER_S)]
+    async with start_store_behind(links[0]) as (store, store_relay):
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, manifest(1))
-        store.put(MANIFEST_TOPIC, MANIFEST_KEY, large_manifest(2))
-        async with mirrors(3, copy, links[1:]) as (relays, port):
+        store.put(MANIFEST_TOPIC, MANIFEST_KEY, make_large_manifest(2))
+        async with serve_mirrors(3, copy, links[1:]) as (relays, port):
             for relay in relays:
                 relay.cut(Cut.BOTH)
-            client = StoreClient(way.host, way.port, clock)
+            client = StoreClient(store_relay.host, store_relay.port, clock)
             follower = make_follower(client, port, clock, 'vm')
-            late = await late_ones([follower], relays, clock)
+            late = await find_late_followers([follower], relays, clock)
     assert not late
 
 
 async def test_a_change_that_a_vm_has_is_not_waited_for_from_the_store() -> (
     None
 ):
-    """Callers of an added route get 404 for over three seconds.
-
-    The VMs that read the store for all are still receiving two large changes,
-    so the news of all others grows old and each begins to read the store, over
-    a link of which its callers take half: 2.3 s. A fifth of a second later a VM
-    tells that it has the change, in a thirtieth of the bytes.
+    """Guards against a slow read of the store that delays one from a peer.
+
+    The VMs that read the store on behalf of all others are still receiving two
+    large changes. The others have had no confirmation for too long, so each
+    starts to read the store, which takes 2.3 s as its callers use half of its
+    link. 0.2 s later a peer announces that it has the change, which it sends in
+    a thirtieth of the bytes. VMs that waited for the store answered 404 on
+    added routes for over three seconds.
     """
     clock = SystemClock()
-    large = large_manifest(2, added=3000)
+    large = make_large_manifest(2, added_count=3000)
     copy = FeedCopy()
-    copy.apply(Page((record(1, large),), 2, whole=True))
-    link = Link(THIN_LINK / 2)
-    async with store_over(link) as (store, way):
+    copy.apply(Page((make_record(1, large),), 2, whole=True))
+    link = Link(SLOW_LINK_BYTES_PER_S / 2)
+    async with start_store_behind(link) as (store, store_relay):
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, manifest(1))
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, large)
-        async with mirrors(1, copy, [link]) as (relays, port):
-            client = StoreClient(way.host, way.port, clock)
+        async with serve_mirrors(1, copy, [link]) as (relays, port):
+            client = StoreClient(store_relay.host, store_relay.port, clock)
             follower = make_follower(client, port, clock, 'vm')
             follower.feed.confirmed_at -= 2 * MANIFEST_FEED.max_age_s
-            late = await late_ones([follower], relays, clock, BEAT_S)
+            late = await find_late_followers([follower], relays, clock, BEAT_S)
     assert not late
 
 
 async def test_an_answer_of_the_store_does_not_wait_for_a_frozen_vm() -> None:
-    """Callers of an added route get 404 for a second after it was read.
+    """Guards against a read from a frozen peer that delays the store's answer.
 
-    A VM reads the change from the store, half a second; meanwhile another
-    tells that it has it, and freezes. What comes first counts.
+    A VM reads the change from the store within half a second; meanwhile a peer
+    announces that it has the change, and freezes. The VM must apply whichever
+    answer arrives first, or callers of an added route get 404 for another
+    second.
     """
     clock = SystemClock()
     copy = FeedCopy()
-    copy.apply(Page((record(1, large_manifest(2)),), 2, whole=True))
-    link = Link(THIN_LINK)
-    async with store_over(link) as (store, way):
+    copy.apply(Page((make_record(1, make_large_manifest(2)),), 2, whole=True))
+    link = Link(SLOW_LINK_BYTES_PER_S)
+    async with start_store_behind(link) as (store, store_relay):
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, manifest(1))
-        store.put(MANIFEST_TOPIC, MANIFEST_KEY, large_manifest(2))
-        async with mirrors(1, copy, [link]) as (relays, port):
+        store.put(MANIFEST_TOPIC, MANIFEST_KEY, make_large_manifest(2))
+        async with serve_mirrors(1, copy, [link]) as (relays, port):
             relays[0].cut(Cut.BOTH)
-            client = StoreClient(way.host, way.port, clock)
+            client = StoreClient(store_relay.host, store_relay.port, clock)
             follower = make_follower(client, port, clock, 'vm')
             follower.feed.confirmed_at -= 2 * MANIFEST_FEED.max_age_s
-            late = await late_ones(
-                [follower], relays, clock, BEAT_S, IN_FORCE_S / 2
+            late = await find_late_followers(
+                [follower], relays, clock, BEAT_S, MAX_UPDATE_S / 2
             )
     assert not late
--- a/tests/failures/test_log_link_cut.py
+++ b/tests/failures/test_log_link_cut.py
@@ -1,9 +1,9 @@
-"""One VM's link to the log is cut, one way or both.
+"""One VM's link to the log is cut in one or both directions.
 
-What the caller sees: a definite answer from that VM, in time. Order: the
-home's append is held in the network, or lands while its reply is held; the
-home gives up and answers; the cut heals and the append lands late. Why: an
-intent whose right was not read back is never acted on, however late it lands.
+The home's append is held in the network, or takes effect while its reply is
+held. The home gives up and answers its caller in time; after the cut has
+healed, the append takes effect late. The home never acts on an intent record
+that it has not read back from the log, however late the record appears there.
 """
 
 import time
@@ -27,7 +27,7 @@
     tmp_path: Path,
     cut: Cut,
 ) -> None:
-    """A claim told `not_run` stays so after the cut has healed."""
+    """A claim reported as `not_run` never runs after the cut has healed."""
     async with scenario(LAYOUT, tmp_path) as scene:
         home = scene.cluster.vms[0]
         caller = scene.caller(home)
@@ -38,25 +38,25 @@
         assert record.attempts[0].reading is not None, record.describe()
         assert record.attempts[0].reading.outcome is Outcome.NOT_RUN
         await home.log_relay.heal()
-        later = await scene.caller(home).send(
+        next_record = await scene.caller(home).send(
             scene.make.plain(LARGE_SCHOOL, 'slot-claim', deadline_s=9),
         )
-        assert later.outcome is Outcome.DONE, later.describe()
+        assert next_record.outcome is Outcome.DONE, next_record.describe()
         assert_clean(scene.verdict())
 
 
 async def test_a_flapping_link_loses_and_doubles_nothing(
     tmp_path: Path,
 ) -> None:
-    """Load goes on while one VM's link to the log comes and goes."""
+    """Requests are served while one VM's link to the log is cut repeatedly."""
     async with scenario(LAYOUT, tmp_path) as scene:
         relay = scene.cluster.vms[0].log_relay
         async with scene.load(LOAD):
             for cut in (Cut.TO_TARGET, Cut.FROM_TARGET, Cut.BOTH):
-                done = scene.count(Outcome.DONE)
+                done_before_cut = scene.count(Outcome.DONE)
                 relay.cut(cut)
                 await wait_until(
-                    lambda: scene.count(Outcome.DONE) > done + 15,  # noqa: B023
+                    lambda: scene.count(Outcome.DONE) > done_before_cut + 15,  # noqa: B023
                     'the load goes on over the cut',
                 )
                 await relay.heal(drop=True)
--- a/tests/failures/test_one_process.py
+++ b/tests/failures/test_one_process.py
@@ -1,10 +1,9 @@
-"""Only one of a VM's two processes dies, or is paused.
+"""Only one of a VM's two processes is killed or paused.
 
-What the caller sees: answers go on. Order: a scheduler that owns queues stops
-and its asks time out, or a gateway with streams under way dies; the other
-process of the VM lives and must not pretend that all is well. Why: an owner
-that is gone is replaced by the next in rank, and a grant is only the stream
-that carries it.
+A scheduler that owns queues stops and requests to it time out, or a gateway
+with streams under way dies, while the VM's other process lives on and must not
+hide the loss. The next VM in rank replaces a lost owner, and a grant ends with
+the stream that carries it, so answers must go on.
 """
 
 import signal
@@ -33,11 +32,11 @@
 SERVICE = 'briefing-llm'
 
 
-async def _done_more(scene: Scenario, count: int, what: str) -> None:
+async def _wait_until_done_more(scene: Scenario, count: int, what: str) -> None:
     for profile in ('slot-claim', 'debrief'):
-        goal = scene.count(Outcome.DONE, profile) + count
+        target_count = scene.count(Outcome.DONE, profile) + count
         await wait_until(
-            lambda: scene.count(Outcome.DONE, profile) >= goal,  # noqa: B023
+            lambda: scene.count(Outcome.DONE, profile) >= target_count,  # noqa: B023
             f'{profile}: {what}',
         )
 
@@ -47,12 +46,12 @@
     tmp_path: Path,
     number: signal.Signals,
 ) -> None:
-    """Its gateway and the others find the next owner."""
+    """All gateways, also that of the same VM, find the next owner."""
     async with scenario(LAYOUT, tmp_path) as scene:
         async with scene.load(LOAD):
-            await _done_more(scene, 10, 'served before')
+            await _wait_until_done_more(scene, 10, 'served before')
             scene.owner(SERVICE).scheduler.send_signal(number)
-            await _done_more(scene, 15, 'served after')
+            await _wait_until_done_more(scene, 15, 'served after')
         assert_clean(scene.verdict())
 
 
@@ -61,12 +60,12 @@
     tmp_path: Path,
     number: signal.Signals,
 ) -> None:
-    """Its callers go elsewhere, its grants are given to others."""
+    """Its callers use other VMs, and its grants go to other gateways."""
     async with scenario(LAYOUT, tmp_path) as scene:
-        victim: Process = scene.cluster.vms[0].gateway
+        lost_gateway: Process = scene.cluster.vms[0].gateway
         async with scene.load(LOAD):
-            await _done_more(scene, 10, 'served before')
-            victim.send_signal(number)
-            await _done_more(scene, 15, 'served after')
-            victim.send_signal(signal.SIGCONT)
+            await _wait_until_done_more(scene, 10, 'served before')
+            lost_gateway.send_signal(number)
+            await _wait_until_done_more(scene, 15, 'served after')
+            lost_gateway.send_signal(signal.SIGCONT)
         assert_clean(scene.verdict())
--- a/tests/failures/test_operators_at_work.py
+++ b/tests/failures/test_operators_at_work.py
@@ -1,10 +1,10 @@
-"""An operator publishes, looks and drains while callers are served.
+"""An operator publishes terms, inspects and drains VMs while callers are served.
 
-What the caller sees: nothing; every answer is whole. Order: a publish is
-awaited everywhere, then one VM is drained: its gateway takes nothing new,
-ends what it has and exits, and only then its scheduler leaves. Why: requests
-that wait at a draining gateway still need slots, and others' requests go on
-with the VM's scheduler until it has handed its shards on.
+A publish is awaited on all processes, then one VM is drained: its gateway
+accepts no new requests, finishes those it has and exits, and only then its
+scheduler leaves. Requests that wait at a draining gateway still need slots, and
+other VMs use its scheduler until it has handed over its shards. Every answer
+must be whole.
 """
 
 import asyncio
@@ -38,8 +38,8 @@
 SECRET = 'student-is-afraid-of-stalls'
 
 
-async def ctl(scene: Scenario, *args: str) -> tuple[ExitStatus, str]:
-    """Run one command as the operator would; return code and output."""
+async def run_ctl(scene: Scenario, *args: str) -> tuple[ExitStatus, str]:
+    """Run one operator command and return its exit status and output."""
     out = StringIO()
     env = Environment(
         stdout=out,
@@ -55,7 +55,7 @@
 async def test_a_publish_and_a_drain_under_load_cut_nothing(
     tmp_path: Path,
 ) -> None:
-    """The only broken sends met the port that the drained VM had closed."""
+    """Sends break only where they met the closed port of the drained VM."""
     async with scenario(LAYOUT, tmp_path) as scene:
         leaving = scene.cluster.vms[0]
         async with scene.load(LOAD):
@@ -63,26 +63,31 @@
                 lambda: scene.count(Outcome.DONE) > 40,
                 '40 requests done before the publish',
             )
-            published, _ = await ctl(
+            published, _ = await run_ctl(
                 scene, 'publish', str(EXAMPLE), '--base', '1'
             )
-            waited, told = await ctl(scene, 'wait', '2', '--timeout', '10')
-            drained, _ = await ctl(scene, 'drain', leaving.name)
+            waited, wait_output = await run_ctl(
+                scene, 'wait', '2', '--timeout', '10'
+            )
+            drained, _ = await run_ctl(scene, 'drain', leaving.name)
             codes = await leaving.exit_codes()
             await scene.done_more(40, '40 more requests done after the drain')
-        status, listing = await ctl(scene, 'status')
+        status, listing = await run_ctl(scene, 'status')
         assert (published, waited, drained) == (ExitStatus.OK,) * 3
-        assert told == 'version 2 is in force on all 6 processes\n'
+        assert wait_output == 'version 2 is in force on all 6 processes\n'
         assert codes == (0, 0)
         assert not scene.cut_answers(), scene.cut_answers()[:5]
         assert_clean(scene.verdict())
-        # The list still names the drained VM, so its silence is told.
+        # The VM list still has the drained VM, so the status reports no answer.
         assert status is ExitStatus.UNAVAILABLE
         assert listing.count('no answer') == 2
 
 
 async def test_the_example_caller_gets_one_answer(tmp_path: Path) -> None:
-    """One entry is dead; and no log holds what was sent, at any level."""
+    """One of two entry VMs is dead; no log contains the request body.
+
+    The log level is DEBUG, the most verbose one.
+    """
     layout = Layout(
         vms=2,
         engines=(),
@@ -109,7 +114,7 @@
 async def test_a_request_can_be_explained_and_seen_on_the_time_line(
     tmp_path: Path,
 ) -> None:
-    """The VM that took it in is killed; its log still tells the story."""
+    """All VMs are killed first; their log files still show the request."""
     async with scenario(LAYOUT, tmp_path) as scene:
         async with scene.load(LOAD):
             await wait_until(
@@ -117,7 +122,7 @@
                 '10 requests done',
             )
         request_id = scene.ledger.records[0].attempts[-1].request_id
-        explained, story = await ctl(scene, 'explain', request_id)
+        explained, explanation = await run_ctl(scene, 'explain', request_id)
         for vm in scene.cluster.vms:
             await vm.kill()
     out = StringIO()
@@ -126,35 +131,39 @@
     assert show_timeline(args, env) is ExitStatus.OK
     assert explained is ExitStatus.OK
     for event in ('accepted', 'granted', 'dispatched', 'settled'):
-        assert f' {event} ' in story
+        assert f' {event} ' in explanation
         assert f' {event} ' in out.getvalue()
 
 
 async def test_terms_lost_everywhere_come_back_by_an_operator(
     tmp_path: Path,
 ) -> None:
-    """All VMs are replaced after the log has forgotten the terms.
+    """All VMs are replaced after the log has dropped the record of the terms.
 
-    Callers are told `not_run`, as no VM knows the terms and nothing on the
-    log says them. The operator states them once, and every VM takes them.
+    Callers receive `not_run`, as neither a VM nor the log has the terms. The
+    operator recovers them once, and every VM applies them.
     """
     layout = Layout(vms=2, engines=(), plain_latencies_ms=(5,))
     async with scenario(layout, tmp_path) as scene:
         for vm in scene.cluster.vms:
             await vm.kill()
-        kept = len(scene.cluster.log.records(TERMS_STREAM))
-        scene.cluster.log.faults.forget_below = {TERMS_STREAM: kept}
+        record_count = len(scene.cluster.log.records(TERMS_STREAM))
+        scene.cluster.log.faults.forget_below = {TERMS_STREAM: record_count}
         for vm in scene.cluster.vms:
             await vm.replace()
-        await wait_until(lambda: _all_answer(scene), 'every program answers')
-        refused, _ = await ctl(scene, 'publish', str(EXAMPLE), '--base', '1')
-        recovered, _ = await ctl(scene, 'recover', str(EXAMPLE), '2')
-        waited, _ = await ctl(scene, 'wait', '2')
+        await wait_until(
+            lambda: _do_all_processes_answer(scene), 'every program answers'
+        )
+        refused, _ = await run_ctl(
+            scene, 'publish', str(EXAMPLE), '--base', '1'
+        )
+        recovered, _ = await run_ctl(scene, 'recover', str(EXAMPLE), '2')
+        waited, _ = await run_ctl(scene, 'wait', '2')
         await scene.cluster.ready()
     assert refused is ExitStatus.UNAVAILABLE
     assert (recovered, waited) == (ExitStatus.OK, ExitStatus.OK)
 
 
-async def _all_answer(scene: Scenario) -> bool:
-    status, _ = await ctl(scene, 'status')
+async def _do_all_processes_answer(scene: Scenario) -> bool:
+    status, _ = await run_ctl(scene, 'status')
     return status is ExitStatus.OK
--- a/tests/failures/test_operators_race.py
+++ b/tests/failures/test_operators_race.py
@@ -1,10 +1,9 @@
 """Two operators publish at once while one VM is cut off from the log.
 
-What the caller sees: the same profiles at every VM within seconds, and never
-the old ones again. Order: both publish on the same base, the log puts one
-first; that one is in force, the other is void; the VM that cannot reach the
-log learns the terms from its peers. Why: versions follow the log's order, and
-every message between VMs carries the newest.
+Both publish on the same base version. The publish that comes first in the log
+is in force and the other is void, as versions follow the log's order. The VM
+that can't reach the log learns the terms from its peers, as every message
+between VMs carries the newest terms. No VM may serve older terms again.
 """
 
 import json
@@ -18,26 +17,26 @@
 from tests.utils.waiting import wait_until
 
 LAYOUT = Layout(vms=6, engines=(), plain_latencies_ms=(5,))
-SECONDS = 6
+PUBLISH_TIMEOUT_S = 6
 FIRST_VERSION = 1
 
 
 async def test_the_first_publish_in_the_log_is_in_force_everywhere(
     tmp_path: Path,
 ) -> None:
-    """Also at a VM that is cut from the log; the other never is."""
+    """It is in force also at the VM without the log; the other never is."""
     async with scenario(LAYOUT, tmp_path) as scene:
-        cut_off = scene.cluster.vms[-1]
-        cut_off.log_relay.cut(Cut.BOTH)
-        await _race(scene, FIRST_VERSION)
+        cut_off_vm = scene.cluster.vms[-1]
+        cut_off_vm.log_relay.cut(Cut.BOTH)
+        await _publish_twice(scene, FIRST_VERSION)
         await wait_until(
             lambda: in_force(scene, 'winner'),
             'the winner is in force at every VM',
-            SECONDS,
+            PUBLISH_TIMEOUT_S,
         )
         await assert_void(scene, 'loser')
-        await cut_off.log_relay.heal()
-        await cut_off.replace()
+        await cut_off_vm.log_relay.heal()
+        await cut_off_vm.replace()
         await wait_until(
             lambda: in_force(scene, 'winner'),
             'the winner is still in force after a VM came back',
@@ -45,13 +44,13 @@
         await assert_void(scene, 'loser')
 
 
-async def _race(scene: Scenario, base: int) -> None:
+async def _publish_twice(scene: Scenario, base: int) -> None:
     for profile in ('winner', 'loser'):
         scene.cluster.publish(with_profile(profile), base, by=profile)
     records = scene.cluster.log.records(TERMS_STREAM)
-    racers = [
+    publishes = [
         json.loads(record)
         for record in records
         if json.loads(record).get('by') in {'winner', 'loser'}
     ]
-    assert [racer['by'] for racer in racers] == ['winner', 'loser']
+    assert [publish['by'] for publish in publishes] == ['winner', 'loser']
--- a/tests/failures/test_paused_processes.py
+++ b/tests/failures/test_paused_processes.py
@@ -1,4 +1,4 @@
-"""A busy machine doesn't run one process after another for a second."""
+"""Processes are paused for a second or so, as on an overloaded machine."""
 
 import asyncio
 import signal
@@ -24,12 +24,13 @@
 )
 LONGEST_DEADLINE_S = max(stream.deadline_s for stream in LOAD)
 PAUSES = 10
-# Shorter than what makes an owner start anew, see `decisions.floor`.
+# Shorter than the pause after which an owner starts anew; see
+# `decisions.floor`.
 PAUSE_S = (0.9, 1.4)
 BETWEEN_S = (0.05, 0.4)
 
 
-async def _pause_one_by_one(scene: Scenario, rng: Random) -> None:
+async def _pause_processes_in_turn(scene: Scenario, rng: Random) -> None:
     for _ in range(PAUSES):
         vm = rng.choice(scene.cluster.vms)
         paused = rng.choice(vm.processes)
@@ -43,11 +44,11 @@
 async def test_pauses_of_one_process_at_a_time_cost_no_answer(
     tmp_path: Path, seed: int
 ) -> None:
-    """Guards against a process that isn't run being taken for a lost one."""
+    """Guards against a paused process that is considered lost."""
     async with scenario(LAYOUT, tmp_path) as scene:
         async with scene.load(LOAD):
             await scene.done_more(20, 'the load is served')
-            await _pause_one_by_one(scene, Random(seed))
+            await _pause_processes_in_turn(scene, Random(seed))
             await scene.done_more(20, 'the load is served after the pauses')
         assert not scene.cut_answers(), scene.cut_answers()[:5]
         assert_clean(scene.verdict())
@@ -57,15 +58,15 @@
 async def test_requests_are_told_their_fate_while_no_scheduler_runs(
     tmp_path: Path,
 ) -> None:
-    """Guards against waits on schedulers that outlast a request's deadline."""
+    """Guards against waits for schedulers that exceed a request's deadline."""
     async with scenario(LAYOUT, tmp_path) as scene:
         schedulers = [vm.scheduler for vm in scene.cluster.vms]
         async with scene.load(LOAD):
             await scene.done_more(20, 'the load is served')
-            for each in schedulers:
-                each.send_signal(signal.SIGSTOP)
+            for scheduler in schedulers:
+                scheduler.send_signal(signal.SIGSTOP)
             await asyncio.sleep(LONGEST_DEADLINE_S)
-            for each in schedulers:
-                each.send_signal(signal.SIGCONT)
+            for scheduler in schedulers:
+                scheduler.send_signal(signal.SIGCONT)
             await scene.done_more(20, 'the load is served again')
         assert_clean(scene.verdict())
--- a/tests/failures/test_planned_stop.py
+++ b/tests/failures/test_planned_stop.py
@@ -1,9 +1,8 @@
-"""An entry VM is stopped as planned, under load.
+"""An entry VM is stopped by SIGTERM under load.
 
-What the caller sees: its answer, whole; later requests go to other addresses.
-Order: SIGTERM reaches both processes at once; they take nothing new, let all
-in flight end, write the journal and exit 0. Why: a stop is planned, so
-nothing about it excuses a cut stream.
+Both its processes receive the signal at once, accept no new requests, finish
+those in flight, write the journal and exit 0. Later requests go to other VMs.
+As the stop is planned, no stream may be cut.
 """
 
 from pathlib import Path
@@ -30,15 +29,15 @@
 async def test_a_planned_stop_cuts_nothing_and_exits_0(
     tmp_path: Path,
 ) -> None:
-    """Every request is done; the only broken sends met a closed port."""
+    """Every request is done; sends break only at the closed port."""
     async with scenario(LAYOUT, tmp_path) as scene:
-        leaving = scene.cluster.vms[0]
+        stopping_vm = scene.cluster.vms[0]
         async with scene.load(LOAD):
             await wait_until(
                 lambda: scene.count(Outcome.DONE) > 60,
                 '60 requests done before the stop',
             )
-            codes = await leaving.stop()
+            codes = await stopping_vm.stop()
             await scene.done_more(40, '40 more requests done after the stop')
         assert not scene.cut_answers(), scene.cut_answers()[:5]
         assert codes == (0, 0)
--- a/tests/failures/test_poison_request.py
+++ b/tests/failures/test_poison_request.py
@@ -1,10 +1,9 @@
-"""One request crashes each engine that runs it, and is sent again.
+"""One request crashes each engine that runs it, and its caller sends it again.
 
-What the caller sees: the sender of the poison is told in the end that its
-content will not be run; everybody else is served. Order: an engine dies with
-all that ran on it, what was there becomes suspect and runs alone, the poison
-kills again, alone, and is then refused. Why: ids do not help, as the caller
-sends the same content under new ones; the content's fingerprint does.
+A crashed engine loses all its runs; each of their contents becomes suspect and
+is run alone from then on. The poison crashes more engines, alone, and is then
+rejected, while all other callers are served. Suspects are identified by a
+fingerprint of their content, as the caller sends the content under new ids.
 """
 
 import asyncio
@@ -31,15 +30,15 @@
     engines=(EngineConfig(decode_tps=60, restart_s=0.3),) * 4,
     plain_latencies_ms=(20,),
 )
-# About a dozen runs are under way at any time, so each crash has company.
+# About a dozen runs are under way at any time, so each crash ends other runs.
 LOAD = (Stream('debrief', 12, 8, (100, 400), (40, 80)),)
-MOST_SENDS = 12
-# Refused after crashes on three runners; one more may be under way at
-# another VM that has not heard yet.
-MOST_CRASHES = 4
+MAX_SENDS = 12
+# The content is rejected after crashes on three runners; another VM that has not
+# heard of them yet may be running it once more.
+MAX_CRASHES = 4
 
 
-def _poison(scene: Scenario, profile: str) -> Work:
+def _make_poison(scene: Scenario, profile: str) -> Work:
     return scene.make.engine(
         LARGE_SCHOOL,
         profile,
@@ -50,11 +49,11 @@
     )
 
 
-def _crashes(scene: Scenario, poison: Work) -> int:
-    """Count the runs that ended their engine.
+def _count_crashes(scene: Scenario, poison: Work) -> int:
+    """Return the number of runs that crashed their engine.
 
-    One that an engine admitted and that was stopped before it started, for a
-    higher tier, crashed nothing.
+    A run that its engine admitted and stopped for a higher tier before it
+    started does not count.
     """
     return sum(
         run.prompt_hash == poison.content and run.state is RunState.CRASHED
@@ -63,40 +62,40 @@
     )
 
 
-async def _send_poison_until_refused(scene: Scenario, poison: Work) -> None:
-    for _ in range(MOST_SENDS):
+async def _send_poison_until_rejected(scene: Scenario, poison: Work) -> None:
+    for _ in range(MAX_SENDS):
         record = await scene.caller().send(poison)
         if record.outcome is Outcome.REJECTED:
             return
-    raise AssertionError(f'poison never refused: {record.describe()}')
+    raise AssertionError(f'poison never rejected: {record.describe()}')
 
 
 @pytest.mark.parametrize(
     'profile',
     [
-        'syllabus-summary',  # idempotent: the system itself tries again
-        'debrief',  # at most once: the caller sends it under new ids
+        'syllabus-summary',  # idempotent: the system itself retries it
+        'debrief',  # at most once: the caller resends it under new ids
     ],
 )
 async def test_a_poison_request_is_contained(
     tmp_path: Path,
     profile: str,
 ) -> None:
-    """A few crashes, then a refusal; innocent work goes on."""
+    """A few crashes, then a rejection; all other requests are served."""
     async with scenario(LAYOUT, tmp_path) as scene:
-        poison = _poison(scene, profile)
+        poison = _make_poison(scene, profile)
         async with scene.load(LOAD):
             await wait_until(
                 lambda: scene.count(Outcome.DONE) > 20,
-                'every engine has company for the poison',
+                'every engine has other runs besides the poison',
             )
-            await _send_poison_until_refused(scene, poison)
-            crashes = _crashes(scene, poison)
-            assert 1 <= crashes <= MOST_CRASHES
+            await _send_poison_until_rejected(scene, poison)
+            crashes = _count_crashes(scene, poison)
+            assert 1 <= crashes <= MAX_CRASHES
             await scene.done_more(
-                40, '40 innocent requests done after the poison was refused'
+                40, '40 other requests done after the poison was rejected'
             )
-        assert _crashes(scene, poison) == crashes
+        assert _count_crashes(scene, poison) == crashes
         assert_clean(scene.verdict())
 
 
@@ -105,32 +104,34 @@
     tmp_path: Path,
     owner_frozen_s: float,
 ) -> None:
-    """No more crashes than with all VMs up, and then a refusal.
+    """No more crashes than with all VMs up, and then a rejection.
 
-    The first crash is known to the owner of the engines' queue alone when its
-    VM freezes; another VM takes over, or the frozen one wakes and goes on. The
-    sender's deadline may pass in the very moment of a crash, which then nobody
-    reports.
+    Only the owner of the engines' queue knows of the first crash when its VM
+    freezes; another VM takes over, or the frozen one resumes. The sender's
+    deadline may pass just when an engine crashes; then nobody reports that
+    crash.
     """
     async with scenario(LAYOUT, tmp_path) as scene:
-        poison = _poison(scene, 'syllabus-summary')
+        poison = _make_poison(scene, 'syllabus-summary')
         async with scene.load(LOAD):
             await wait_until(
                 lambda: scene.count(Outcome.DONE) > 20,
-                'every engine has company for the poison',
+                'every engine has other runs besides the poison',
             )
             freezing = asyncio.create_task(
-                _freeze_after_a_crash(scene, poison, owner_frozen_s)
+                _freeze_owner_after_crash(scene, poison, owner_frozen_s)
             )
-            await _send_poison_until_refused(scene, poison)
+            await _send_poison_until_rejected(scene, poison)
             await freezing
-        assert 1 <= _crashes(scene, poison) <= MOST_CRASHES
+        assert 1 <= _count_crashes(scene, poison) <= MAX_CRASHES
 
 
-async def _freeze_after_a_crash(
+async def _freeze_owner_after_crash(
     scene: Scenario, poison: Work, seconds: float
 ) -> None:
-    await wait_until(lambda: _crashes(scene, poison) >= 1, 'the first crash')
+    await wait_until(
+        lambda: _count_crashes(scene, poison) >= 1, 'the first crash'
+    )
     owner = scene.cluster.vms[0]
     owner.freeze()
     await asyncio.sleep(seconds)
--- a/tests/failures/test_runner_leaving.py
+++ b/tests/failures/test_runner_leaving.py
@@ -1,8 +1,8 @@
-"""A runner leaves, and the VM list tells so late or not at all.
+"""A runner leaves, and the VM list shows it late or not at all.
 
-What the caller sees: nothing. Order: the runner is marked as leaving, the
-list shows it (late), the schedulers stop giving it work. Why: its VM goes
-away in a short while, and what still ran there would be cut off.
+The runner is marked as leaving, the list shows it, and schedulers must stop
+giving it work within a few seconds: its VM ends soon, which would cut off work
+that still runs there. Callers must notice nothing.
 """
 
 import time
@@ -25,8 +25,8 @@
     Stream('availability', 20, 5),
     Stream('debrief', 8, 8, (50, 200), (10, 20)),
 )
-FEW_SECONDS = 3
-LEAVING = {
+LEAVE_DELAY_S = 3
+LEAVING_RUNNERS = {
     ENGINE_SERVICE: f'{ENGINE_SERVICE}-walton-1',
     PLAIN_SERVICE: f'{PLAIN_SERVICE}-walton-1',
 }
@@ -38,27 +38,27 @@
     return max((call.at for call in standin.calls), default=0)
 
 
-async def _leave_under_load(scene: Scenario, lag_s: float) -> None:
-    leaving = [scene.cluster.by_name[name] for name in LEAVING.values()]
+async def _mark_leaving_under_load(scene: Scenario, lag_s: float) -> None:
+    leaving = [scene.cluster.by_name[name] for name in LEAVING_RUNNERS.values()]
     async with scene.load(LOAD):
         await wait_until(
             lambda: all(_last_work_at(each.standin) for each in leaving),
             'both runners that will leave have had work',
         )
         scene.cluster.vm_list.faults.lag_s = lag_s
-        for name in LEAVING.values():
+        for name in LEAVING_RUNNERS.values():
             scene.cluster.vm_list.mark_leaving(name)
-        limit = time.time() + lag_s + FEW_SECONDS
-        await wait_until(lambda: time.time() > limit, 'a few seconds')
+        no_work_after = time.time() + lag_s + LEAVE_DELAY_S
+        await wait_until(lambda: time.time() > no_work_after, 'a few seconds')
         await scene.done_more(60, 'the load goes on without them')
     for each in leaving:
-        assert _last_work_at(each.standin) < limit, each.vm.name
+        assert _last_work_at(each.standin) < no_work_after, each.vm.name
 
 
 async def test_a_leaving_runner_gets_no_new_work(tmp_path: Path) -> None:
-    """Not after a few seconds, and no caller notices."""
+    """It receives none after a few seconds, and no caller notices."""
     async with scenario(LAYOUT, tmp_path) as scene:
-        await _leave_under_load(scene, lag_s=0)
+        await _mark_leaving_under_load(scene, lag_s=0)
         assert_clean(scene.verdict())
         assert scene.verdict().is_clean, scene.verdict().reasons
 
@@ -66,18 +66,20 @@
 async def test_a_lagging_list_delays_but_does_not_defeat_leaving(
     tmp_path: Path,
 ) -> None:
-    """The few seconds start when the list shows the change."""
+    """The few seconds start once the list shows the change."""
     async with scenario(LAYOUT, tmp_path) as scene:
-        await _leave_under_load(scene, lag_s=2)
+        await _mark_leaving_under_load(scene, lag_s=2)
         assert_clean(scene.verdict())
 
 
 async def test_a_runner_that_refuses_is_left_alone_while_the_list_is_down(
     tmp_path: Path,
 ) -> None:
-    """The runner's own refusal is word enough; its work goes elsewhere."""
+    """A runner's own refusal suffices; its work goes to other runners."""
     async with scenario(LAYOUT, tmp_path) as scene:
-        leaving = [scene.cluster.by_name[name] for name in LEAVING.values()]
+        leaving = [
+            scene.cluster.by_name[name] for name in LEAVING_RUNNERS.values()
+        ]
         async with scene.load(LOAD):
             await scene.done_more(30, 'the load is served')
             scene.cluster.vm_list.faults.down = True
@@ -94,19 +96,21 @@
 async def test_a_new_runner_at_a_reused_address_gets_work(
     tmp_path: Path,
 ) -> None:
-    """What was told of the old one does not stick to its address."""
+    """The state of the old runner doesn't carry over to its address."""
     async with scenario(LAYOUT, tmp_path) as scene:
-        old = scene.cluster.by_name[LEAVING[PLAIN_SERVICE]]
+        old_runner = scene.cluster.by_name[LEAVING_RUNNERS[PLAIN_SERVICE]]
         async with scene.load(LOAD):
             await scene.done_more(20, 'the load is served')
-            scene.cluster.vm_list.mark_leaving(old.vm.name)
-            limit = time.time() + FEW_SECONDS
-            await wait_until(lambda: time.time() > limit, 'a few seconds')
-            scene.cluster.vm_list.remove(old.vm.name)
-            assert _last_work_at(old.standin) < limit
-            scene.cluster.vm_list.add(replace(old.vm, name='new-runner'))
+            scene.cluster.vm_list.mark_leaving(old_runner.vm.name)
+            no_work_after = time.time() + LEAVE_DELAY_S
             await wait_until(
-                lambda: _last_work_at(old.standin) > limit,
+                lambda: time.time() > no_work_after, 'a few seconds'
+            )
+            scene.cluster.vm_list.remove(old_runner.vm.name)
+            assert _last_work_at(old_runner.standin) < no_work_after
+            scene.cluster.vm_list.add(replace(old_runner.vm, name='new-runner'))
+            await wait_until(
+                lambda: _last_work_at(old_runner.standin) > no_work_after,
                 'the new runner at the old address gets work',
             )
         assert_clean(scene.verdict())
--- a/tests/failures/test_shortage.py
+++ b/tests/failures/test_shortage.py
@@ -1,10 +1,10 @@
-"""Much more work than the engines can do, in all tiers at once.
+"""Load in all tiers far above what the engines can serve.
 
-What the caller sees: bulk work is turned away or stopped, high tiers are
-served. Order: queues fill, deadlines near, lower tiers give their slots up,
-and only then may a higher tier be shed. Why: a request is shed only once no
-owner serves anything lower, so each `not_run` (a deadline that ran out in a
-queue counts) is held against what the engines were running at that moment.
+Queues fill, deadlines come near, and lower tiers give up their slots; only then
+may a higher tier be shed. Bulk work is refused or stopped, higher tiers are
+served. A request may be shed only once no owner serves anything lower, so each
+`not_run`, also by a deadline that passed in a queue, is compared with what the
+engines were running at that moment.
 """
 
 import asyncio
@@ -31,8 +31,8 @@
     engines=(EngineConfig(slots=4, decode_tps=40),) * 2,
     plain_latencies_ms=(20,),
 )
-# Eight slots give 320 tokens a second. The second tier alone asks for 600, so
-# some of it must be shed; all tiers together ask for about 1,900.
+# Eight slots decode 320 tokens per second. The second tier alone needs 600, so
+# some of it must be shed; all tiers together need about 1,900.
 LOAD = (
     Stream('logbook-check', 15, 4, (100, 400), (30, 50)),
     Stream('debrief', 10, 4, (100, 400), (50, 80)),
@@ -41,28 +41,31 @@
 
 
 @dataclass(frozen=True)
-class _Served:
+class _ServedRun:
     tier: Tier
     start: float
     end: float
 
 
-def _served(scene: Scenario) -> Iterator[_Served]:
+def _served_runs(scene: Scenario) -> Iterator[_ServedRun]:
     tiers = {
         record.work.content: record.work.tier for record in scene.ledger.records
     }
     for engine in scene.cluster.runners.engines:
         for run in engine.admitted:
             if run.prompt_hash in tiers:
-                yield _served_of(run, tiers[run.prompt_hash])
+                yield _make_served_run(run, tiers[run.prompt_hash])
 
 
-def _served_of(run: Run, tier: Tier) -> _Served:
-    return _Served(tier, run.admitted_at, run.ended_at or float('inf'))
+def _make_served_run(run: Run, tier: Tier) -> _ServedRun:
+    return _ServedRun(tier, run.admitted_at, run.ended_at or float('inf'))
 
 
-def _two_owners() -> str:
-    """Split the engines: no owner alone knows all that is served."""
+def _make_two_shard_terms() -> str:
+    """Return terms that split the engines between two owners.
+
+    Then no owner knows all that the engines serve.
+    """
     document = yaml.safe_load(EXAMPLE.read_text())
     document['services']['briefing-llm']['shards'] = 2
     return yaml.safe_dump(document)
@@ -71,12 +74,12 @@
 async def test_no_higher_tier_is_shed_while_a_lower_one_is_served(
     tmp_path: Path,
 ) -> None:
-    """Each request turned away finds nothing lower on any engine."""
-    async with scenario(LAYOUT, tmp_path, _two_owners()) as scene:
+    """No engine runs a lower tier at the moment in which a request is shed."""
+    async with scenario(LAYOUT, tmp_path, _make_two_shard_terms()) as scene:
         async with scene.load(LOAD):
             await wait_until(
                 lambda: scene.count(Outcome.NOT_RUN, 'logbook-check') >= 20,
-                '20 requests of the second tier turned away',
+                '20 requests of the second tier shed',
             )
         events = list(parse_events(scene.cluster.event_lines()))
         sheds = [
@@ -85,15 +88,19 @@
             if event['event'] == 'settled' and event['outcome'] == 'not_run'
         ]
         assert any(int(shed['tier']) == Tier.HIGH for shed in sheds)
-        # What `proved=False` tells apart: no owner gave its word in time.
-        asked = {
+        # `proved` is false where the owners did not confirm the shed in time.
+        proved_by_request = {
             each['req']: each['proved']
             for each in events
             if each['event'] == 'shed'
         }
-        unasked = [shed for shed in sheds if shed['req'] not in asked]
-        assert not unasked, f'{len(unasked)} shed without asking: {unasked[:2]}'
-        served = list(_served(scene))
+        unconfirmed = [
+            shed for shed in sheds if shed['req'] not in proved_by_request
+        ]
+        assert not unconfirmed, (
+            f'{len(unconfirmed)} shed without asking: {unconfirmed[:2]}'
+        )
+        served = list(_served_runs(scene))
         for shed in sheds:
             lower = [
                 each
@@ -101,7 +108,7 @@
                 if each.tier > int(shed['tier'])
                 and each.start < shed.at < each.end
             ]
-            assert not lower, (shed, asked[shed['req']], lower)
+            assert not lower, (shed, proved_by_request[shed['req']], lower)
         assert_clean(scene.verdict())
 
 
@@ -110,8 +117,8 @@
     tmp_path: Path,
     pause_s: float,
 ) -> None:
-    """Guards against higher tiers that wait where nobody can serve them."""
-    async with scenario(LAYOUT, tmp_path, _two_owners()) as scene:
+    """Guards against higher tiers that wait at an owner that can't serve them."""
+    async with scenario(LAYOUT, tmp_path, _make_two_shard_terms()) as scene:
         async with scene.load(LOAD):
             await wait_until(
                 lambda: scene.count(Outcome.DONE) >= 10,
@@ -123,18 +130,18 @@
             owner.send_signal(signal.SIGCONT)
             await wait_until(
                 lambda: scene.count(Outcome.NOT_RUN, 'logbook-check') >= 20,
-                '20 requests of the second tier turned away',
+                '20 requests of the second tier shed',
             )
-        served = list(_served(scene))
-        wrong = [
+        served = list(_served_runs(scene))
+        violations = [
             (shed, lower)
-            for shed in _sheds(scene)
-            if (lower := _lower_beside(shed, served))
+            for shed in _shed_events(scene)
+            if (lower := _lower_tier_runs_at(shed, served))
         ]
-        assert not wrong, f'{len(wrong)} of them: {wrong[:3]}'
+        assert not violations, f'{len(violations)} of them: {violations[:3]}'
 
 
-def _sheds(scene: Scenario) -> list[LoggedEvent]:
+def _shed_events(scene: Scenario) -> list[LoggedEvent]:
     return [
         event
         for event in parse_events(scene.cluster.event_lines())
@@ -142,7 +149,9 @@
     ]
 
 
-def _lower_beside(shed: LoggedEvent, served: list[_Served]) -> list[_Served]:
+def _lower_tier_runs_at(
+    shed: LoggedEvent, served: list[_ServedRun]
+) -> list[_ServedRun]:
     return [
         each
         for each in served
--- a/tests/failures/test_terms_kept.py
+++ b/tests/failures/test_terms_kept.py
@@ -1,9 +1,9 @@
-"""Accepted terms outlive the log's memory, outages, pauses and every VM.
+"""Accepted terms survive log truncation, outages, pauses and VM replacement.
 
-What the caller sees: the published profiles, at every VM, from then on.
-Order: terms are published; the log forgets or goes down, VMs are replaced one
-after another or sleep over a change. Why: terms pass between VMs, whoever has
-none asks its peers, and whoever has heard nothing for long admits nothing.
+Terms are published; then the log drops their record or goes down, VMs are
+replaced one after another, or one is paused during a change. VMs pass terms to
+each other: a VM without terms asks its peers, and a VM that has heard nothing
+for long admits no requests. Every VM must serve the newest terms from then on.
 """
 
 import signal
@@ -26,16 +26,16 @@
 
 LAYOUT = Layout(vms=3, engines=(), plain_latencies_ms=(5,))
 STALE_AFTER_S = 2
-SOON_STALE = Layout(
+SHORT_STALENESS_LAYOUT = Layout(
     vms=3,
     engines=(),
     plain_latencies_ms=(5,),
     flags=('--terms-stale-after-s', str(STALE_AFTER_S)),
 )
-SECONDS = 6
+PUBLISH_TIMEOUT_S = 6
 FIRST_VERSION = 1
 SECOND_VERSION = 2
-ASKS_AFTER_WAKING = 20
+REQUESTS_AFTER_RESUME = 20
 
 
 async def _publish_winner(scene: Scenario) -> None:
@@ -43,16 +43,16 @@
     await wait_until(
         lambda: in_force(scene, 'winner'),
         'the publish is in force at every VM',
-        SECONDS,
+        PUBLISH_TIMEOUT_S,
     )
 
 
 async def test_terms_survive_a_log_that_forgot_them(tmp_path: Path) -> None:
-    """A VM that starts when the record is gone still gets the terms."""
+    """A VM that starts after the record was dropped still gets the terms."""
     async with scenario(LAYOUT, tmp_path) as scene:
         await _publish_winner(scene)
-        kept = len(scene.cluster.log.records(TERMS_STREAM))
-        scene.cluster.log.faults.forget_below = {TERMS_STREAM: kept}
+        record_count = len(scene.cluster.log.records(TERMS_STREAM))
+        scene.cluster.log.faults.forget_below = {TERMS_STREAM: record_count}
         for vm in scene.cluster.vms[:2]:
             await vm.replace()
         await wait_until(
@@ -64,7 +64,7 @@
 async def test_terms_survive_the_replacement_of_every_vm(
     tmp_path: Path,
 ) -> None:
-    """One after another, with the log down all the while."""
+    """VMs are replaced one after another while the log is down."""
     async with scenario(LAYOUT, tmp_path) as scene:
         await _publish_winner(scene)
         scene.cluster.log.faults.down = True
@@ -80,28 +80,28 @@
 async def test_a_vm_that_slept_over_a_change_serves_no_old_terms(
     tmp_path: Path,
 ) -> None:
-    """Nothing is run under a profile that was withdrawn meanwhile."""
-    async with scenario(SOON_STALE, tmp_path) as scene:
+    """It runs nothing under a profile withdrawn while it was paused."""
+    async with scenario(SHORT_STALENESS_LAYOUT, tmp_path) as scene:
         await _publish_winner(scene)
-        sleeper = scene.cluster.vms[0]
-        sleeper.freeze()
+        paused_vm = scene.cluster.vms[0]
+        paused_vm.freeze()
         scene.cluster.publish(with_profile('successor'), SECOND_VERSION)
-        awake = scene.cluster.vms[1:]
+        running_vms = scene.cluster.vms[1:]
         await wait_until(
-            lambda: _all_serve(awake, 'successor'),
-            'the change is in force at every VM that is awake',
-            SECONDS,
+            lambda: _all_serve(running_vms, 'successor'),
+            'the change is in force at every running VM',
+            PUBLISH_TIMEOUT_S,
         )
-        await _sleep_until_stale()
-        # The gateway wakes first: it can't have heard of the change yet.
-        sleeper.gateway.send_signal(signal.SIGCONT)
-        for _ in range(ASKS_AFTER_WAKING):
-            reading = await ask_under(sleeper, 'winner')
+        await _wait_until_stale()
+        # The gateway resumes before the scheduler, so it can't know the change yet.
+        paused_vm.gateway.send_signal(signal.SIGCONT)
+        for _ in range(REQUESTS_AFTER_RESUME):
+            reading = await ask_under(paused_vm, 'winner')
             assert reading is None or reading.outcome is not Outcome.DONE
-        sleeper.thaw()
+        paused_vm.thaw()
         await wait_until(
             lambda: in_force(scene, 'successor'),
-            'the sleeper serves under the new terms',
+            'the resumed VM serves under the new terms',
         )
         await assert_void(scene, 'winner')
 
@@ -115,7 +115,7 @@
     return reading is not None and reading.outcome is Outcome.DONE
 
 
-async def _sleep_until_stale() -> None:
-    """Let the sleeper's terms grow older than it may trust."""
+async def _wait_until_stale() -> None:
+    """Wait until the terms of the paused VM are stale."""
     stale_at = time.monotonic() + STALE_AFTER_S
     await wait_until(lambda: time.monotonic() > stale_at, 'terms are stale')
--- a/tests/failures/test_two_failures.py
+++ b/tests/failures/test_two_failures.py
@@ -1,9 +1,9 @@
 """Two failures at once.
 
-What the caller sees: still one answer from the closed set for each request.
-Order: a VM dies while the log loses replies; or the log goes down and a VM
-dies before it can journal what it ran. Why: no safeguard leans on the other
-part being well; what can't be proved is told as `unknown`, never as `not_run`.
+A VM dies while the log loses replies, or the log goes down and a VM dies before
+it can journal its runs, or a VM freezes while an engine is slow. No safeguard
+relies on another part that works, so each request still receives one definite
+outcome: `unknown`, never `not_run`, where it can't be proved that nothing ran.
 """
 
 from pathlib import Path
@@ -27,7 +27,7 @@
 
 
 async def test_a_vm_dies_while_the_log_loses_replies(tmp_path: Path) -> None:
-    """A resend is settled over a log that answers only sometimes."""
+    """A resend is settled although the log answers only sometimes."""
     async with scenario(LAYOUT, tmp_path) as scene:
         async with scene.load(LOAD):
             await scene.done_more(40, 'the load is served')
@@ -39,7 +39,7 @@
 
 
 async def test_a_vm_dies_while_the_log_is_down(tmp_path: Path) -> None:
-    """What its journal could not take is told as unknown."""
+    """Runs that it could not journal are reported as `unknown`."""
     async with scenario(LAYOUT, tmp_path) as scene:
         async with scene.load(LOAD):
             await scene.done_more(40, 'the load is served')
@@ -53,15 +53,15 @@
 
 
 async def test_a_vm_freezes_while_an_engine_straggles(tmp_path: Path) -> None:
-    """A woken VM and a slow engine give late answers, none twice."""
+    """A resumed VM and a slow engine answer late, but never twice."""
     async with scenario(LAYOUT, tmp_path) as scene:
-        frozen = scene.cluster.vms[0]
+        frozen_vm = scene.cluster.vms[0]
         async with scene.load(LOAD):
             await scene.done_more(40, 'the load is served')
             scene.cluster.runners.engines[0].faults.slowdown = 5
-            frozen.freeze()
+            frozen_vm.freeze()
             await scene.done_more(60, 'the others serve on')
-            frozen.thaw()
-            await wait_until(frozen.is_ready, 'the woken VM is ready')
+            frozen_vm.thaw()
+            await wait_until(frozen_vm.is_ready, 'the resumed VM is ready')
             await scene.done_more(20, 'all serve again')
         assert_clean(scene.verdict())
