--- a/tests/failures/test_brief_pause.py
+++ b/tests/failures/test_brief_pause.py
@@ -22,7 +22,7 @@
     tmp_path: Path,
     pause_s: float,
 ) -> None:
-    """Guards against lookups that wait at an owner whose grants are unusable."""
+    """Guards against lookups that wait at an owner with unusable grants."""
     async with scenario(LAYOUT, tmp_path) as scene:
         async with scene.load(LOAD):
             await wait_until(
--- a/tests/failures/test_gateway_paused.py
+++ b/tests/failures/test_gateway_paused.py
@@ -22,8 +22,8 @@
 
 LAYOUT = Layout(vms=3, engines=(), plain_latencies_ms=(20, 30))
 LOG_SLOW_MS = 200
-# Longer than the timeout of a call to the log, shorter than callers wait for a
-# silent VM.
+# Longer than the timeout of a call to the log, shorter than the time for which
+# callers wait for a silent VM.
 PAUSE_S = 2.3
 
 
--- a/tests/failures/test_large_manifest.py
+++ b/tests/failures/test_large_manifest.py
@@ -30,7 +30,7 @@
 # The documented limit of the smallest deployments; that of large ones is three
 # seconds.
 MAX_UPDATE_S: Final = 2.0
-SLOW_LINK_BYTES_PER_S: Final = 5e6 / 8  # 5 Mbit/s
+SLOW_LINK: Final = 5e6 / 8  # bytes per second; 5 Mbit/s
 ADDED_ROUTES: Final = 1400
 VMS_PER_DOMAIN: Final = 26  # of 78 VMs in three failure domains
 ADDED_PATH: Final = '/added/'
@@ -38,15 +38,13 @@
 _SUBNET = 20 + os.getpid() % 200
 
 
-def make_large_manifest(
-    version: int, added_count: int = ADDED_ROUTES
+def large_manifest(
+    version: int, added: int = ADDED_ROUTES
 ) -> dict[str, object]:
     """Return a manifest with many routes, of about 240 bytes each."""
     # Random names, as similar ones would compress better than operators' own.
-    rng = Random(added_count)
-    names = [
-        f'{rng.randbytes(4).hex()}-{number}' for number in range(added_count)
-    ]
+    rng = Random(added)
+    names = [f'{rng.randbytes(4).hex()}-{number}' for number in range(added)]
     routes = [
         route(f'/{name}/', 'idempotent', 'app', sticky=True) for name in names
     ]
@@ -102,7 +100,7 @@
 
 
 @asynccontextmanager
-async def start_store_behind(
+async def store_behind(
     link: Link,
 ) -> AsyncIterator[tuple[PlatformStore, Relay]]:
     """Start a store behind a relay that models one VM's link."""
@@ -201,14 +199,11 @@
     clock = SystemClock()
     copy = FeedCopy()
     copy.apply(Page((make_record(0, manifest(1)),), 1, whole=True))
-    copy.apply(Page((make_record(1, make_large_manifest(2)),), 2, whole=False))
+    copy.apply(Page((make_record(1, large_manifest(2)),), 2, whole=False))
     store = PlatformStore('127.0.0.1')
     store.status = 503
     await store.server.start()
-    async with serve_mirrors(1, copy, [Link(SLOW_LINK_BYTES_PER_S)]) as (
-        relays,
-        port,
-    ):
+    async with serve_mirrors(1, copy, [Link(SLOW_LINK)]) as (relays, port):
         followers = [
             make_follower(
                 StoreClient('127.0.0.1', store.server.port, clock),
@@ -230,20 +225,13 @@
     over the rest. A limit of one second on the whole read made each read start
     again from nothing, so a read must go on as long as data arrives.
     """
-    async with start_store_behind(Link(SLOW_LINK_BYTES_PER_S / 2)) as (
-        store,
-        relay,
-    ):
-        store.put(
-            MANIFEST_TOPIC,
-            MANIFEST_KEY,
-            make_large_manifest(2, added_count=3000),
-        )
+    async with store_behind(Link(SLOW_LINK / 2)) as (store, relay):
+        store.put(MANIFEST_TOPIC, MANIFEST_KEY, large_manifest(2, added=3000))
         client = StoreClient(relay.host, relay.port, SystemClock())
         page = await client.newest(MANIFEST_TOPIC)
         client.close()
     assert page.is_ok(), page
-    assert page.unwrap().size > 2 * SLOW_LINK_BYTES_PER_S / 2
+    assert page.unwrap().size > 2 * SLOW_LINK / 2
 
 
 async def test_an_answer_that_stops_midway_is_given_up_soon() -> None:
@@ -253,15 +241,8 @@
     a second later, so that the VM can ask another source.
     """
     clock = SystemClock()
-    async with start_store_behind(Link(SLOW_LINK_BYTES_PER_S / 2)) as (
-        store,
-        relay,
-    ):
-        store.put(
-            MANIFEST_TOPIC,
-            MANIFEST_KEY,
-            make_large_manifest(2, added_count=3000),
-        )
+    async with store_behind(Link(SLOW_LINK / 2)) as (store, relay):
+        store.put(MANIFEST_TOPIC, MANIFEST_KEY, large_manifest(2, added=3000))
         client = StoreClient(relay.host, relay.port, clock)
         reading = asyncio.create_task(client.newest(MANIFEST_TOPIC))
         await asyncio.sleep(0.4)
@@ -286,11 +267,11 @@
     """
     clock = SystemClock()
     copy = FeedCopy()
-    copy.apply(Page((make_record(1, make_large_manifest(2)),), 2, whole=True))
-    links = [Link(SLOW_LINK_BYTES_PER_S), Link(SLOW_LINK_BYTES_PER_S)]
-    async with start_store_behind(links[0]) as (store, store_relay):
+    copy.apply(Page((make_record(1, large_manifest(2)),), 2, whole=True))
+    links = [Link(SLOW_LINK), Link(SLOW_LINK)]
+    async with store_behind(links[0]) as (store, store_relay):
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, manifest(1))
-        store.put(MANIFEST_TOPIC, MANIFEST_KEY, make_large_manifest(2))
+        store.put(MANIFEST_TOPIC, MANIFEST_KEY, large_manifest(2))
         async with serve_mirrors(3, copy, links[1:]) as (relays, port):
             for relay in relays:
                 relay.cut(Cut.BOTH)
@@ -313,11 +294,11 @@
     added routes for over three seconds.
     """
     clock = SystemClock()
-    large = make_large_manifest(2, added_count=3000)
+    large = large_manifest(2, added=3000)
     copy = FeedCopy()
     copy.apply(Page((make_record(1, large),), 2, whole=True))
-    link = Link(SLOW_LINK_BYTES_PER_S / 2)
-    async with start_store_behind(link) as (store, store_relay):
+    link = Link(SLOW_LINK / 2)
+    async with store_behind(link) as (store, store_relay):
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, manifest(1))
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, large)
         async with serve_mirrors(1, copy, [link]) as (relays, port):
@@ -338,11 +319,11 @@
     """
     clock = SystemClock()
     copy = FeedCopy()
-    copy.apply(Page((make_record(1, make_large_manifest(2)),), 2, whole=True))
-    link = Link(SLOW_LINK_BYTES_PER_S)
-    async with start_store_behind(link) as (store, store_relay):
+    copy.apply(Page((make_record(1, large_manifest(2)),), 2, whole=True))
+    link = Link(SLOW_LINK)
+    async with store_behind(link) as (store, store_relay):
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, manifest(1))
-        store.put(MANIFEST_TOPIC, MANIFEST_KEY, make_large_manifest(2))
+        store.put(MANIFEST_TOPIC, MANIFEST_KEY, large_manifest(2))
         async with serve_mirrors(1, copy, [link]) as (relays, port):
             relays[0].cut(Cut.BOTH)
             client = StoreClient(store_relay.host, store_relay.port, clock)
--- a/tests/failures/test_log_link_cut.py
+++ b/tests/failures/test_log_link_cut.py
@@ -48,15 +48,15 @@
 async def test_a_flapping_link_loses_and_doubles_nothing(
     tmp_path: Path,
 ) -> None:
-    """Requests are served while one VM's link to the log is cut repeatedly."""
+    """Requests are served while a VM's link to the log is cut and healed."""
     async with scenario(LAYOUT, tmp_path) as scene:
         relay = scene.cluster.vms[0].log_relay
         async with scene.load(LOAD):
             for cut in (Cut.TO_TARGET, Cut.FROM_TARGET, Cut.BOTH):
-                done_before_cut = scene.count(Outcome.DONE)
+                done = scene.count(Outcome.DONE)
                 relay.cut(cut)
                 await wait_until(
-                    lambda: scene.count(Outcome.DONE) > done_before_cut + 15,  # noqa: B023
+                    lambda: scene.count(Outcome.DONE) > done + 15,  # noqa: B023
                     'the load goes on over the cut',
                 )
                 await relay.heal(drop=True)
--- a/tests/failures/test_one_process.py
+++ b/tests/failures/test_one_process.py
@@ -34,9 +34,9 @@
 
 async def _wait_until_done_more(scene: Scenario, count: int, what: str) -> None:
     for profile in ('slot-claim', 'debrief'):
-        target_count = scene.count(Outcome.DONE, profile) + count
+        target = scene.count(Outcome.DONE, profile) + count
         await wait_until(
-            lambda: scene.count(Outcome.DONE, profile) >= target_count,  # noqa: B023
+            lambda: scene.count(Outcome.DONE, profile) >= target,  # noqa: B023
             f'{profile}: {what}',
         )
 
--- a/tests/failures/test_operators_at_work.py
+++ b/tests/failures/test_operators_at_work.py
@@ -1,4 +1,4 @@
-"""An operator publishes terms, inspects and drains VMs while callers are served.
+"""An operator publishes, inspects and drains while callers are served.
 
 A publish is awaited on all processes, then one VM is drained: its gateway
 accepts no new requests, finishes those it has and exits, and only then its
--- a/tests/failures/test_poison_request.py
+++ b/tests/failures/test_poison_request.py
@@ -33,8 +33,8 @@
 # About a dozen runs are under way at any time, so each crash ends other runs.
 LOAD = (Stream('debrief', 12, 8, (100, 400), (40, 80)),)
 MAX_SENDS = 12
-# The content is rejected after crashes on three runners; another VM that has not
-# heard of them yet may be running it once more.
+# The content is rejected after crashes on three runners; another VM that has
+# not heard of them yet may be running it once more.
 MAX_CRASHES = 4
 
 
--- a/tests/failures/test_shortage.py
+++ b/tests/failures/test_shortage.py
@@ -117,7 +117,7 @@
     tmp_path: Path,
     pause_s: float,
 ) -> None:
-    """Guards against higher tiers that wait at an owner that can't serve them."""
+    """Guards against higher tiers that wait where no owner can serve them."""
     async with scenario(LAYOUT, tmp_path, _make_two_shard_terms()) as scene:
         async with scene.load(LOAD):
             await wait_until(
--- a/tests/failures/test_terms_kept.py
+++ b/tests/failures/test_terms_kept.py
@@ -93,7 +93,7 @@
             PUBLISH_TIMEOUT_S,
         )
         await _wait_until_stale()
-        # The gateway resumes before the scheduler, so it can't know the change yet.
+        # The gateway resumes first, so it can't have heard of the change yet.
         paused_vm.gateway.send_signal(signal.SIGCONT)
         for _ in range(REQUESTS_AFTER_RESUME):
             reading = await ask_under(paused_vm, 'winner')
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized fault soak over real entry processes."""
+"""A soak test that injects random faults around real entry processes."""
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m tests.soak`: plays seeds and tells which promises broke.
+"""`python -m tests.soak`: runs seeds and prints which promises were broken.
 
 python -m tests.soak --seeds 50 --seconds 30
 python -m tests.soak --seed 17 --seconds 30 --vms 12 --keep run/soak-17
@@ -14,44 +14,50 @@
 from typing import Final
 
 from bramleybend.status import ExitStatus
-from tests.soak.play import Played, play
+from tests.soak.play import SoakResult, run_soak
 
-MOST_VMS: Final = 99  # one address each in the last byte's tens
+# A VM's number is the last byte of its address, at most two digits.
+MAX_VMS: Final = 99
 DOMAINS: Final = 3
 
 
 def main(args: Sequence[str]) -> ExitStatus:
-    """Play, and exit with an error where a promise broke."""
+    """Run the seeds; return an error if any promise was broken."""
     cfg = _parser().parse_args(args)
-    if not DOMAINS <= cfg.vms <= MOST_VMS:
-        print(f'--vms {cfg.vms}: use {DOMAINS} to {MOST_VMS}', file=sys.stderr)
+    if not DOMAINS <= cfg.vms <= MAX_VMS:
+        print(f'--vms {cfg.vms}: use {DOMAINS} to {MAX_VMS}', file=sys.stderr)
         return ExitStatus.USAGE
-    first = SystemRandom().randrange(10**6) if cfg.seed is None else cfg.seed
-    broken = 0
-    for seed in range(first, first + cfg.seeds):
+    first_seed = (
+        SystemRandom().randrange(10**6) if cfg.seed is None else cfg.seed
+    )
+    broken_count = 0
+    for seed in range(first_seed, first_seed + cfg.seeds):
         print(f'seed={seed}', end=' ', flush=True)
-        played = _play(seed, cfg)
-        print(_line(played), flush=True)
-        broken += bool(played.findings)
-    print(f'{cfg.seeds} seeds, {broken} with a promise broken')
-    return ExitStatus.ERROR if broken else ExitStatus.OK
+        result = _run_seed(seed, cfg)
+        print(_format_result(result), flush=True)
+        broken_count += bool(result.violations)
+    print(f'{cfg.seeds} seeds, {broken_count} with a promise broken')
+    return ExitStatus.ERROR if broken_count else ExitStatus.OK
 
 
-def _play(seed: int, cfg: argparse.Namespace) -> Played:
+def _run_seed(seed: int, cfg: argparse.Namespace) -> SoakResult:
     with tempfile.TemporaryDirectory(prefix='soak-') as temporary:
         folder = Path(cfg.keep or temporary) / f'seed-{seed}'
         folder.mkdir(parents=True, exist_ok=True)
-        return asyncio.run(play(seed, cfg.seconds, cfg.vms, folder))
+        return asyncio.run(run_soak(seed, cfg.seconds, cfg.vms, folder))
 
 
-def _line(played: Played) -> str:
+def _format_result(result: SoakResult) -> str:
     statuses = ','.join(
         f'{status or "none"}:{count}'
-        for status, count in sorted(played.statuses.items())
+        for status, count in sorted(result.statuses.items())
     )
-    told = [f'\n  broken: {one.promise}: {one.fact}' for one in played.findings]
-    line = f'faults={len(played.faults)} sent={played.sent} {statuses}'
-    return line + ''.join(told)
+    broken_lines = [
+        f'\n  broken: {violation.promise}: {violation.detail}'
+        for violation in result.violations
+    ]
+    line = f'faults={len(result.faults)} sent={result.sent} {statuses}'
+    return line + ''.join(broken_lines)
 
 
 def _parser() -> argparse.ArgumentParser:
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections until the process is gone."""
+"""Callers that keep a connection to each VM until it breaks."""
 
 import asyncio
 import itertools
@@ -8,18 +8,24 @@
 
 from bramleybend.clock import Clock
 from tests.direct.cluster import RawCaller, connect
-from tests.soak.ledger import Ledger, Sent, Work
+from tests.soak.ledger import Ledger, RequestKind, SentRequest
 from tests.soak.vms import SoakVm
 
-PATIENCE_MS: Final = '2500'
-ANSWER_S: Final = 4.0
-PAUSE_S: Final = (0.01, 0.12)
-WORKS: Final = (Work.READ, Work.BOOK, Work.DRAFT, Work.CHECK, Work.ADDED)
-WORK_WEIGHTS: Final = (3, 3, 2, 3, 4)
+DEADLINE_MS: Final = '2500'
+ANSWER_TIMEOUT_S: Final = 4.0
+PAUSE_RANGE_S: Final = (0.01, 0.12)
+REQUEST_KINDS: Final = (
+    RequestKind.READ,
+    RequestKind.BOOK,
+    RequestKind.DRAFT,
+    RequestKind.CHECK,
+    RequestKind.ADDED,
+)
+REQUEST_WEIGHTS: Final = (3, 3, 2, 3, 4)
 
 
 class SoakCaller:
-    """Sends one request after the other, each VM on a kept connection."""
+    """Sends requests one after another, over a kept connection per VM."""
 
     def __init__(
         self,
@@ -30,7 +36,7 @@
         clock: Clock,
         rng: Random,
     ) -> None:
-        """Use one of the keys for each request."""
+        """Choose one of the keys for each request."""
         self._number = number
         self._vms = vms
         self._ledger = ledger
@@ -45,55 +51,55 @@
         try:
             while True:
                 await self.send(self._rng.choice(self._vms))
-                await asyncio.sleep(self._rng.uniform(*PAUSE_S))
+                await asyncio.sleep(self._rng.uniform(*PAUSE_RANGE_S))
         finally:
             for conn in self._conns.values():
                 conn.close()
 
-    async def send(self, vm: SoakVm) -> Sent:
-        """Send one request to a VM and read what comes."""
+    async def send(self, vm: SoakVm) -> SentRequest:
+        """Send one request to a VM and record its answer."""
         sent = self._draw(vm)
-        self._ledger.sent[sent.attempt] = sent
+        self._ledger.sent_requests[sent.attempt] = sent
         conn = self._conns.pop(vm.name, None)
         try:
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 conn = conn or await connect(vm.host, vm.port)
                 await self._exchange(conn, sent)
         except (OSError, asyncio.IncompleteReadError, TimeoutError):
-            sent.whole = False
+            sent.is_whole = False
             if conn is not None:
                 conn.close()
         return sent
 
-    async def _exchange(self, conn: RawCaller, sent: Sent) -> None:
-        target = f'{sent.work}x'
-        if sent.work is Work.ADDED:
-            target = f'{sent.work}{sent.version}/x'
+    async def _exchange(self, conn: RawCaller, sent: SentRequest) -> None:
+        target = f'{sent.kind}x'
+        if sent.kind is RequestKind.ADDED:
+            target = f'{sent.kind}{sent.version}/x'
         await conn.send(
             target,
             key=sent.key,
             attempt=sent.attempt,
-            X_Bramleybend_Deadline_Ms=PATIENCE_MS,
+            X_Bramleybend_Deadline_Ms=DEADLINE_MS,
         )
-        answer = await conn.answer(ANSWER_S)
+        answer = await conn.answer(ANSWER_TIMEOUT_S)
         sent.answered_at = self._clock.monotonic()
         sent.status = answer.status
         sent.body = answer.body
-        sent.whole = answer.is_whole
+        sent.is_whole = answer.is_whole
         if answer.is_whole and answer.headers.get('connection') != 'close':
             self._conns[sent.vm] = conn
             return
         conn.close()
 
-    def _draw(self, vm: SoakVm) -> Sent:
+    def _draw(self, vm: SoakVm) -> SentRequest:
         attempt = f'c{self._number}-{next(self._count)}'
-        work = self._rng.choices(WORKS, WORK_WEIGHTS)[0]
-        versions = tuple(self._ledger.versions)
+        kind = self._rng.choices(REQUEST_KINDS, REQUEST_WEIGHTS)[0]
+        versions = tuple(self._ledger.accepted_at)
         version = self._rng.choice(versions[-3:]) if versions else 0
-        if work is Work.ADDED and not version:
-            work = Work.READ
-        if work is not Work.ADDED:
+        if kind is RequestKind.ADDED and not version:
+            kind = RequestKind.READ
+        if kind is not RequestKind.ADDED:
             version = 0
         now = self._clock.monotonic()
         key = self._rng.choice(self._keys)
-        return Sent(attempt, work, vm.name, key, now, version)
+        return SentRequest(attempt, kind, vm.name, key, now, version)
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -1,4 +1,4 @@
-"""What callers, runners and the operator saw, for the checks."""
+"""Records of what callers, runners and the operator saw in one run."""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
@@ -6,62 +6,62 @@
 from typing import Final
 
 
-class Work(StrEnum):
-    """Kinds of request, by their path."""
+class RequestKind(StrEnum):
+    """Kinds of requests; the value is the start of their path."""
 
-    READ = '/read/'  # may run again
-    BOOK = '/book/'  # once at most
-    DRAFT = '/draft/'  # a stream, once at most
-    CHECK = '/check/'  # a stream that may be resumed
-    ADDED = '/added'  # a route that a later version added
+    READ = '/read/'  # idempotent
+    BOOK = '/book/'  # at most once
+    DRAFT = '/draft/'  # a stream, at most once
+    CHECK = '/check/'  # a resumable stream
+    ADDED = '/added'  # a route added by a later manifest version
 
 
 @dataclass(frozen=True)
 class Contract:
-    """What a deployment is promised, and on which links."""
+    """The documented limits of a deployment and the link of its VMs."""
 
-    link_mbps: float  # each VM's own
-    in_force_s: float  # a change, after it was accepted
-    drain_s: float  # a leaving runner gets nothing new after that
-    # Promises in time hold for VMs that nothing was done to for so long.
-    stable_s: float
+    link_mbps: float  # of each VM
+    max_change_s: float  # from acceptance of a change until it is in effect
+    max_drain_s: float  # until a leaving runner gets no new requests
+    # Time limits hold for VMs without faults for this long.
+    min_calm_s: float
 
 
-# As the users' pages state them: six VMs on wide links, and dozens of which
-# most have 5 Mbit/s.
-SMALL: Final = Contract(1000, 2.0, 2.0, 3.0)
-GROWN: Final = Contract(5, 3.0, 3.0, 4.0)
+# As documented for users: six VMs on fast links, and dozens of VMs, most of
+# which have links of 5 Mbit/s.
+SMALL_DEPLOYMENT: Final = Contract(1000, 2.0, 2.0, 3.0)
+LARGE_DEPLOYMENT: Final = Contract(5, 3.0, 3.0, 4.0)
 
 
 @dataclass
-class Sent:
-    """One request of a caller and what came back."""
+class SentRequest:
+    """One request of a caller and its answer."""
 
     attempt: str
-    work: Work
+    kind: RequestKind
     vm: str
     key: str
-    at: float  # monotonic seconds
-    version: int = 0  # that brought its route, where it was added
-    status: int = 0  # none yet, or the connection broke
+    sent_at: float  # monotonic seconds
+    version: int = 0  # that added its route; 0 for other kinds
+    status: int = 0  # 0: no answer yet, or the connection broke
     body: bytes = b''
-    whole: bool = False
+    is_whole: bool = False
     answered_at: float = 0
 
 
 @dataclass(frozen=True)
-class Ran:
-    """One request that reached a runner."""
+class RunnerRequest:
+    """One request that a runner received."""
 
     attempt: str
     runner: str
     workspace: str
-    at: float
+    received_at: float
 
 
 @dataclass
-class Span:
-    """A time in which something was done to a VM, or to the store."""
+class FaultSpan:
+    """The time span of a fault of a VM or the store, monotonic seconds."""
 
     start: float
     end: float = float('inf')
@@ -69,23 +69,27 @@
 
 @dataclass
 class Ledger:
-    """All of one run."""
-
-    contract: Contract = SMALL
-    sent: dict[str, Sent] = field(default_factory=dict)  # by attempt
-    ran: list[Ran] = field(default_factory=list)
-    # When each version was accepted by the store.
-    versions: dict[int, float] = field(default_factory=dict)
-    revoked: dict[str, float] = field(default_factory=dict)  # key to time
-    leaving: dict[str, float] = field(default_factory=dict)  # runner to time
-    spans: dict[str, list[Span]] = field(
+    """All records of one run; times are monotonic seconds."""
+
+    contract: Contract = SMALL_DEPLOYMENT
+    # By attempt id.
+    sent_requests: dict[str, SentRequest] = field(default_factory=dict)
+    runner_requests: list[RunnerRequest] = field(default_factory=list)
+    # Manifest version to the time at which the store accepted it.
+    accepted_at: dict[int, float] = field(default_factory=dict)
+    revoked_at: dict[str, float] = field(default_factory=dict)  # by key
+    leaving_at: dict[str, float] = field(default_factory=dict)  # by runner
+    # By VM name; those of the store under ''.
+    fault_spans: dict[str, list[FaultSpan]] = field(
         default_factory=lambda: defaultdict(list)
-    )  # of VMs, by name; of the store under ''
-    ended: list[str] = field(default_factory=list)  # VMs, without a signal
-    late_vms: list[str] = field(default_factory=list)  # silent at the end
-
-    def begin(self, name: str, at: float) -> Span:
-        """Note that something is done to a VM or to the store."""
-        span = Span(at)
-        self.spans[name].append(span)
-        return span
+    )
+    # VMs whose process exited without a signal.
+    exited_vms: list[str] = field(default_factory=list)
+    # VMs that serve no requests at the end of the run.
+    unserving_vms: list[str] = field(default_factory=list)
+
+    def begin_fault(self, name: str, started_at: float) -> FaultSpan:
+        """Record the start of a fault of a VM, or of the store (name '')."""
+        fault_span = FaultSpan(started_at)
+        self.fault_spans[name].append(fault_span)
+        return fault_span
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -1,34 +1,35 @@
-"""What happens in one run, drawn from its seed."""
+"""The faults of one run, drawn from its seed."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 from random import Random
 from typing import Final
 
-CALM_FIRST_S: Final = 3.0  # callers are served before the first fault
-CALM_LAST_S: Final = 6.0  # and recover after the last one
-LONGEST_S: Final = 4.0
-PAUSE_S: Final = (0.1, 1.8)  # between the begins of two faults; they overlap
+WARMUP_S: Final = 3.0  # load without faults before the first one
+RECOVERY_S: Final = 6.0  # time to recover after the last fault
+MAX_FAULT_S: Final = 4.0
+# Between the starts of two faults, which may overlap.
+FAULT_INTERVAL_S: Final = (0.1, 1.8)
 
 
 class FaultKind(StrEnum):
-    """What is done, from outside the processes."""
+    """Kinds of faults, all injected from outside the processes."""
 
-    KILL = 'kill'  # SIGKILL, started again at once
-    STOP = 'stop'  # SIGTERM, started again once it has ended
-    FREEZE = 'freeze'  # SIGSTOP, SIGCONT after a while
+    KILL = 'kill'  # SIGKILL, restarted at once
+    STOP = 'stop'  # SIGTERM, restarted once it has exited
+    FREEZE = 'freeze'  # SIGSTOP, later SIGCONT
     KILL_ALL = 'kill_all'
     RELOAD = 'reload'  # SIGHUP
-    STORE_CUT = 'store_cut'  # one VM's link to the store, silent both ways
-    STORE_DEAF = 'store_deaf'  # its answers don't come back
-    STORE_RESET = 'store_reset'  # its connections are closed
-    STORE_AWAY = 'store_away'  # the store refuses everybody
+    STORE_CUT = 'store_cut'  # one VM's link to the store drops both directions
+    STORE_DEAF = 'store_deaf'  # the link drops the answers of the store
+    STORE_RESET = 'store_reset'  # connections of one VM to the store are closed
+    STORE_AWAY = 'store_away'  # the store refuses all requests
     RUNNER_CRASH = 'runner_crash'
-    RUNNER_LEAVE = 'runner_leave'  # in order
-    RUNNER_MUTE = 'runner_mute'  # takes requests and says nothing
-    CHANGE = 'change'  # a route more
-    LARGE_CHANGE = 'large_change'  # 1,500 routes more
-    REVOKE = 'revoke'  # a key is taken away
+    RUNNER_LEAVE = 'runner_leave'  # orderly, after draining
+    RUNNER_MUTE = 'runner_mute'  # accepts requests and never answers
+    CHANGE = 'change'  # one more route
+    LARGE_CHANGE = 'large_change'  # 1,500 more routes
+    REVOKE = 'revoke'  # an API key is revoked
 
 
 WEIGHTS: Final = {
@@ -54,22 +55,25 @@
 class Fault:
     """One fault of a run."""
 
-    at: float  # seconds from the start of the load
+    at: float  # seconds since the start of the load
     kind: FaultKind
-    seconds: float  # how long, where it lasts
-    pick: int  # chooses the VM or runner, by the remainder
+    seconds: float  # duration of a fault that lasts
+    pick: int  # selects a VM or runner, modulo their number
 
 
-def draw(seed: int, seconds: float) -> list[Fault]:
-    """Return the faults of a run, in order; one seed gives one plan."""
+def draw_faults(seed: int, duration_s: float) -> list[Fault]:
+    """Return the faults of a run, ordered by time.
+
+    The same seed and duration give the same faults.
+    """
     rng = Random(seed)
     kinds, weights = list(WEIGHTS), list(WEIGHTS.values())
-    at = CALM_FIRST_S
+    at = WARMUP_S
     faults = []
-    while at < seconds - CALM_LAST_S:
+    while at < duration_s - RECOVERY_S:
         kind = rng.choices(kinds, weights)[0]
-        most_s = min(LONGEST_S, seconds - CALM_LAST_S - at)
-        lasts_s = rng.uniform(0.2, max(most_s, 0.3))
-        faults.append(Fault(at, kind, lasts_s, rng.randrange(1000)))
-        at += rng.uniform(*PAUSE_S)
+        max_fault_s = min(MAX_FAULT_S, duration_s - RECOVERY_S - at)
+        fault_s = rng.uniform(0.2, max(max_fault_s, 0.3))
+        faults.append(Fault(at, kind, fault_s, rng.randrange(1000)))
+        at += rng.uniform(*FAULT_INTERVAL_S)
     return faults
--- a/tests/soak/play.py
+++ b/tests/soak/play.py
@@ -1,4 +1,4 @@
-"""Plays one seed."""
+"""Runs the soak test of one seed."""
 
 import asyncio
 import os
@@ -11,57 +11,74 @@
 
 from bramleybend.clock import Clock, SystemClock
 from tests.soak.callers import SoakCaller
-from tests.soak.checks import Finding, judge
-from tests.soak.ledger import GROWN, SMALL, Contract, Ledger
-from tests.soak.plan import Fault, FaultKind, draw
+from tests.soak.checks import Violation, find_violations
+from tests.soak.ledger import (
+    LARGE_DEPLOYMENT,
+    SMALL_DEPLOYMENT,
+    Contract,
+    Ledger,
+)
+from tests.soak.plan import Fault, FaultKind, draw_faults
 from tests.soak.vms import SoakVm
-from tests.soak.world import LARGE_ROUTES, SoakWorld, running
+from tests.soak.world import LARGE_CHANGE_ROUTES, SoakWorld, run_world
 from tests.utils.relay import Cut
 from tests.utils.waiting import wait_until
 
-CALLERS: Final = 12
-SERVES_S: Final = 5.0  # a VM that nothing is done to any more
+CALLER_COUNT: Final = 12
+SERVE_TIMEOUT_S: Final = 5.0  # for a VM without further faults
 _SUBNET: Final = 20 + os.getpid() % 200
 
 
 @dataclass(frozen=True)
-class Played:
-    """One run and what came of it."""
+class SoakResult:
+    """The result of one run.
+
+    `statuses` counts requests by answer status, 0 for those without answer.
+    """
 
     seed: int
     faults: Sequence[Fault]
     sent: int
     statuses: Counter[int]
-    findings: Sequence[Finding]
+    violations: Sequence[Violation]
 
 
-async def play(seed: int, seconds: float, vms: int, folder: Path) -> Played:
-    """Play a seed; logs and the time line of faults go to a folder."""
-    ledger = Ledger(contract_of(seed))
+async def run_soak(
+    seed: int, duration_s: float, vm_count: int, folder: Path
+) -> SoakResult:
+    """Run one seed; write logs and the timeline of faults to a folder."""
+    ledger = Ledger(contract_for(seed))
     clock = SystemClock()
-    faults = draw(seed, seconds)
-    async with running(vms, _SUBNET, folder, ledger, clock) as (world, up):
-        await _serving(up, world, ledger, clock)
-        await _under_load(seed, seconds, world, up, clock, faults, folder)
-        ledger.late_vms = await _late_vms(up, world, ledger, clock)
-        ledger.ended.extend(vm.name for vm in up if not vm.is_up)
-    return Played(
+    faults = draw_faults(seed, duration_s)
+    async with run_world(vm_count, _SUBNET, folder, ledger, clock) as (
+        world,
+        vms,
+    ):
+        await _wait_until_all_serve(vms, world, ledger, clock)
+        await _inject_under_load(
+            seed, duration_s, world, vms, clock, faults, folder
+        )
+        ledger.unserving_vms = await _find_unserving_vms(
+            vms, world, ledger, clock
+        )
+        ledger.exited_vms.extend(vm.name for vm in vms if not vm.is_up)
+    return SoakResult(
         seed,
         faults,
-        len(ledger.sent),
-        Counter(sent.status for sent in ledger.sent.values()),
-        judge(ledger),
+        len(ledger.sent_requests),
+        Counter(sent.status for sent in ledger.sent_requests.values()),
+        find_violations(ledger),
     )
 
 
-def contract_of(seed: int) -> Contract:
-    """Return the contract that a seed plays: of even ones the small."""
-    return GROWN if seed % 2 else SMALL
+def contract_for(seed: int) -> Contract:
+    """Return the small contract for even seeds, the large one for odd."""
+    return LARGE_DEPLOYMENT if seed % 2 else SMALL_DEPLOYMENT
 
 
-async def _under_load(
+async def _inject_under_load(
     seed: int,
-    seconds: float,
+    duration_s: float,
     world: SoakWorld,
     vms: list[SoakVm],
     clock: Clock,
@@ -75,21 +92,21 @@
             world.ledger,
             world.keys,
             clock,
-            Random(seed * CALLERS + number),
+            Random(seed * CALLER_COUNT + number),
         )
-        for number in range(CALLERS)
+        for number in range(CALLER_COUNT)
     ]
-    tasks = [asyncio.create_task(one.run()) for one in callers]
-    tasks.append(asyncio.create_task(world.beat()))
+    tasks = [asyncio.create_task(caller.run()) for caller in callers]
+    tasks.append(asyncio.create_task(world.renew_entries()))
     started = clock.monotonic()
     with (folder / 'faults.txt').open('w') as timeline:
-        injected = []
+        fault_tasks = []
         for fault in faults:
             await asyncio.sleep(max(started + fault.at - clock.monotonic(), 0))
             timeline.write(f'{fault.at:.3f} {fault}\n')
-            injected.append(asyncio.create_task(_inject(fault, world, vms)))
-        await asyncio.gather(*injected)
-    await asyncio.sleep(max(started + seconds - clock.monotonic(), 0))
+            fault_tasks.append(asyncio.create_task(_inject(fault, world, vms)))
+        await asyncio.gather(*fault_tasks)
+    await asyncio.sleep(max(started + duration_s - clock.monotonic(), 0))
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
@@ -101,23 +118,23 @@
     runner = names[fault.pick % len(names)]
     match fault.kind:
         case FaultKind.CHANGE:
-            world.change(1)
+            world.add_routes(1)
         case FaultKind.LARGE_CHANGE:
-            world.change(LARGE_ROUTES)
+            world.add_routes(LARGE_CHANGE_ROUTES)
         case FaultKind.REVOKE:
-            world.revoke()
+            world.revoke_key()
         case FaultKind.RELOAD:
             vm.reload()
         case FaultKind.KILL_ALL:
-            await asyncio.gather(*(one.kill() for one in vms))
+            await asyncio.gather(*(each.kill() for each in vms))
         case _:
-            await _lasting(fault, world, vm, runner)
+            await _make_lasting_fault(fault, world, vm, runner)
 
 
-def _lasting(
+def _make_lasting_fault(
     fault: Fault, world: SoakWorld, vm: SoakVm, runner: str
 ) -> Coroutine[Any, Any, None]:
-    ways = {
+    actions = {
         FaultKind.KILL: lambda: vm.kill(),
         FaultKind.STOP: lambda: vm.stop(),
         FaultKind.FREEZE: lambda: vm.freeze(fault.seconds),
@@ -126,38 +143,43 @@
             Cut.FROM_TARGET, fault.seconds
         ),
         FaultKind.STORE_RESET: lambda: vm.reset_store(),
-        FaultKind.STORE_AWAY: lambda: world.refuse_all(fault.seconds),
+        FaultKind.STORE_AWAY: lambda: world.refuse_store_calls(fault.seconds),
         FaultKind.RUNNER_CRASH: lambda: world.crash_runner(runner),
-        FaultKind.RUNNER_LEAVE: lambda: world.leave_runner(runner),
+        FaultKind.RUNNER_LEAVE: lambda: world.drain_runner(runner),
         FaultKind.RUNNER_MUTE: lambda: world.mute_runner(runner, fault.seconds),
     }
-    return ways[fault.kind]()
+    return actions[fault.kind]()
 
 
-async def _serving(
+async def _wait_until_all_serve(
     vms: list[SoakVm], world: SoakWorld, ledger: Ledger, clock: Clock
 ) -> None:
-    late = await _late_vms(vms, world, ledger, clock)
-    if late:
-        raise TimeoutError(f'{late} served nobody before the first fault')
+    unserving = await _find_unserving_vms(vms, world, ledger, clock)
+    if unserving:
+        raise TimeoutError(f'{unserving} served nobody before the first fault')
 
 
-async def _late_vms(
+async def _find_unserving_vms(
     vms: list[SoakVm], world: SoakWorld, ledger: Ledger, clock: Clock
 ) -> list[str]:
-    """Return the VMs that serve nobody within their time."""
-    good = [key for key in world.keys if key not in ledger.revoked]
+    """Return the names of VMs that answer no request with 200 in time."""
+    valid_keys = [key for key in world.keys if key not in ledger.revoked_at]
     caller = SoakCaller(
-        CALLERS + len(ledger.sent), vms, ledger, good, clock, Random(0)
+        CALLER_COUNT + len(ledger.sent_requests),
+        vms,
+        ledger,
+        valid_keys,
+        clock,
+        Random(0),
     )
-    late = []
+    unserving = []
     for vm in vms:
 
         async def serves(vm: SoakVm = vm) -> bool:
             return (await caller.send(vm)).status == 200
 
         try:
-            await wait_until(serves, f'{vm.name} serves', SERVES_S)
+            await wait_until(serves, f'{vm.name} serves', SERVE_TIMEOUT_S)
         except TimeoutError:
-            late.append(vm.name)
-    return late
+            unserving.append(vm.name)
+    return unserving
--- a/tests/soak/vms.py
+++ b/tests/soak/vms.py
@@ -1,4 +1,4 @@
-"""One real entry process, and its link to the store."""
+"""An entry VM with one real process and its own link to the store."""
 
 import asyncio
 import signal
@@ -10,14 +10,14 @@
 from tests.utils.processes import Process
 from tests.utils.relay import Cut, Link, Relay
 
-BYTES_OF_MBIT: Final = 1e6 / 8
-STOP_S: Final = 10.0
+BYTES_PER_MBIT: Final = 1e6 / 8
+STOP_TIMEOUT_S: Final = 10.0
 PORT: Final = 23_100
 PEER_PORT: Final = 23_500
 
 
 class SoakVm:
-    """An entry VM that faults may be done to."""
+    """An entry VM with methods that inject faults and record them."""
 
     def __init__(
         self,
@@ -28,27 +28,27 @@
         ledger: Ledger,
         clock: Clock,
     ) -> None:
-        """Plan the process; `start` starts it."""
+        """Prepare the VM; `start` starts its link and process."""
         self.name = f'entry-{number}'
         self.host = f'127.{subnet}.30.{number}'
         self.port = PORT
-        self._seed = f'127.{subnet}.30.1:1'
+        self._seed_address = f'127.{subnet}.30.1:1'
         self._folder = folder
         self._ledger = ledger
         self._clock = clock
-        self._lifetimes = 0
+        self._start_count = 0
         self._process: Process | None = None
-        self._busy = asyncio.Lock()  # a VM is started by one fault at a time
-        link = Link(ledger.contract.link_mbps * BYTES_OF_MBIT)
+        self._fault_lock = asyncio.Lock()  # one process fault at a time
+        link = Link(ledger.contract.link_mbps * BYTES_PER_MBIT)
         self.relay = Relay(self.host, PORT + 9, *store, [link])
 
     @property
     def is_up(self) -> bool:
-        """Whether its process runs, frozen or not."""
+        """Whether the process is running or frozen."""
         return self._process is not None and self._process.is_running
 
     def log_text(self) -> str:
-        """Return what the last process wrote."""
+        """Return the log of the latest process."""
         return self._process.log_text() if self._process else ''
 
     async def start(self) -> None:
@@ -63,63 +63,73 @@
         await self.relay.stop()
 
     async def kill(self) -> None:
-        """End the process at once and start it again."""
-        async with self._busy:
-            span = self._ledger.begin(self.name, self._clock.monotonic())
+        """Kill the process and restart it."""
+        async with self._fault_lock:
+            fault_span = self._ledger.begin_fault(
+                self.name, self._clock.monotonic()
+            )
             assert self._process is not None
-            self._check()
+            self._record_if_exited()
             await self._process.kill()
             await self._start()
-            span.end = self._clock.monotonic()
+            fault_span.end = self._clock.monotonic()
 
     async def stop(self) -> None:
-        """Ask the process to end, and start it again."""
-        async with self._busy:
-            span = self._ledger.begin(self.name, self._clock.monotonic())
+        """Stop the process by SIGTERM and restart it after its exit."""
+        async with self._fault_lock:
+            fault_span = self._ledger.begin_fault(
+                self.name, self._clock.monotonic()
+            )
             assert self._process is not None
-            self._check()
+            self._record_if_exited()
             self._process.send_signal(signal.SIGTERM)
-            await self._process.wait(STOP_S)
+            await self._process.wait(STOP_TIMEOUT_S)
             await self._start()
-            span.end = self._clock.monotonic()
-
-    async def freeze(self, seconds: float) -> None:
-        """Let the process stand still for a while."""
-        async with self._busy:
-            span = self._ledger.begin(self.name, self._clock.monotonic())
+            fault_span.end = self._clock.monotonic()
+
+    async def freeze(self, duration_s: float) -> None:
+        """Pause the process by SIGSTOP, then resume it."""
+        async with self._fault_lock:
+            fault_span = self._ledger.begin_fault(
+                self.name, self._clock.monotonic()
+            )
             assert self._process is not None
-            self._check()
+            self._record_if_exited()
             self._process.send_signal(signal.SIGSTOP)
-            await asyncio.sleep(seconds)
+            await asyncio.sleep(duration_s)
             self._process.send_signal(signal.SIGCONT)
-            span.end = self._clock.monotonic()
+            fault_span.end = self._clock.monotonic()
 
     def reload(self) -> None:
-        """Tell the process that its settings changed."""
+        """Make the process reload its settings (SIGHUP)."""
         if self._process is not None:
             self._process.send_signal(signal.SIGHUP)
 
-    async def cut_store(self, cut: Cut, seconds: float) -> None:
-        """Let nothing pass between the VM and the store for a while."""
-        span = self._ledger.begin(self.name, self._clock.monotonic())
+    async def cut_store(self, cut: Cut, duration_s: float) -> None:
+        """Cut the link to the store as `cut` says, then restore it."""
+        fault_span = self._ledger.begin_fault(
+            self.name, self._clock.monotonic()
+        )
         self.relay.cut(cut)
-        await asyncio.sleep(seconds)
+        await asyncio.sleep(duration_s)
         await self.relay.heal()
-        span.end = self._clock.monotonic()
+        fault_span.end = self._clock.monotonic()
 
     async def reset_store(self) -> None:
-        """Close the VM's connections to the store."""
-        span = self._ledger.begin(self.name, self._clock.monotonic())
+        """Close the VM's open connections to the store."""
+        fault_span = self._ledger.begin_fault(
+            self.name, self._clock.monotonic()
+        )
         await self.relay.heal(drop=True)
-        span.end = self._clock.monotonic()
+        fault_span.end = self._clock.monotonic()
 
-    def _check(self) -> None:
+    def _record_if_exited(self) -> None:
         if not self.is_up:
-            self._ledger.ended.append(self.name)
+            self._ledger.exited_vms.append(self.name)
 
     async def _start(self) -> None:
-        self._lifetimes += 1
-        stem = f'{self.name}-{self._lifetimes}'
+        self._start_count += 1
+        stem = f'{self.name}-{self._start_count}'
         settings = self._folder / f'{stem}.conf'
         settings.write_text(self._settings())
         self._process = Process(
@@ -130,7 +140,7 @@
         await self._process.start()
 
     def _settings(self) -> str:
-        at = {
+        values = {
             'VM': self.name,
             'DOMAIN': f'domain-{int(self.name[-1]) % 3}',
             'ADDRESS': self.host,
@@ -139,9 +149,9 @@
             'DIRECTORY': f'{self.host}:{self.port + 2}',
             'PEER_PORT': str(PEER_PORT),
             'STORE': f'{self.relay.host}:{self.relay.port}',
-            'SEEDS': self._seed,
+            'SEEDS': self._seed_address,
             'LINK_MBPS': str(self._ledger.contract.link_mbps),
         }
         return ''.join(
-            f'BRAMLEYBEND_{name}={text}\n' for name, text in at.items()
+            f'BRAMLEYBEND_{name}={value}\n' for name, value in values.items()
         )
