--- a/tests/failures/test_engine_orders.py
+++ b/tests/failures/test_engine_orders.py
@@ -251,7 +251,7 @@
 async def test_the_loads_of_a_lost_issuer_do_not_block_the_weight_store(
     tmp_path: Path,
 ) -> None:
-    """Its successor records their end once the engine reports it.
+    """The successor records the end of a load once the engine reports it.
 
     The weight store allows one load at a time, so a load that never ends would
     block all others until its timeout.
--- a/tests/failures/test_large_manifest.py
+++ b/tests/failures/test_large_manifest.py
@@ -79,7 +79,8 @@
 ) -> Follower:
     """Return a VM that has manifest version 1 and never ranks first to read.
 
-    It asks the store only once the feed's age requires it.
+    It reads the store only while its copy is stale, or after a peer failed to
+    send a page that it had announced.
     """
     events = EventLog(name, 'i', clock, kept=0)
     book = Book(clock, events)
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -58,36 +58,36 @@
 
     async def send(self, vm: SoakVm) -> SentRequest:
         """Send one request to a VM and record its answer."""
-        sent = self._draw(vm)
-        self._ledger.sent_requests[sent.attempt] = sent
+        request = self._draw(vm)
+        self._ledger.sent_requests[request.attempt] = request
         conn = self._conns.pop(vm.name, None)
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 conn = conn or await connect(vm.host, vm.port)
-                await self._exchange(conn, sent)
+                await self._exchange(conn, request)
         except (OSError, asyncio.IncompleteReadError, TimeoutError):
-            sent.is_whole = False
+            request.is_whole = False
             if conn is not None:
                 conn.close()
-        return sent
+        return request
 
-    async def _exchange(self, conn: RawCaller, sent: SentRequest) -> None:
-        target = f'{sent.kind}x'
-        if sent.kind is RequestKind.ADDED:
-            target = f'{sent.kind}{sent.version}/x'
+    async def _exchange(self, conn: RawCaller, request: SentRequest) -> None:
+        target = f'{request.kind}x'
+        if request.kind is RequestKind.ADDED:
+            target = f'{request.kind}{request.version}/x'
         await conn.send(
             target,
-            key=sent.key,
-            attempt=sent.attempt,
+            key=request.key,
+            attempt=request.attempt,
             X_Bramleybend_Deadline_Ms=DEADLINE_MS,
         )
         answer = await conn.answer(ANSWER_TIMEOUT_S)
-        sent.answered_at = self._clock.monotonic()
-        sent.status = answer.status
-        sent.body = answer.body
-        sent.is_whole = answer.is_whole
+        request.answered_at = self._clock.monotonic()
+        request.status = answer.status
+        request.body = answer.body
+        request.is_whole = answer.is_whole
         if answer.is_whole and answer.headers.get('connection') != 'close':
-            self._conns[sent.vm] = conn
+            self._conns[request.vm] = conn
             return
         conn.close()
 
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -45,7 +45,7 @@
 def is_calm(ledger: Ledger, vm: str, at: float) -> bool:
     """Return whether no recent fault affected the VM or the store.
 
-    A fault counts as recent for `min_calm_s` of the contract.
+    A fault is recent until `min_calm_s` of the contract after its end.
     """
     calm_since = at - ledger.contract.min_calm_s
     fault_spans = (*ledger.fault_spans[vm], *ledger.fault_spans[''])
@@ -56,111 +56,114 @@
 
 
 def _find_wrong_answers(ledger: Ledger) -> Iterator[str]:
-    for sent in ledger.sent_requests.values():
-        if sent.status != HTTPStatus.OK or not sent.is_whole:
+    for request in ledger.sent_requests.values():
+        if request.status != HTTPStatus.OK or not request.is_whole:
             continue
-        if sent.attempt.encode() not in sent.body:
-            yield f'{sent.attempt} got {sent.body[:60]!r}'
-        if sent.kind in {RequestKind.DRAFT, RequestKind.CHECK}:
+        if request.attempt.encode() not in request.body:
+            yield f'{request.attempt} got {request.body[:60]!r}'
+        if request.kind in {RequestKind.DRAFT, RequestKind.CHECK}:
             ids = [
-                line for line in sent.body.splitlines() if line[:3] == b'id:'
+                line for line in request.body.splitlines() if line[:3] == b'id:'
             ]
             if ids != [b'id: 1', b'id: 2', b'id: 3']:
-                yield f'{sent.attempt} looks complete with {ids}'
+                yield f'{request.attempt} looks complete with {ids}'
 
 
 def _find_unsent_runs(ledger: Ledger) -> Iterator[str]:
-    for ran in ledger.runner_requests:
-        if ran.attempt not in ledger.sent_requests:
-            yield f'{ran.runner} ran {ran.attempt}, which nobody sent'
+    for run in ledger.runner_requests:
+        if run.attempt not in ledger.sent_requests:
+            yield f'{run.runner} ran {run.attempt}, which nobody sent'
 
 
 def _find_repeated_runs(ledger: Ledger) -> Iterator[str]:
-    runs = Counter(ran.attempt for ran in ledger.runner_requests)
-    for sent in ledger.sent_requests.values():
-        if sent.kind in AT_MOST_ONCE and runs[sent.attempt] > 1:
-            yield f'{sent.attempt} ran {runs[sent.attempt]} times'
+    runs = Counter(run.attempt for run in ledger.runner_requests)
+    for request in ledger.sent_requests.values():
+        if request.kind in AT_MOST_ONCE and runs[request.attempt] > 1:
+            yield f'{request.attempt} ran {runs[request.attempt]} times'
 
 
 def _find_false_refusals(ledger: Ledger) -> Iterator[str]:
-    ran = {one.attempt for one in ledger.runner_requests}
-    for sent in ledger.sent_requests.values():
-        if sent.kind not in AT_MOST_ONCE or sent.attempt not in ran:
+    received_attempts = {run.attempt for run in ledger.runner_requests}
+    for request in ledger.sent_requests.values():
+        if (
+            request.kind not in AT_MOST_ONCE
+            or request.attempt not in received_attempts
+        ):
             continue
-        if sent.status in NOT_RUN_STATUSES:
-            yield f'{sent.attempt} was told {sent.status} and ran'
+        if request.status in NOT_RUN_STATUSES:
+            yield f'{request.attempt} was told {request.status} and ran'
 
 
 def _find_late_changes(ledger: Ledger) -> Iterator[str]:
-    for sent in _not_found_requests(ledger):
-        accepted_at = ledger.accepted_at[sent.version]
-        if sent.sent_at - accepted_at < ledger.contract.max_change_s:
+    for request in _not_found_requests(ledger):
+        accepted_at = ledger.accepted_at[request.version]
+        if request.sent_at - accepted_at < ledger.contract.max_change_s:
             continue
-        if is_calm(ledger, sent.vm, sent.answered_at):
-            late_s = sent.answered_at - accepted_at
+        if is_calm(ledger, request.vm, request.answered_at):
+            late_s = request.answered_at - accepted_at
             yield (
-                f'{sent.vm} answered {sent.status} for a route of version '
-                f'{sent.version}, accepted {late_s:.2f} s before'
+                f'{request.vm} answered {request.status} for a route of '
+                f'version {request.version}, accepted {late_s:.2f} s before'
             )
 
 
 def _find_version_regressions(ledger: Ledger) -> Iterator[str]:
     """Find VMs that served a version and later answer without it."""
     served: dict[str, list[SentRequest]] = defaultdict(list)
-    for sent in ledger.sent_requests.values():
-        if sent.version and sent.status == HTTPStatus.OK:
-            served[sent.vm].append(sent)
+    for request in ledger.sent_requests.values():
+        if request.version and request.status == HTTPStatus.OK:
+            served[request.vm].append(request)
     grace_s = ledger.contract.max_change_s * REGRESSION_GRACE_SHARE
-    for sent in _not_found_requests(ledger):
-        for earlier in served[sent.vm]:
-            newer = earlier.version >= sent.version
-            if newer and earlier.answered_at < sent.sent_at - grace_s:
-                if is_calm(ledger, sent.vm, sent.answered_at):
-                    yield f'{sent.vm} went back before {sent.version}'
+    for request in _not_found_requests(ledger):
+        for earlier in served[request.vm]:
+            newer = earlier.version >= request.version
+            if newer and earlier.answered_at < request.sent_at - grace_s:
+                if is_calm(ledger, request.vm, request.answered_at):
+                    yield f'{request.vm} went back before {request.version}'
                     break
 
 
 def _not_found_requests(ledger: Ledger) -> Iterator[SentRequest]:
-    for sent in ledger.sent_requests.values():
-        if sent.version and sent.status == HTTPStatus.NOT_FOUND:
-            yield sent
+    for request in ledger.sent_requests.values():
+        if request.version and request.status == HTTPStatus.NOT_FOUND:
+            yield request
 
 
 def _find_uses_of_revoked_keys(ledger: Ledger) -> Iterator[str]:
-    for ran in ledger.runner_requests:
-        sent = ledger.sent_requests.get(ran.attempt)
-        revoked_at = ledger.revoked_at.get(sent.key) if sent else None
-        if sent is None or revoked_at is None:
+    for run in ledger.runner_requests:
+        request = ledger.sent_requests.get(run.attempt)
+        revoked_at = ledger.revoked_at.get(request.key) if request else None
+        if request is None or revoked_at is None:
             continue
-        if sent.sent_at - revoked_at < ledger.contract.max_change_s:
+        if request.sent_at - revoked_at < ledger.contract.max_change_s:
             continue
-        if is_calm(ledger, sent.vm, ran.received_at):
-            yield f'{ran.attempt} ran under a key revoked {revoked_at:.2f}'
+        if is_calm(ledger, request.vm, run.received_at):
+            yield f'{run.attempt} ran under a key revoked {revoked_at:.2f}'
 
 
 def _find_rejected_valid_keys(ledger: Ledger) -> Iterator[str]:
-    for sent in ledger.sent_requests.values():
-        if sent.status != HTTPStatus.UNAUTHORIZED:
+    for request in ledger.sent_requests.values():
+        if request.status != HTTPStatus.UNAUTHORIZED:
             continue
-        if sent.key not in ledger.revoked_at:
-            yield f'{sent.vm} denied {sent.attempt} with a good key'
+        if request.key not in ledger.revoked_at:
+            yield f'{request.vm} denied {request.attempt} with a good key'
 
 
 def _find_work_for_leaving_runners(ledger: Ledger) -> Iterator[str]:
-    for ran in ledger.runner_requests:
-        if _is_after_drain(ledger, ran):
-            after_s = ran.received_at - ledger.leaving_at[ran.runner]
-            yield f'{ran.runner} got {ran.attempt} {after_s:.2f} s after'
+    for run in ledger.runner_requests:
+        if _is_after_drain(ledger, run):
+            after_s = run.received_at - ledger.leaving_at[run.runner]
+            yield f'{run.runner} got {run.attempt} {after_s:.2f} s after'
 
 
-def _is_after_drain(ledger: Ledger, ran: RunnerRequest) -> bool:
-    left_at = ledger.leaving_at.get(ran.runner)
-    sent = ledger.sent_requests.get(ran.attempt)
-    if left_at is None or sent is None:
+def _is_after_drain(ledger: Ledger, run: RunnerRequest) -> bool:
+    left_at = ledger.leaving_at.get(run.runner)
+    request = ledger.sent_requests.get(run.attempt)
+    if left_at is None or request is None:
         return False
-    if ran.received_at - left_at < ledger.contract.max_drain_s:
+    if run.received_at - left_at < ledger.contract.max_drain_s:
         return False
-    return is_calm(ledger, sent.vm, ran.received_at)
+    return is_calm(ledger, request.vm, run.received_at)
 
 
 def _find_exited_processes(ledger: Ledger) -> Iterator[str]:
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -20,8 +20,8 @@
     FREEZE = 'freeze'  # SIGSTOP, later SIGCONT
     KILL_ALL = 'kill_all'
     RELOAD = 'reload'  # SIGHUP
-    STORE_CUT = 'store_cut'  # one VM's link to the store drops both directions
-    STORE_DEAF = 'store_deaf'  # the link drops the answers of the store
+    STORE_CUT = 'store_cut'  # one VM's link to the store stalls both ways
+    STORE_DEAF = 'store_deaf'  # that link holds back the store's answers only
     STORE_RESET = 'store_reset'  # connections of one VM to the store are closed
     STORE_AWAY = 'store_away'  # the store refuses all requests
     RUNNER_CRASH = 'runner_crash'
--- a/tests/soak/play.py
+++ b/tests/soak/play.py
@@ -66,7 +66,7 @@
         seed,
         faults,
         len(ledger.sent_requests),
-        Counter(sent.status for sent in ledger.sent_requests.values()),
+        Counter(request.status for request in ledger.sent_requests.values()),
         find_violations(ledger),
     )
 
