--- a/tests/benchmarks/__main__.py
+++ b/tests/benchmarks/__main__.py
@@ -13,12 +13,12 @@
 from tests.benchmarks.players import SCHEDULERS
 from tests.benchmarks.report import (
     ABLATIONS,
-    Case,
-    Row,
-    ablation_lines,
-    comparison_lines,
-    goal_lines,
-    play_case,
+    BenchmarkCase,
+    CaseResult,
+    format_ablations,
+    format_comparison,
+    format_goals,
+    run_case,
     write_plots,
 )
 
@@ -35,24 +35,28 @@
 """
 
 
-def comparison_cases(seeds: tuple[int, ...]) -> Iterator[Case]:
+def comparison_cases(seeds: tuple[int, ...]) -> Iterator[BenchmarkCase]:
     for deployment in DEPLOYMENTS:
         for pattern in PATTERNS:
             for scheduler in SCHEDULERS:
                 for seed in seeds:
-                    yield Case(deployment, pattern.name, scheduler, seed)
+                    yield BenchmarkCase(
+                        deployment, pattern.name, scheduler, seed
+                    )
 
 
-def ablation_cases(seeds: tuple[int, ...]) -> Iterator[Case]:
+def ablation_cases(seeds: tuple[int, ...]) -> Iterator[BenchmarkCase]:
     for ablation, pattern in ABLATIONS.items():
         for deployment in DEPLOYMENTS:
             for seed in seeds:
-                yield Case(deployment, pattern, SCHEDULERS[0], seed, ablation)
+                yield BenchmarkCase(
+                    deployment, pattern, SCHEDULERS[0], seed, ablation
+                )
 
 
-def run(cases: list[Case], processes: int) -> list[Row]:
+def run_cases(cases: list[BenchmarkCase], processes: int) -> list[CaseResult]:
     with ProcessPoolExecutor(processes) as pool:
-        return list(pool.map(play_case, cases))
+        return list(pool.map(run_case, cases))
 
 
 def main() -> None:
@@ -62,15 +66,17 @@
     parser.add_argument('--write', action='store_true', help='write docs/')
     args = parser.parse_args()
     seeds = SEEDS[: args.seeds]
-    rows = run(list(comparison_cases(seeds)), args.processes)
-    lines = comparison_lines(rows) + goal_lines(rows)
-    ablated = run(list(ablation_cases(seeds[:ABLATION_SEEDS])), args.processes)
-    lines += ablation_lines(rows, ablated)
+    results = run_cases(list(comparison_cases(seeds)), args.processes)
+    lines = format_comparison(results) + format_goals(results)
+    ablation_results = run_cases(
+        list(ablation_cases(seeds[:ABLATION_SEEDS])), args.processes
+    )
+    lines += format_ablations(results, ablation_results)
     sys.stdout.write('\n'.join([*lines, '']))
     if args.write:
         text = '\n'.join([INTRO, *lines])
         (DOCS / 'BENCHMARKS.md').write_text(f'{text}\n')
-        write_plots(rows, DOCS / 'img')
+        write_plots(results, DOCS / 'img')
 
 
 if __name__ == '__main__':
--- a/tests/benchmarks/baselines.py
+++ b/tests/benchmarks/baselines.py
@@ -1,7 +1,8 @@
-"""Our own baselines: what a team would otherwise run.
+"""Baseline schedulers: common alternatives to Bramleybend.
 
-Each entry VM sends straight to an engine, which queues in order of arrival;
-a caller that gives up has its run cancelled.
+Each entry VM sends requests directly to an engine, which queues them in order
+of arrival. When a caller gives up, its run is cancelled unless it is
+non-idempotent.
 """
 
 from collections import Counter
@@ -10,125 +11,148 @@
 from typing import Protocol
 
 from bramleybend.models import Repeat
-from tests.benchmarks.fleet import Fleet, Try
+from tests.benchmarks.fleet import Fleet, RequestState
 from tests.benchmarks.measures import Scores
 from tests.benchmarks.patterns import ENTRY_VMS
 from tests.utils.queueing_fake import EngineRun, FakeEngine
 
-REPORT_S = 2.0
-TRIES = 3
+REPORT_PERIOD_S = 2.0
+MAX_TRIES = 3
 
 
-class Rule(Protocol):
-    """How a baseline's entry VM picks an engine."""
+class PlacementRule(Protocol):
+    """Selects the engine to which an entry VM sends a request."""
 
-    def pick(self, entry: int, able: Sequence[FakeEngine]) -> FakeEngine:
-        """Choose one of the engines."""
+    def choose(
+        self, entry: int, candidates: Sequence[FakeEngine]
+    ) -> FakeEngine:
+        """Return one of the candidate engines."""
 
 
 class RoundRobin:
-    """Each entry VM goes round."""
+    """Each entry VM cycles through the engines from its own offset."""
 
     def __init__(self) -> None:
-        self._next: Counter[int] = Counter()
+        self._next_indexes: Counter[int] = Counter()
 
-    def pick(self, entry: int, able: Sequence[FakeEngine]) -> FakeEngine:
-        self._next[entry] += 1
-        return able[(self._next[entry] + entry * 8) % len(able)]
+    def choose(
+        self, entry: int, candidates: Sequence[FakeEngine]
+    ) -> FakeEngine:
+        self._next_indexes[entry] += 1
+        return candidates[
+            (self._next_indexes[entry] + entry * 8) % len(candidates)
+        ]
 
 
 class LeastOutstanding:
-    """Each entry VM picks the engine with the least of its own requests."""
+    """Each entry VM chooses the engine with the fewest of its requests."""
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
-        self.counts: list[Counter[str]] = [Counter() for _ in range(ENTRY_VMS)]
-
-    def pick(self, entry: int, able: Sequence[FakeEngine]) -> FakeEngine:
-        counts = self.counts[entry]
+        self.outstanding_counts: list[Counter[str]] = [
+            Counter() for _ in range(ENTRY_VMS)
+        ]
+
+    def choose(
+        self, entry: int, candidates: Sequence[FakeEngine]
+    ) -> FakeEngine:
+        outstanding_counts = self.outstanding_counts[entry]
         return min(
-            able,
-            key=lambda engine: (counts[engine.name], self._rng.random()),
+            candidates,
+            key=lambda engine: (
+                outstanding_counts[engine.name],
+                self._rng.random(),
+            ),
         )
 
 
 class RandomOfTwo:
-    """The less loaded of two by reports that are up to two seconds old."""
+    """Chooses the less loaded of two; load reports are up to 2 s old."""
 
     def __init__(self, rng: Random, fleet: Fleet) -> None:
         self._rng = rng
         self._fleet = fleet
-        self._reports: dict[str, int] = {}
-        self._report()
+        self._reported_loads: dict[str, int] = {}
+        self._refresh_reports()
 
-    def pick(self, entry: int, able: Sequence[FakeEngine]) -> FakeEngine:
-        pair = self._rng.sample(list(able), min(2, len(able)))
-        return min(pair, key=lambda engine: self._reports[engine.name])
+    def choose(
+        self, entry: int, candidates: Sequence[FakeEngine]
+    ) -> FakeEngine:
+        pair = self._rng.sample(list(candidates), min(2, len(candidates)))
+        return min(pair, key=lambda engine: self._reported_loads[engine.name])
 
-    def _report(self) -> None:
+    def _refresh_reports(self) -> None:
         for engine in self._fleet.engines:
-            self._reports[engine.name] = engine.outstanding()
-        self._fleet.time.after(REPORT_S, self._report)
+            self._reported_loads[engine.name] = engine.outstanding()
+        self._fleet.time.after(REPORT_PERIOD_S, self._refresh_reports)
 
 
 class Baseline:
-    """Sends each request straight to an engine, which queues it."""
+    """Sends each request directly to an engine, which queues it."""
 
-    def __init__(self, rule: Rule, fleet: Fleet, scores: Scores) -> None:
-        self._rule = rule
+    def __init__(
+        self, placement_rule: PlacementRule, fleet: Fleet, scores: Scores
+    ) -> None:
+        self._placement_rule = placement_rule
         self._fleet = fleet
         self._scores = scores
-        self._counts = getattr(rule, 'counts', None)
+        self._outstanding_counts = getattr(
+            placement_rule, 'outstanding_counts', None
+        )
 
-    def submit(self, attempt: Try) -> None:
-        for _ in range(TRIES):
-            able = [
+    def submit(self, request: RequestState) -> None:
+        for _ in range(MAX_TRIES):
+            candidates = [
                 engine
                 for engine in self._fleet.engines
-                if engine.name not in attempt.tried
+                if engine.name not in request.tried_engines
             ]
-            engine = self._rule.pick(attempt.job.entry, able)
-            attempt.tried.add(engine.name)
-            if self._send(attempt, engine):
+            engine = self._placement_rule.choose(request.job.entry, candidates)
+            request.tried_engines.add(engine.name)
+            if self._send(request, engine):
                 return
-        self._scores.refuse(attempt.job, self._fleet.time.now)
-        attempt.over = True
+        self._scores.record_refused(request.job, self._fleet.time.now)
+        request.is_finished = True
 
-    def give_up(self, attempt: Try) -> None:
-        if attempt.run and attempt.job.repeat is not Repeat.NON_IDEMPOTENT:
-            self._fleet.by_name[attempt.engine].cancel(attempt.run)
-            self._over(attempt, useful=False)
+    def on_caller_gone(self, request: RequestState) -> None:
+        if request.run and request.job.repeat is not Repeat.NON_IDEMPOTENT:
+            self._fleet.engines_by_name[request.engine_name].cancel(request.run)
+            self._finish_run(request, is_useful=False)
 
-    def _send(self, attempt: Try, engine: FakeEngine) -> bool:
+    def _send(self, request: RequestState, engine: FakeEngine) -> bool:
         run = EngineRun(
-            attempt.job,
+            request.job,
             lambda _: None,
-            lambda whole: self._end(attempt, whole),
+            lambda is_complete: self._on_run_end(request, is_complete),
         )
         if not engine.send(run):
             return False
-        attempt.run, attempt.engine = run, engine.name
-        self._count(attempt, 1)
+        request.run, request.engine_name = run, engine.name
+        self._change_count(request, 1)
         return True
 
-    def _end(self, attempt: Try, whole: bool) -> None:
-        useful = whole and not attempt.over
-        self._over(attempt, useful)
-        if useful:
-            self._scores.answer(attempt.job)
-        elif attempt.job.repeat is Repeat.IDEMPOTENT and not attempt.over:
-            if not attempt.retried:
-                attempt.retried = True
-                self.submit(attempt)
+    def _on_run_end(self, request: RequestState, is_complete: bool) -> None:
+        is_useful = is_complete and not request.is_finished
+        self._finish_run(request, is_useful)
+        if is_useful:
+            self._scores.record_answered(request.job)
+        elif (
+            request.job.repeat is Repeat.IDEMPOTENT and not request.is_finished
+        ):
+            if not request.is_retried:
+                request.is_retried = True
+                self.submit(request)
                 return
-        attempt.over = True
-
-    def _over(self, attempt: Try, useful: bool) -> None:
-        if attempt.run is not None:
-            self._scores.run_over(attempt.run, useful)
-            self._count(attempt, -1)
-            attempt.run = None
-
-    def _count(self, attempt: Try, change: int) -> None:
-        if self._counts is not None:
-            self._counts[attempt.job.entry][attempt.engine] += change
+        request.is_finished = True
+
+    def _finish_run(self, request: RequestState, is_useful: bool) -> None:
+        if request.run is not None:
+            self._scores.record_run_end(request.run, is_useful)
+            self._change_count(request, -1)
+            request.run = None
+
+    def _change_count(self, request: RequestState, change: int) -> None:
+        if self._outstanding_counts is not None:
+            self._outstanding_counts[request.job.entry][
+                request.engine_name
+            ] += change
--- a/tests/benchmarks/fleet.py
+++ b/tests/benchmarks/fleet.py
@@ -1,4 +1,4 @@
-"""The engines of one run, and what a scheduler under test is told."""
+"""Simulated engines of one run, and the interface of a scheduler."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from bramleybend.models import Ask
-from tests.benchmarks.patterns import FLEET, Fault, Pattern
+from tests.benchmarks.patterns import ENGINE_CLASSES, Fault, LoadPattern
 from tests.utils.queueing_fake import (
     EngineRun,
     FakeEngine,
@@ -20,63 +20,63 @@
 
 
 class Fleet:
-    """The engines of one run."""
+    """Simulated engines of one run, with the faults of its pattern."""
 
-    def __init__(self, time: VirtualTime, pattern: Pattern) -> None:
-        copies: Counter[str] = Counter()
+    def __init__(self, time: VirtualTime, pattern: LoadPattern) -> None:
+        segment_copies: Counter[str] = Counter()
         self.time = time
         self.engines: list[FakeEngine] = []
-        for speed in FLEET:
-            for _ in range(speed.count):
+        for engine_class in ENGINE_CLASSES:
+            for _ in range(engine_class.engine_count):
                 engine = FakeEngine(
                     f'engine-{len(self.engines)}',
                     time,
-                    speed.capacity,
-                    speed.slots,
-                    PrefixCache(speed.cache, copies),
+                    engine_class.capacity,
+                    engine_class.slots,
+                    PrefixCache(engine_class.cache_tokens, segment_copies),
                 )
                 self.engines.append(engine)
-        self.by_name = {engine.name: engine for engine in self.engines}
+        self.engines_by_name = {engine.name: engine for engine in self.engines}
         for fault in pattern.faults:
-            self._plan(fault)
+            self._schedule_fault(fault)
 
-    def _plan(self, fault: Fault) -> None:
+    def _schedule_fault(self, fault: Fault) -> None:
         for index in fault.engines:
             engine = self.engines[index]
             if fault.slowdown:
-                slow = partial(engine.set_slowdown, fault.slowdown)
-                self.time.at(fault.at, slow)
-                self.time.at(fault.until, partial(engine.set_slowdown, 1))
+                slow_down = partial(engine.set_slowdown, fault.slowdown)
+                self.time.at(fault.start_s, slow_down)
+                self.time.at(fault.end_s, partial(engine.set_slowdown, 1))
             else:
-                # A returning engine is slow at first, as it warms up.
-                warm = fault.until + WARM_UP_S
-                slow = partial(engine.set_slowdown, COLD_SLOWDOWN)
-                self.time.at(fault.at, engine.crash)
-                self.time.at(fault.until, engine.restart)
-                self.time.at(fault.until, slow)
-                self.time.at(warm, partial(engine.set_slowdown, 1))
+                # A restarted engine is slow while it warms up.
+                warm_at = fault.end_s + WARM_UP_S
+                slow_down = partial(engine.set_slowdown, COLD_SLOWDOWN)
+                self.time.at(fault.start_s, engine.crash)
+                self.time.at(fault.end_s, engine.restart)
+                self.time.at(fault.end_s, slow_down)
+                self.time.at(warm_at, partial(engine.set_slowdown, 1))
 
 
 @dataclass
-class Try:
-    """One job under way."""
+class RequestState:
+    """A request's progress through the scheduler under test."""
 
     job: Job
     ask: Ask | None = None
-    tried: set[str] = field(default_factory=set)
-    shards: set[int] = field(default_factory=set)
+    tried_engines: set[str] = field(default_factory=set)
+    asked_shards: set[int] = field(default_factory=set)
     run: EngineRun | None = None
-    engine: str = ''
-    over: bool = False
-    retried: bool = False
+    engine_name: str = ''
+    is_finished: bool = False
+    is_retried: bool = False
     sent_at: float = 0
 
 
-class Player(Protocol):
+class SchedulerUnderTest(Protocol):
     """A scheduler under test."""
 
-    def submit(self, attempt: Try) -> None:
-        """Take a job in."""
+    def submit(self, request: RequestState) -> None:
+        """Accept a new request, or one to retry."""
 
-    def give_up(self, attempt: Try) -> None:
-        """Learn that the caller is gone."""
+    def on_caller_gone(self, request: RequestState) -> None:
+        """Handle a caller that gave up at its deadline."""
--- a/tests/benchmarks/patterns.py
+++ b/tests/benchmarks/patterns.py
@@ -1,4 +1,4 @@
-"""The load patterns and the two deployments that the benchmark plays."""
+"""Load patterns and request profiles that the benchmark simulates."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -8,59 +8,69 @@
 from bramleybend.models import Repeat, Tier
 from tests.utils.queueing_fake import Job, Segment
 
-SECONDS = 40.0
+ARRIVAL_PERIOD_S = 40.0
 ENTRY_VMS = 6
-SHARES = (0.35, 0.3, 0.2, 0.1, 0.05)
-SKEWED = (0.8, 0.05, 0.05, 0.05, 0.05)
-ACTIVE_DOCUMENTS = 6  # of a workspace and kind, in use at one time
-LONG_ANSWER = (1200, 2000)  # tokens, 20 to 30 s
-NEW_DOCUMENT = 0.12  # chance that a request opens another one
+WORKSPACE_SHARES = (0.35, 0.3, 0.2, 0.1, 0.05)
+SKEWED_SHARES = (0.8, 0.05, 0.05, 0.05, 0.05)
+ACTIVE_DOCUMENTS = 6  # in use at one time, per workspace and profile
+LONG_COMPLETION_TOKENS = (1200, 2000)  # 20 to 30 s of decoding
+NEW_DOCUMENT_PROBABILITY = 0.12  # that a request opens a document
 SEEDS = (11, 23, 37, 41, 59)
 
 
 @dataclass(frozen=True)
-class Speed:
-    """One of the three speeds."""
+class EngineClass:
+    """Engines of one speed; `capacity` in work units a second."""
 
-    count: int
+    engine_count: int
     capacity: float
     slots: int
-    cache: int
+    cache_tokens: int
 
 
-FLEET = (
-    Speed(20, 2000, 4, 60_000),
-    Speed(18, 4000, 8, 100_000),
-    Speed(12, 8000, 16, 160_000),
+ENGINE_CLASSES = (
+    EngineClass(20, 2000, 4, 60_000),
+    EngineClass(18, 4000, 8, 100_000),
+    EngineClass(12, 8000, 16, 160_000),
+)
+FLEET_CAPACITY = sum(
+    engine_class.engine_count * engine_class.capacity
+    for engine_class in ENGINE_CLASSES
 )
-CAPACITY = sum(speed.count * speed.capacity for speed in FLEET)
 
 
 @dataclass(frozen=True)
-class Kind:
-    """A profile's requests."""
+class RequestProfile:
+    """Request sizes of one profile; ranges are (min, max)."""
 
     name: str
     tier: Tier
     repeat: Repeat
     share: float
-    document: tuple[int, int]  # tokens, shared by requests on one document
-    own: tuple[int, int]
-    completion: tuple[int, int]
-    timeout: float
+    # Prompt tokens that all requests on one document share.
+    document_tokens: tuple[int, int]
+    own_tokens: tuple[int, int]
+    completion_tokens: tuple[int, int]
+    timeout_s: float
 
-    def mean_completion(self) -> float:
-        return sum(self.completion) / 2
+    def mean_completion_tokens(self) -> float:
+        return sum(self.completion_tokens) / 2
 
     def mean_work(self) -> float:
-        """Return the least work: each document filled once."""
-        document = sum(self.document) / 2 * NEW_DOCUMENT
-        own = sum(self.own) / 2
-        return document + own + self.mean_completion() * COMPLETION_COST
+        """Return the mean work units if each document is prefilled once."""
+        document_tokens = (
+            sum(self.document_tokens) / 2 * NEW_DOCUMENT_PROBABILITY
+        )
+        own_tokens = sum(self.own_tokens) / 2
+        return (
+            document_tokens
+            + own_tokens
+            + self.mean_completion_tokens() * COMPLETION_COST
+        )
 
 
 PARWAZ = (
-    Kind(
+    RequestProfile(
         'booking',
         Tier.CRITICAL,
         Repeat.NON_IDEMPOTENT,
@@ -70,7 +80,7 @@
         (10, 30),
         4,
     ),
-    Kind(
+    RequestProfile(
         'logbook-check',
         Tier.HIGH,
         Repeat.AT_MOST_ONCE,
@@ -80,7 +90,7 @@
         (60, 160),
         15,
     ),
-    Kind(
+    RequestProfile(
         'debrief',
         Tier.NORMAL,
         Repeat.AT_MOST_ONCE,
@@ -90,7 +100,7 @@
         (150, 400),
         25,
     ),
-    Kind(
+    RequestProfile(
         'summary',
         Tier.BULK,
         Repeat.IDEMPOTENT,
@@ -102,7 +112,7 @@
     ),
 )
 ZVUKOPAT = (
-    Kind(
+    RequestProfile(
         'rights-check',
         Tier.CRITICAL,
         Repeat.AT_MOST_ONCE,
@@ -112,7 +122,7 @@
         (30, 90),
         10,
     ),
-    Kind(
+    RequestProfile(
         'royalty-reply',
         Tier.HIGH,
         Repeat.NON_IDEMPOTENT,
@@ -122,7 +132,7 @@
         (80, 200),
         15,
     ),
-    Kind(
+    RequestProfile(
         'metadata',
         Tier.NORMAL,
         Repeat.AT_MOST_ONCE,
@@ -132,7 +142,7 @@
         (100, 300),
         25,
     ),
-    Kind(
+    RequestProfile(
         'catalogue',
         Tier.BULK,
         Repeat.IDEMPOTENT,
@@ -148,142 +158,156 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """What happens to some engines."""
+    """A crash or slowdown of some engines; times are virtual seconds."""
 
-    at: float
-    until: float
+    start_s: float
+    end_s: float
     engines: tuple[int, ...]
-    slowdown: float = 0  # 0: the engine dies at `at` and is back at `until`
+    slowdown: float = 0  # factor; 0: crash at `start_s`, restart at `end_s`
 
 
-def _flat(load: float) -> Callable[[float], float]:
+def _constant_load(load: float) -> Callable[[float], float]:
     return lambda _: load
 
 
-def _burst(now: float) -> float:
+def _burst_load(now: float) -> float:
     return 3.0 if 10 <= now < 18 else 0.5
 
 
 @dataclass(frozen=True)
-class Pattern:
-    """One load pattern; loads are parts of the capacity with warm caches."""
+class LoadPattern:
+    """A load pattern; load 1 is the fleet capacity with warm caches."""
 
     name: str
     load: Callable[[float], float]
-    shares: tuple[float, ...] = SHARES
+    workspace_shares: tuple[float, ...] = WORKSPACE_SHARES
     faults: tuple[Fault, ...] = ()
-    long_share: float = 0  # of requests: a prompt of 30,000 tokens
-    prelude: float = 0  # until then only the lowest tier, with long answers
+    # Share of requests below the top tier with 30,000 tokens of their own.
+    long_prompt_share: float = 0
+    # Before this time, only bulk requests with long completions arrive.
+    bulk_only_until_s: float = 0
 
 
 PATTERNS = (
-    Pattern('steady', _flat(0.6)),
-    Pattern('burst', _burst),
-    Pattern('skew', _flat(1.3), shares=SKEWED),
-    Pattern(
+    LoadPattern('steady', _constant_load(0.6)),
+    LoadPattern('burst', _burst_load),
+    LoadPattern('skew', _constant_load(1.3), workspace_shares=SKEWED_SHARES),
+    LoadPattern(
         'slow upstream',
-        _flat(0.7),
+        _constant_load(0.7),
         faults=(Fault(10, 30, (0, 7, 21, 25, 39, 42), slowdown=10),),
     ),
-    Pattern('long among short', _flat(1.3), long_share=0.04),
-    Pattern('saturation', _flat(2.0)),
-    Pattern('bulk first', _flat(1.0), prelude=10),
-    Pattern(
+    LoadPattern(
+        'long among short', _constant_load(1.3), long_prompt_share=0.04
+    ),
+    LoadPattern('saturation', _constant_load(2.0)),
+    LoadPattern('bulk first', _constant_load(1.0), bulk_only_until_s=10),
+    LoadPattern(
         'crash',
-        _flat(0.7),
+        _constant_load(0.7),
         faults=(Fault(12, 24, tuple(range(0, 50, 4))),),
     ),
 )
 
 
 @dataclass
-class Documents:
-    """The documents that one workspace works on under one profile."""
+class DocumentPool:
+    """Documents that a workspace's requests under one profile share."""
 
     rng: Random
     label: str
-    size: tuple[int, int]
-    opened: int = 0
+    token_range: tuple[int, int]
+    opened_count: int = 0
 
     def __post_init__(self) -> None:
         self.active: list[Segment] = []
 
-    def pick(self) -> Segment:
-        new = self.rng.random() < NEW_DOCUMENT
+    def choose(self) -> Segment:
+        new = self.rng.random() < NEW_DOCUMENT_PROBABILITY
         if new or len(self.active) < ACTIVE_DOCUMENTS:
-            self.opened += 1
-            tokens = self.rng.randint(*self.size)
-            name = f'{self.label}/{self.opened}'
+            self.opened_count += 1
+            tokens = self.rng.randint(*self.token_range)
+            name = f'{self.label}/{self.opened_count}'
             self.active.append(Segment(name, tokens))
             self.active = self.active[-ACTIVE_DOCUMENTS:]
         return self.rng.choice(self.active)
 
 
 def make_jobs(
-    kinds: tuple[Kind, ...],
-    pattern: Pattern,
+    profiles: tuple[RequestProfile, ...],
+    pattern: LoadPattern,
     seed: int,
-    seconds: float = SECONDS,
+    seconds: float = ARRIVAL_PERIOD_S,
 ) -> list[Job]:
-    """Draw the requests of one run; the same seed gives the same."""
+    """Generate the requests of one run, deterministically from the seed."""
     rng = Random(seed)
-    mean = sum(kind.share * kind.mean_work() for kind in kinds)
-    documents: dict[str, Documents] = {}
+    mean_request_work = sum(
+        profile.share * profile.mean_work() for profile in profiles
+    )
+    documents: dict[str, DocumentPool] = {}
     jobs: list[Job] = []
     now = float(0)
-    highest = 3.0
+    max_load = 3.0
     while now < seconds:
-        # Thinning: draw at the highest rate, keep the part that is due.
-        now += rng.expovariate(highest * CAPACITY / mean)
-        kept = rng.random() * highest < pattern.load(now)
-        if kept and now < seconds:
-            kind = rng.choices(kinds, [each.share for each in kinds])[0]
-            if now < pattern.prelude:
-                kind = replace(kinds[-1], completion=LONG_ANSWER)
-            job = _make_job(kind, pattern, rng, documents, now, len(jobs))
+        # Thinning of a Poisson process: arrivals are drawn at the maximum
+        # rate, and each is kept with probability load / max_load.
+        now += rng.expovariate(max_load * FLEET_CAPACITY / mean_request_work)
+        is_kept = rng.random() * max_load < pattern.load(now)
+        if is_kept and now < seconds:
+            profile = rng.choices(profiles, [each.share for each in profiles])[
+                0
+            ]
+            if now < pattern.bulk_only_until_s:
+                profile = replace(
+                    profiles[-1], completion_tokens=LONG_COMPLETION_TOKENS
+                )
+            job = _make_job(profile, pattern, rng, documents, now, len(jobs))
             jobs.append(job)
     return jobs
 
 
 def _make_job(
-    kind: Kind,
-    pattern: Pattern,
+    profile: RequestProfile,
+    pattern: LoadPattern,
     rng: Random,
-    documents: dict[str, Documents],
+    documents: dict[str, DocumentPool],
     now: float,
     number: int,
 ) -> Job:
-    workspace = f'w{rng.choices(range(5), pattern.shares)[0]}'
-    segments = [Segment(f'{kind.name}/system', 200)]
-    if kind.document[1]:
-        label = f'{workspace}/{kind.name}'
+    workspace = f'w{rng.choices(range(5), pattern.workspace_shares)[0]}'
+    segments = [Segment(f'{profile.name}/system', 200)]
+    if profile.document_tokens[1]:
+        label = f'{workspace}/{profile.name}'
         if label not in documents:
-            documents[label] = Documents(rng, label, kind.document)
-        segments.append(documents[label].pick())
-    own = rng.randint(*kind.own)
-    if rng.random() < pattern.long_share and kind.tier > Tier.CRITICAL:
-        own = 30_000
-    segments.append(Segment(f'own/{number}', own))
+            documents[label] = DocumentPool(rng, label, profile.document_tokens)
+        segments.append(documents[label].choose())
+    own_tokens = rng.randint(*profile.own_tokens)
+    if (
+        rng.random() < pattern.long_prompt_share
+        and profile.tier > Tier.CRITICAL
+    ):
+        own_tokens = 30_000
+    segments.append(Segment(f'own/{number}', own_tokens))
     return Job(
-        f'{kind.name}-{number}',
+        f'{profile.name}-{number}',
         workspace,
-        kind.tier,
-        kind.repeat,
+        profile.tier,
+        profile.repeat,
         now,
-        now + kind.timeout,
+        now + profile.timeout_s,
         tuple(segments),
-        rng.randint(*kind.completion),
+        rng.randint(*profile.completion_tokens),
         rng.randrange(ENTRY_VMS),
     )
 
 
-def expected_cost(job: Job, kinds: tuple[Kind, ...]) -> float:
-    """Guess the work as a gateway would: the prompt and the usual answer."""
+def estimate_cost(job: Job, profiles: tuple[RequestProfile, ...]) -> float:
+    """Estimate the work as a gateway does: prompt plus mean completion."""
     name = job.job_id.rsplit('-', 1)[0]
-    kind = next(kind for kind in kinds if kind.name == name)
-    return job.prompt + kind.mean_completion() * COMPLETION_COST
+    profile = next(profile for profile in profiles if profile.name == name)
+    return job.prompt + profile.mean_completion_tokens() * COMPLETION_COST
 
 
-def scaled(pattern: Pattern, load: float) -> Pattern:
-    """Return the pattern at a constant load."""
-    return replace(pattern, load=_flat(load))
+def with_constant_load(pattern: LoadPattern, load: float) -> LoadPattern:
+    """Return the pattern with a constant load."""
+    return replace(pattern, load=_constant_load(load))
--- a/tests/benchmarks/players.py
+++ b/tests/benchmarks/players.py
@@ -1,4 +1,4 @@
-"""Play one pattern under one scheduler."""
+"""Simulation of one load pattern under one scheduler."""
 
 from functools import partial
 from random import Random
@@ -9,56 +9,62 @@
     LeastOutstanding,
     RandomOfTwo,
     RoundRobin,
-    Rule,
+    PlacementRule,
 )
-from tests.benchmarks.fleet import Fleet, Player, Try
+from tests.benchmarks.fleet import Fleet, SchedulerUnderTest, RequestState
 from tests.benchmarks.gateways import Bramleybend
 from tests.benchmarks.measures import Scores
 from tests.benchmarks.patterns import (
     PATTERNS,
-    SECONDS,
-    Kind,
-    Pattern,
+    ARRIVAL_PERIOD_S,
+    RequestProfile,
+    LoadPattern,
     make_jobs,
 )
 from tests.utils.queueing_fake import VirtualTime
 
-END_S = 45.0
+DRAIN_S = 45.0
 
 
-def play(
+def simulate(
     scheduler: str,
-    kinds: tuple[Kind, ...],
-    pattern: Pattern,
+    profiles: tuple[RequestProfile, ...],
+    pattern: LoadPattern,
     seed: int,
     switches: Switches | None = None,
     *,
     affinity: bool = True,
-    seconds: float = SECONDS,
+    seconds: float = ARRIVAL_PERIOD_S,
 ) -> Scores:
-    """Play one pattern under one scheduler and count."""
+    """Simulate one load pattern under one scheduler; return the scores."""
     time = VirtualTime()
     fleet = Fleet(time, pattern)
     scores = Scores()
-    player: Player
+    scheduler_under_test: SchedulerUnderTest
     if scheduler == 'bramleybend':
-        on = switches or Switches()
-        player = Bramleybend(fleet, scores, kinds, seed, on, affinity)
+        enabled = switches or Switches()
+        scheduler_under_test = Bramleybend(
+            fleet, scores, profiles, seed, enabled, affinity
+        )
     else:
-        player = _make_baseline(scheduler, fleet, scores, seed)
-    for job in make_jobs(kinds, pattern, seed, seconds):
-        scores.offer(job)
-        attempt = Try(job)
-        time.at(job.at, partial(player.submit, attempt))
-        time.at(job.deadline, partial(_deadline, player, attempt))
-    time.run(seconds + END_S)
+        scheduler_under_test = _make_baseline(scheduler, fleet, scores, seed)
+    for job in make_jobs(profiles, pattern, seed, seconds):
+        scores.record_offered(job)
+        request = RequestState(job)
+        time.at(job.at, partial(scheduler_under_test.submit, request))
+        time.at(
+            job.deadline, partial(_on_deadline, scheduler_under_test, request)
+        )
+    time.run(seconds + DRAIN_S)
     return scores
 
 
-def _deadline(player: Player, attempt: Try) -> None:
-    if not attempt.over:
-        attempt.over = True
-        player.give_up(attempt)
+def _on_deadline(
+    scheduler_under_test: SchedulerUnderTest, request: RequestState
+) -> None:
+    if not request.is_finished:
+        request.is_finished = True
+        scheduler_under_test.on_caller_gone(request)
 
 
 def _make_baseline(
@@ -68,12 +74,12 @@
     seed: int,
 ) -> Baseline:
     rng = Random(seed)
-    rules: dict[str, Rule] = {
+    placement_rules: dict[str, PlacementRule] = {
         'FIFO + round robin': RoundRobin(),
         'least outstanding': LeastOutstanding(rng),
         'random of two': RandomOfTwo(rng, fleet),
     }
-    return Baseline(rules[scheduler], fleet, scores)
+    return Baseline(placement_rules[scheduler], fleet, scores)
 
 
 SCHEDULERS = (
@@ -82,4 +88,4 @@
     'least outstanding',
     'random of two',
 )
-PATTERN_BY_NAME = {pattern.name: pattern for pattern in PATTERNS}
+PATTERNS_BY_NAME = {pattern.name: pattern for pattern in PATTERNS}
--- a/tests/benchmarks/report.py
+++ b/tests/benchmarks/report.py
@@ -1,4 +1,4 @@
-"""Rows, tables and plots of the benchmark."""
+"""Runs, tables and plots of the benchmark."""
 
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass, replace
@@ -8,11 +8,11 @@
 from bramleybend.decisions.switches import Switches
 from bramleybend.models import Tier
 from tests.benchmarks.patterns import DEPLOYMENTS, PATTERNS
-from tests.benchmarks.players import PATTERN_BY_NAME, SCHEDULERS, play
+from tests.benchmarks.players import PATTERNS_BY_NAME, SCHEDULERS, simulate
 
-OURS = SCHEDULERS[0]
+BRAMLEYBEND = SCHEDULERS[0]
 AFFINITY = 'affinity'
-# Each decision, and the pattern that it answers.
+# The switch of each decision, and the load pattern that it addresses.
 ABLATIONS = {
     'tiers': 'saturation',
     'fair': 'skew',
@@ -30,47 +30,47 @@
 
 
 @dataclass(frozen=True)
-class Case:
-    """One run to play."""
+class BenchmarkCase:
+    """Parameters of one simulated run."""
 
     deployment: str
     pattern: str
     scheduler: str
     seed: int
-    without: str = ''
+    disabled: str = ''
 
 
 @dataclass(frozen=True)
-class Row:
-    """What one run gave."""
+class CaseResult:
+    """Scores of one simulated run."""
 
-    case: Case
+    case: BenchmarkCase
     tiers: tuple[float, ...]
-    total: float
-    wasted: float  # thousands of tokens
+    total_goodput: float
+    wasted_prefill: float  # thousands of tokens
     fairness: float
     inversions: tuple[int, ...]
     refused_late: int
     refused: int
 
 
-def play_case(case: Case) -> Row:
+def run_case(case: BenchmarkCase) -> CaseResult:
     switches = Switches()
-    if case.without not in {'', AFFINITY}:
-        switches = replace(switches, **{case.without: False})
-    scores = play(
+    if case.disabled not in {'', AFFINITY}:
+        switches = replace(switches, **{case.disabled: False})
+    scores = simulate(
         case.scheduler,
         DEPLOYMENTS[case.deployment],
-        PATTERN_BY_NAME[case.pattern],
+        PATTERNS_BY_NAME[case.pattern],
         case.seed,
         switches,
-        affinity=case.without != AFFINITY,
+        affinity=case.disabled != AFFINITY,
     )
-    return Row(
+    return CaseResult(
         case,
         tuple(scores.goodput(tier) for tier in Tier),
-        scores.total(),
-        scores.wasted / 1000,
+        scores.total_goodput(),
+        scores.wasted_prefill / 1000,
         scores.fairness(),
         tuple(scores.inversions[tier] for tier in Tier),
         scores.refused_late,
@@ -78,48 +78,53 @@
     )
 
 
-def select(
-    rows: Iterable[Row],
+def filter_results(
+    results: Iterable[CaseResult],
     deployment: str,
     pattern: str,
-    scheduler: str = OURS,
-) -> list[Row]:
+    scheduler: str = BRAMLEYBEND,
+) -> list[CaseResult]:
     return [
-        row
-        for row in rows
-        if row.case.deployment == deployment
-        and row.case.pattern == pattern
-        and row.case.scheduler == scheduler
+        result
+        for result in results
+        if result.case.deployment == deployment
+        and result.case.pattern == pattern
+        and result.case.scheduler == scheduler
     ]
 
 
-def _figures(rows: Sequence[Row]) -> str:
-    """Show median (worst) of each measure."""
+def _format_measures(results: Sequence[CaseResult]) -> str:
+    """Format each measure as median (worst) over the seeds."""
     cells = [
-        _percent([row.tiers[tier - 1] for row in rows], min) for tier in Tier
+        _format_percent([result.tiers[tier - 1] for result in results], min)
+        for tier in Tier
     ]
-    cells.append(_percent([row.total for row in rows], min))
-    wasted = [row.wasted for row in rows]
-    cells.append(f'{median(wasted):.0f} ({max(wasted):.0f})')
-    fair = [row.fairness for row in rows]
-    cells.append(f'{median(fair):.3f} ({min(fair):.3f})')
+    cells.append(
+        _format_percent([result.total_goodput for result in results], min)
+    )
+    wasted_prefill = [result.wasted_prefill for result in results]
+    cells.append(f'{median(wasted_prefill):.0f} ({max(wasted_prefill):.0f})')
+    fairness_values = [result.fairness for result in results]
+    cells.append(f'{median(fairness_values):.3f} ({min(fairness_values):.3f})')
     return ' | '.join(cells)
 
 
-def _percent(
+def _format_percent(
     parts: list[float],
     worst: Callable[[list[float]], float],
 ) -> str:
     return f'{median(parts):.1%} ({worst(parts):.1%})'
 
 
-HEAD = '| critical | high | normal | bulk | total | wasted, k tokens | Jain |'
-RULE = '|---|---|---|---|---|---|---|---|'
-RULE_9 = '|---|---|---|---|---|---|---|---|---|'
-RULE_6 = '|---|---|---|---|---|---|'
+TABLE_HEADER = (
+    '| critical | high | normal | bulk | total | wasted, k tokens | Jain |'
+)
+SEPARATOR_8 = '|---|---|---|---|---|---|---|---|'
+SEPARATOR_9 = '|---|---|---|---|---|---|---|---|---|'
+SEPARATOR_6 = '|---|---|---|---|---|---|'
 
 
-def comparison_lines(rows: list[Row]) -> list[str]:
+def format_comparison(results: list[CaseResult]) -> list[str]:
     lines = [
         '## Goodput, wasted prefill and fairness',
         '',
@@ -128,16 +133,18 @@
     for deployment in DEPLOYMENTS:
         for pattern in PATTERNS:
             lines += ['', f'### {deployment}: {pattern.name}', '']
-            lines += [f'| scheduler {HEAD}', RULE]
+            lines += [f'| scheduler {TABLE_HEADER}', SEPARATOR_8]
             for name in SCHEDULERS:
-                chosen = select(rows, deployment, pattern.name, name)
-                lines.append(f'| {name} | {_figures(chosen)} |')
+                selected = filter_results(
+                    results, deployment, pattern.name, name
+                )
+                lines.append(f'| {name} | {_format_measures(selected)} |')
     return lines
 
 
-def goal_lines(rows: list[Row]) -> list[str]:
+def format_goals(results: list[CaseResult]) -> list[str]:
     lines = ['', '## Goals', '']
-    heads = (
+    headings = (
         'deployment',
         'pattern',
         'critical, worst',
@@ -145,34 +152,47 @@
         'total less best baseline, worst',
         'shed above lower work, by tier, worst',
     )
-    lines += [f'| {" | ".join(heads)} |', RULE_6]
+    lines += [f'| {" | ".join(headings)} |', SEPARATOR_6]
     for deployment in DEPLOYMENTS:
         for pattern in PATTERNS:
-            lines.append(_goal_line(rows, deployment, pattern.name))
+            lines.append(_format_goal(results, deployment, pattern.name))
     return lines
 
 
-def _goal_line(rows: list[Row], deployment: str, pattern: str) -> str:
-    ours = select(rows, deployment, pattern)
-    critical = min(row.tiers[0] for row in ours)
-    least = select(rows, deployment, pattern, 'least outstanding')
-    wasted = median(row.wasted for row in ours)
-    ratio = wasted / median(row.wasted for row in least)
-    others = [
-        select(rows, deployment, pattern, name) for name in SCHEDULERS[1:]
+def _format_goal(
+    results: list[CaseResult], deployment: str, pattern: str
+) -> str:
+    own_results = filter_results(results, deployment, pattern)
+    critical = min(result.tiers[0] for result in own_results)
+    least_outstanding = filter_results(
+        results, deployment, pattern, 'least outstanding'
+    )
+    wasted_prefill = median(result.wasted_prefill for result in own_results)
+    ratio = wasted_prefill / median(
+        result.wasted_prefill for result in least_outstanding
+    )
+    baseline_results = [
+        filter_results(results, deployment, pattern, name)
+        for name in SCHEDULERS[1:]
     ]
     gains = [
-        row.total - max(other[index].total for other in others)
-        for index, row in enumerate(ours)
+        result.total_goodput
+        - max(baseline[index].total_goodput for baseline in baseline_results)
+        for index, result in enumerate(own_results)
+    ]
+    max_inversions = [
+        max(result.inversions[tier - 1] for result in own_results)
+        for tier in Tier
     ]
-    shed = [max(row.inversions[tier - 1] for row in ours) for tier in Tier]
     return (
         f'| {deployment} | {pattern} | {critical:.1%} | {ratio:.2f} | '
-        f'{min(gains):+.1%} | {shed} |'
+        f'{min(gains):+.1%} | {max_inversions} |'
     )
 
 
-def ablation_lines(rows: list[Row], ablated: list[Row]) -> list[str]:
+def format_ablations(
+    results: list[CaseResult], ablation_results: list[CaseResult]
+) -> list[str]:
     lines = [
         '',
         '## Each decision switched off',
@@ -181,49 +201,55 @@
         '',
         '| decision | pattern | deployment | critical | total | wasted, k | '
         'Jain | shed above lower work | refused late |',
-        RULE_9,
+        SEPARATOR_9,
     ]
     for name, pattern in ABLATIONS.items():
         for deployment in DEPLOYMENTS:
-            off = [
-                row
-                for row in ablated
-                if row.case.without == name
-                and row.case.deployment == deployment
+            disabled_results = [
+                result
+                for result in ablation_results
+                if result.case.disabled == name
+                and result.case.deployment == deployment
             ]
-            seeds = {row.case.seed for row in off}
-            on = [
-                row
-                for row in select(rows, deployment, pattern)
-                if row.case.seed in seeds
+            seeds = {result.case.seed for result in disabled_results}
+            enabled_results = [
+                result
+                for result in filter_results(results, deployment, pattern)
+                if result.case.seed in seeds
             ]
-            cells = ' | '.join(_change(on, off))
+            cells = ' | '.join(
+                _format_change(enabled_results, disabled_results)
+            )
             lines.append(f'| {name} | {pattern} | {deployment} | {cells} |')
     return lines
 
 
-def _change(on: list[Row], off: list[Row]) -> list[str]:
-    measures: list[tuple[Callable[[Row], float], str]] = [
-        (lambda row: row.tiers[0], '.1%'),
-        (lambda row: row.total, '.1%'),
-        (lambda row: row.wasted, '.0f'),
-        (lambda row: row.fairness, '.3f'),
-        (lambda row: sum(row.inversions), '.0f'),
-        (lambda row: row.refused_late, '.0f'),
+def _format_change(
+    enabled_results: list[CaseResult], disabled_results: list[CaseResult]
+) -> list[str]:
+    measures: list[tuple[Callable[[CaseResult], float], str]] = [
+        (lambda result: result.tiers[0], '.1%'),
+        (lambda result: result.total_goodput, '.1%'),
+        (lambda result: result.wasted_prefill, '.0f'),
+        (lambda result: result.fairness, '.3f'),
+        (lambda result: sum(result.inversions), '.0f'),
+        (lambda result: result.refused_late, '.0f'),
     ]
     return [
-        f'{_mean(on, measure):{form}} / {_mean(off, measure):{form}}'
-        for measure, form in measures
+        f'{_mean(enabled_results, measure):{format_spec}} / {_mean(disabled_results, measure):{format_spec}}'
+        for measure, format_spec in measures
     ]
 
 
-def _mean(rows: list[Row], measure: Callable[[Row], float]) -> float:
-    return sum(measure(row) for row in rows) / len(rows)
+def _mean(
+    results: list[CaseResult], measure: Callable[[CaseResult], float]
+) -> float:
+    return sum(measure(result) for result in results) / len(results)
 
 
-def write_plots(rows: list[Row], folder: Path) -> None:
+def write_plots(results: list[CaseResult], folder: Path) -> None:
     """Draw goodput by tier and wasted prefill, median over the seeds."""
-    from matplotlib import use  # noqa: PLC0415  # only here is it needed
+    from matplotlib import use  # noqa: PLC0415  # only plots need it
 
     use('Agg')
     from matplotlib import pyplot  # noqa: PLC0415
@@ -231,25 +257,29 @@
     folder.mkdir(parents=True, exist_ok=True)
     for deployment in DEPLOYMENTS:
         figure, axes = pyplot.subplots(3, 1, figsize=(10, 11))
-        draws: list[tuple[str, Callable[[Row], float]]] = [
-            ('goodput, critical tier', lambda row: row.tiers[0]),
-            ('goodput, all', lambda row: row.total),
-            ('wasted prefill, k tokens', lambda row: row.wasted),
+        charts: list[tuple[str, Callable[[CaseResult], float]]] = [
+            ('goodput, critical tier', lambda result: result.tiers[0]),
+            ('goodput, all', lambda result: result.total_goodput),
+            ('wasted prefill, k tokens', lambda result: result.wasted_prefill),
         ]
-        for axis, (title, measure) in zip(axes, draws, strict=True):
+        for axis, (title, measure) in zip(axes, charts, strict=True):
             for index, name in enumerate(SCHEDULERS):
                 heights = [
                     median(
-                        measure(row)
-                        for row in select(rows, deployment, pattern.name, name)
+                        measure(result)
+                        for result in filter_results(
+                            results, deployment, pattern.name, name
+                        )
                     )
                     for pattern in PATTERNS
                 ]
-                places = [at + index * 0.2 for at in range(len(PATTERNS))]
-                axis.bar(places, heights, width=0.2, label=name)
+                positions = [
+                    position + index * 0.2 for position in range(len(PATTERNS))
+                ]
+                axis.bar(positions, heights, width=0.2, label=name)
             axis.set_title(f'{deployment}: {title}')
             axis.set_xticks(
-                [at + 0.3 for at in range(len(PATTERNS))],
+                [position + 0.3 for position in range(len(PATTERNS))],
                 [pattern.name for pattern in PATTERNS],
             )
         axes[0].legend(fontsize=8)
--- a/tests/benchmarks/test_bounds.py
+++ b/tests/benchmarks/test_bounds.py
@@ -1,7 +1,7 @@
 """Regression bounds on virtual time and counts; one seed, short runs.
 
-The bounds stand a little below what `python -m tests.benchmarks` measures, so
-that a change which costs goodput, prefill or fairness fails here first.
+The bounds are slightly looser than the results of `python -m tests.benchmarks`,
+so that a regression in goodput, prefill or fairness fails here first.
 """
 
 from functools import cache
@@ -11,7 +11,7 @@
 from bramleybend.models import Tier
 from tests.benchmarks.measures import Scores
 from tests.benchmarks.patterns import DEPLOYMENTS, SEEDS
-from tests.benchmarks.players import PATTERN_BY_NAME, SCHEDULERS, play
+from tests.benchmarks.players import PATTERNS_BY_NAME, SCHEDULERS, simulate
 
 SECONDS = 20.0
 CASES = [
@@ -23,10 +23,10 @@
 
 @cache
 def scores_of(scheduler: str, deployment: str, pattern: str) -> Scores:
-    return play(
+    return simulate(
         scheduler,
         DEPLOYMENTS[deployment],
-        PATTERN_BY_NAME[pattern],
+        PATTERNS_BY_NAME[pattern],
         SEEDS[0],
         seconds=SECONDS,
     )
@@ -38,15 +38,20 @@
     baselines = [
         scores_of(name, deployment, pattern) for name in SCHEDULERS[1:]
     ]
-    least = scores_of('least outstanding', deployment, pattern)
+    least_outstanding = scores_of('least outstanding', deployment, pattern)
     assert ours.goodput(Tier.CRITICAL) >= 0.99
-    assert ours.wasted <= least.wasted / 3
-    assert ours.total() >= max(one.total() for one in baselines)
+    assert ours.wasted_prefill <= least_outstanding.wasted_prefill / 3
+    assert ours.total_goodput() >= max(
+        baseline.total_goodput() for baseline in baselines
+    )
     assert ours.fairness() >= 0.95
 
 
 def test_same_seed_gives_the_same_run() -> None:
-    kinds = DEPLOYMENTS['parwaz']
-    steady = PATTERN_BY_NAME['steady']
-    runs = [play('bramleybend', kinds, steady, 11, seconds=4) for _ in range(2)]
+    profiles = DEPLOYMENTS['parwaz']
+    steady = PATTERNS_BY_NAME['steady']
+    runs = [
+        simulate('bramleybend', profiles, steady, 11, seconds=4)
+        for _ in range(2)
+    ]
     assert runs[0] == runs[1]
--- a/tests/decisions/test_patterns.py
+++ b/tests/decisions/test_patterns.py
@@ -12,7 +12,7 @@
 from bramleybend.models import Tier
 from tests.benchmarks.measures import Scores
 from tests.benchmarks.patterns import DEPLOYMENTS, SEEDS
-from tests.benchmarks.players import PATTERN_BY_NAME, play
+from tests.benchmarks.players import PATTERNS_BY_NAME, simulate
 
 SECONDS = 20.0
 
@@ -22,10 +22,10 @@
     pattern: str, deployment: str = 'parwaz', disabled: str = ''
 ) -> Scores:
     switches = Switches(**({disabled: False} if disabled else {}))
-    return play(
+    return simulate(
         'bramleybend',
         DEPLOYMENTS[deployment],
-        PATTERN_BY_NAME[pattern],
+        PATTERNS_BY_NAME[pattern],
         SEEDS[0],
         switches,
         seconds=SECONDS,
@@ -68,7 +68,7 @@
     """
     scores = scores_of('slow upstream')
     assert scores.goodput(Tier.CRITICAL) >= 0.98
-    assert scores.total() >= 0.97
+    assert scores.total_goodput() >= 0.97
 
 
 def test_crash_loses_only_what_ran_there() -> None:
@@ -78,7 +78,7 @@
     """
     scores = scores_of('crash')
     assert scores.goodput(Tier.CRITICAL) >= 0.98
-    assert scores.total() >= 0.96
+    assert scores.total_goodput() >= 0.96
 
 
 def test_saturation_without_tiers_would_fail_bookings() -> None:
