--- a/tests/benchmarks/capacity_gossip.py
+++ b/tests/benchmarks/capacity_gossip.py
@@ -31,7 +31,7 @@
 WARM_UP_S = 20
 MEASURED_S = 30
 CALLS = 400
-MAX_EXTRA_RECORDS = 16  # of shard loads, and of crash records, in a message
+EXTRA_RECORDS = 16  # of shard loads, and of crash records, in a message
 
 
 def make_members(size: int) -> list[Member]:
@@ -235,7 +235,7 @@
 
 
 def _add_extras(message: GossipMessage) -> None:
-    for index in range(MAX_EXTRA_RECORDS):
+    for index in range(EXTRA_RECORDS):
         message.shards.append(
             ShardRecord(
                 service='model-small-chat',
--- a/tests/benchmarks/capacity_many.py
+++ b/tests/benchmarks/capacity_many.py
@@ -35,7 +35,7 @@
 SIZES = (12, 25, 50, 100)
 FIRST_HOST = 11
 START_BATCH = 10  # processes started before waiting for the last of them
-WARM_UP_S = 30  # past the first ten seconds, in which the list counts too
+WARM_UP_S = 30  # past the first 10 s, when listed VMs count as members too
 MEASURED_S = 10
 OBSERVERS = 5  # nodes polled until they report the killed one as dead
 TIMEOUT_S = 60
--- a/tests/benchmarks/capacity_peers.py
+++ b/tests/benchmarks/capacity_peers.py
@@ -27,7 +27,7 @@
     messages_per_s: float
     bytes_per_s: float
     cross_domain_bytes_per_s: float  # to other failure domains
-    cores: float
+    cores: float  # CPU seconds a second
     max_messages_per_s: float  # of the VM that sends most
     startup_s: float  # from a joint start until all VMs hear all others
 
--- a/tests/benchmarks/fleet.py
+++ b/tests/benchmarks/fleet.py
@@ -64,6 +64,7 @@
     job: Job
     ask: Ask | None = None
     tried_engines: set[str] = field(default_factory=set)
+    # After a grant, only the shard that granted.
     asked_shards: set[int] = field(default_factory=set)
     run: EngineRun | None = None
     engine_name: str = ''
--- a/tests/benchmarks/gateways.py
+++ b/tests/benchmarks/gateways.py
@@ -287,7 +287,7 @@
             self._apply(shard, actions)
 
     def _publish_vm_list(self, shard: int) -> None:
-        """Send the owner the live engines each second, delayed by the list."""
+        """Send a shard's owner the live engines each second, with a delay."""
         live = [
             engine.name
             for engine in self._fleet.engines
--- a/tests/benchmarks/patterns.py
+++ b/tests/benchmarks/patterns.py
@@ -223,8 +223,8 @@
         self.active: list[Segment] = []
 
     def choose(self) -> Segment:
-        new = self.rng.random() < NEW_DOCUMENT_PROBABILITY
-        if new or len(self.active) < ACTIVE_DOCUMENTS:
+        is_new = self.rng.random() < NEW_DOCUMENT_PROBABILITY
+        if is_new or len(self.active) < ACTIVE_DOCUMENTS:
             self.opened_count += 1
             tokens = self.rng.randint(*self.token_range)
             name = f'{self.label}/{self.opened_count}'
@@ -254,9 +254,10 @@
         now += rng.expovariate(max_load * FLEET_CAPACITY / mean_request_work)
         is_kept = rng.random() * max_load < pattern.load(now)
         if is_kept and now < seconds:
-            profile = rng.choices(profiles, [each.share for each in profiles])[
-                0
-            ]
+            profile = rng.choices(
+                profiles,
+                [each.share for each in profiles],
+            )[0]
             if now < pattern.bulk_only_until_s:
                 profile = replace(
                     profiles[-1], completion_tokens=LONG_COMPLETION_TOKENS
--- a/tests/benchmarks/test_peer_growth.py
+++ b/tests/benchmarks/test_peer_growth.py
@@ -10,7 +10,7 @@
 
 
 def test_messages_of_a_vm_do_not_grow_with_the_vms() -> None:
-    """A VM on a slow link must not send more among 30 VMs than nine."""
+    """A VM on a slow link must not send more among 30 VMs than among 9."""
     small, large = (
         measure_peer_cost(9, seconds=2),
         measure_peer_cost(30, seconds=2),
