--- a/tests/benchmarks/__main__.py
+++ b/tests/benchmarks/__main__.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from tests.benchmarks.patterns import DEPLOYMENTS, PATTERNS, SEEDS
-from tests.benchmarks.players import SCHEDULERS
+from tests.benchmarks.simulation import SCHEDULERS
 from tests.benchmarks.report import (
     ABLATIONS,
     BenchmarkCase,
--- a/tests/benchmarks/report.py
+++ b/tests/benchmarks/report.py
@@ -8,7 +8,7 @@
 from bramleybend.decisions.switches import Switches
 from bramleybend.models import Tier
 from tests.benchmarks.patterns import DEPLOYMENTS, PATTERNS
-from tests.benchmarks.players import PATTERNS_BY_NAME, SCHEDULERS, simulate
+from tests.benchmarks.simulation import PATTERNS_BY_NAME, SCHEDULERS, simulate
 
 BRAMLEYBEND = SCHEDULERS[0]
 AFFINITY = 'affinity'
--- a/tests/benchmarks/test_bounds.py
+++ b/tests/benchmarks/test_bounds.py
@@ -11,7 +11,7 @@
 from bramleybend.models import Tier
 from tests.benchmarks.measures import Scores
 from tests.benchmarks.patterns import DEPLOYMENTS, SEEDS
-from tests.benchmarks.players import PATTERNS_BY_NAME, SCHEDULERS, simulate
+from tests.benchmarks.simulation import PATTERNS_BY_NAME, SCHEDULERS, simulate
 
 SECONDS = 20.0
 CASES = [
--- a/tests/decisions/test_patterns.py
+++ b/tests/decisions/test_patterns.py
@@ -12,7 +12,7 @@
 from bramleybend.models import Tier
 from tests.benchmarks.measures import Scores
 from tests.benchmarks.patterns import DEPLOYMENTS, SEEDS
-from tests.benchmarks.players import PATTERNS_BY_NAME, simulate
+from tests.benchmarks.simulation import PATTERNS_BY_NAME, simulate
 
 SECONDS = 20.0
 
