--- a/tests/benchmarks/__main__.py
+++ b/tests/benchmarks/__main__.py
@@ -10,7 +10,6 @@
 from pathlib import Path
 
 from tests.benchmarks.patterns import DEPLOYMENTS, PATTERNS, SEEDS
-from tests.benchmarks.simulation import SCHEDULERS
 from tests.benchmarks.report import (
     ABLATIONS,
     BenchmarkCase,
@@ -21,6 +20,7 @@
     run_case,
     write_plots,
 )
+from tests.benchmarks.simulation import SCHEDULERS
 
 ABLATION_SEEDS = 2
 DOCS = Path(__file__).parents[2] / 'docs'
--- a/tests/benchmarks/capacity_many.py
+++ b/tests/benchmarks/capacity_many.py
@@ -20,9 +20,9 @@
 from bramleybend.wire.bramleybend_pb2 import StatusRequest
 from bramleybend.wire.bramleybend_pb2_grpc import ControlStub
 from tests.benchmarks.capacity_processes import (
-    resident_memory_mb,
-    private_memory_mb,
     cpu_time_ms,
+    private_memory_mb,
+    resident_memory_mb,
 )
 from tests.benchmarks.slopes import Series
 from tests.utils.cluster import EXAMPLE, PLATFORM_PORT, free_prefix
--- a/tests/benchmarks/simulation.py
+++ b/tests/benchmarks/simulation.py
@@ -7,18 +7,18 @@
 from tests.benchmarks.baselines import (
     Baseline,
     LeastOutstanding,
+    PlacementRule,
     RandomOfTwo,
     RoundRobin,
-    PlacementRule,
 )
-from tests.benchmarks.fleet import Fleet, SchedulerUnderTest, RequestState
+from tests.benchmarks.fleet import Fleet, RequestState, SchedulerUnderTest
 from tests.benchmarks.gateways import Bramleybend
 from tests.benchmarks.measures import Scores
 from tests.benchmarks.patterns import (
-    PATTERNS,
     ARRIVAL_PERIOD_S,
-    RequestProfile,
+    PATTERNS,
     LoadPattern,
+    RequestProfile,
     make_jobs,
 )
 from tests.utils.queueing_fake import VirtualTime
