--- a/tests/benchmarks/report.py
+++ b/tests/benchmarks/report.py
@@ -236,7 +236,8 @@
         (lambda result: result.refused_late, '.0f'),
     ]
     return [
-        f'{_mean(enabled_results, measure):{format_spec}} / {_mean(disabled_results, measure):{format_spec}}'
+        f'{_mean(enabled_results, measure):{format_spec}} / '
+        f'{_mean(disabled_results, measure):{format_spec}}'
         for measure, format_spec in measures
     ]
 
