--- a/tests/benchmarks/capacity_peers.py
+++ b/tests/benchmarks/capacity_peers.py
@@ -38,7 +38,7 @@
     for number in range(vm_count):
         network.add(number)
     startup_s = network.until_all_hear_all()
-    network.run(6)  # past the heartbeats of the start
+    network.run(6)  # past the extra heartbeats to just started VMs
     network.reset_counts()
     before = {vm.name: vm.peers.sent.messages for vm in network.up()}
     _admit_requests(network, seconds)
