--- a/bramleybend/decisions/actions.py
+++ b/bramleybend/decisions/actions.py
@@ -80,10 +80,10 @@
     """The waiting requests of an owner and the free capacity of its runners."""
 
     waiting: Mapping[int, int]  # number of requests, by tier
-    oldest_s: float  # wait of the oldest request
+    oldest_wait_s: float  # wait of the oldest request
     running: int
     slots: int
-    open_runners: int  # runners that may start a request now
+    free_runners: int  # runners that may start a request now
 
 
 @dataclass(frozen=True)
--- a/bramleybend/decisions/allotments.py
+++ b/bramleybend/decisions/allotments.py
@@ -40,7 +40,7 @@
 # two heartbeats (0.2 s), and a partition that begins at that moment.
 IDLE_TOLERANCE_SHARE = 0.5
 # Two heartbeats, within which most VMs that start together hear each other.
-SETTLE_S = 0.4
+STARTUP_HOLD_S = 0.4
 # A peer's accounts count as older only beyond this difference: the same
 # accounts arrive with the delay of the network and of a busy VM.
 MIN_AGE_LEAD_S = 0.2
@@ -68,55 +68,59 @@
 
 
 @dataclass(frozen=True)
-class Spending:
+class AccountReport:
     """One VM's report on a workspace's account, in units."""
 
     used: float = 0  # admitted by that VM since it started
-    beyond: float = 0  # admitted by that VM beyond the allotment
+    over_allotment: float = 0  # admitted by that VM beyond the allotment
     debt: float = 0  # used of the burst over all VMs, not repaid yet
-    beyond_debt: float = 0  # used of the tolerance over all VMs, not repaid yet
+    tolerance_debt: float = (
+        0  # used of the tolerance over all VMs, not repaid yet
+    )
 
 
 @dataclass(frozen=True)
-class Verdict:
+class AllotmentDecision:
     """The decision on a request."""
 
-    is_let_in: bool
-    is_beyond: bool = False  # admitted beyond the allotment on idle runners
+    is_admitted: bool
+    is_over_allotment: bool = (
+        False  # admitted beyond the allotment on idle runners
+    )
     retry_after_s: float = 0  # until the allotment has room again
-    owed: float = 0  # units used of the burst, if refused
+    debt: float = 0  # units used of the burst, if refused
 
 
 @dataclass
 class _Account:
     updated_at: float
     debt: float = 0
-    beyond_debt: float = 0
+    tolerance_debt: float = 0
     used: float = 0  # by this VM
-    beyond: float = 0  # by this VM
+    over_allotment: float = 0  # by this VM
 
 
 @dataclass
 class _PeerAccounts:
     """The totals that one peer reported."""
 
-    spendings: dict[str, Spending] = field(default_factory=dict)
+    reports: dict[str, AccountReport] = field(default_factory=dict)
     is_complete: bool = False  # workspaces that are missing have used nothing
 
-    def last_totals(self, workspace: str) -> Spending | None:
+    def last_totals(self, workspace: str) -> AccountReport | None:
         """Return a workspace's last reported totals, if known."""
-        unspent = Spending() if self.is_complete else None
-        return self.spendings.get(workspace, unspent)
+        unspent = AccountReport() if self.is_complete else None
+        return self.reports.get(workspace, unspent)
 
 
 @dataclass
-class AllotmentBook:
+class AllotmentLedger:
     """The accounts of all workspaces at one VM."""
 
     tolerance: Tolerance = field(default_factory=Tolerance)
     # Time from which the accounts are complete; earlier bursts are assumed to
     # be used. Minus infinity: nothing was admitted earlier.
-    since: float = -inf
+    complete_since: float = -inf
     _accounts: dict[str, _Account] = field(default_factory=dict)
     _peers: dict[str, _PeerAccounts] = field(default_factory=dict)
 
@@ -129,7 +133,7 @@
         share: float = 1,
         *,
         are_runners_idle: bool = False,
-    ) -> Verdict:
+    ) -> AllotmentDecision:
         """Admit a request and count it, or return when to retry.
 
         `share` is the share of all VMs that this VM hears, itself included.
@@ -138,32 +142,38 @@
         self._repay_debt(account, allowance, now, share)
         needed = min(units, allowance.burst * MIN_BURST_SHARE)
         left = allowance.burst - account.debt
-        if now < self._settled_at():
+        if now < self._startup_ends_at():
             # A constant delay keeps the retries as spread as the requests were.
             # The time until the end of this phase would make all callers retry
             # at once.
-            return Verdict(
-                is_let_in=False, retry_after_s=SETTLE_S, owed=account.debt
+            return AllotmentDecision(
+                is_admitted=False,
+                retry_after_s=STARTUP_HOLD_S,
+                debt=account.debt,
             )
         if left >= needed:
             account.debt += units
             account.used += units
-            return Verdict(is_let_in=True)
+            return AllotmentDecision(is_admitted=True)
         # The tolerance also covers what silent VMs admit, so it isn't used
         # while some VMs are silent.
         if are_runners_idle and share >= 1:
-            if account.beyond_debt + units <= self._idle_allowance(allowance):
-                account.beyond_debt += units
-                account.beyond += units
-                return Verdict(is_let_in=True, is_beyond=True)
+            if account.tolerance_debt + units <= self._idle_allowance(
+                allowance
+            ):
+                account.tolerance_debt += units
+                account.over_allotment += units
+                return AllotmentDecision(
+                    is_admitted=True, is_over_allotment=True
+                )
         rate = max(allowance.rate_per_s * share, 1)
-        return Verdict(
-            is_let_in=False,
+        return AllotmentDecision(
+            is_admitted=False,
             retry_after_s=(needed - left) / rate,
-            owed=account.debt,
+            debt=account.debt,
         )
 
-    def give_back(
+    def refund(
         self, workspace: str, units: float, *, is_beyond: bool = False
     ) -> None:
         """Undo the admission of a request that did not run."""
@@ -171,30 +181,30 @@
         if account is None:
             return
         if is_beyond:
-            account.beyond_debt -= units
-            account.beyond -= units
+            account.tolerance_debt -= units
+            account.over_allotment -= units
         else:
             account.debt -= units
             account.used -= units
 
-    def spendings(self) -> dict[str, Spending]:
+    def reports(self) -> dict[str, AccountReport]:
         """Return the totals to report to the other VMs, by workspace."""
         return {
-            workspace: Spending(
+            workspace: AccountReport(
                 account.used,
-                account.beyond,
+                account.over_allotment,
                 account.debt,
-                account.beyond_debt,
+                account.tolerance_debt,
             )
             for workspace, account in self._accounts.items()
         }
 
     def age_s(self, now: float) -> float:
         """Return for how many seconds the accounts have been complete."""
-        return now - self.since
+        return now - self.complete_since
 
-    def adopt(
-        self, reported: Mapping[str, Spending], now: float, age_s: float
+    def adopt_accounts(
+        self, reported: Mapping[str, AccountReport], now: float, age_s: float
     ) -> None:
         """Replace the accounts by a peer's if those are complete for longer.
 
@@ -202,21 +212,21 @@
         knows.
         """
         since = now - age_s
-        if since >= self.since - MIN_AGE_LEAD_S:
+        if since >= self.complete_since - MIN_AGE_LEAD_S:
             return
-        self.since = since
+        self.complete_since = since
         for workspace, account in self._accounts.items():
-            owed = reported.get(workspace, Spending())
+            owed = reported.get(workspace, AccountReport())
             ours = min(account.used, account.debt)
-            beyond = min(account.beyond, account.beyond_debt)
+            beyond = min(account.over_allotment, account.tolerance_debt)
             account.updated_at = max(account.updated_at, now)
             account.debt = max(owed.debt, ours)
-            account.beyond_debt = max(owed.beyond_debt, beyond)
+            account.tolerance_debt = max(owed.tolerance_debt, beyond)
 
-    def heard(
+    def merge_report(
         self,
         peer: str,
-        reported: Mapping[str, Spending],
+        reported: Mapping[str, AccountReport],
         now: float,
         *,
         tells_all: bool = True,
@@ -234,27 +244,29 @@
         peer itself admitted: the rest of that peer's debts may be only assumed.
         """
         accounts = self._peers.setdefault(peer, _PeerAccounts())
-        is_younger = now - age_s > self.since + MIN_AGE_LEAD_S
+        is_younger = now - age_s > self.complete_since + MIN_AGE_LEAD_S
         for workspace, spending in reported.items():
             account = self._account(workspace, now)
             last = accounts.last_totals(workspace)
             if last is None and is_younger:
                 account.debt += min(spending.used, spending.debt)
-                account.beyond_debt += min(
-                    spending.beyond, spending.beyond_debt
+                account.tolerance_debt += min(
+                    spending.over_allotment, spending.tolerance_debt
                 )
             elif last is None:
                 account.debt = max(account.debt, spending.debt)
-                account.beyond_debt = max(
-                    account.beyond_debt, spending.beyond_debt
+                account.tolerance_debt = max(
+                    account.tolerance_debt, spending.tolerance_debt
                 )
             else:
                 account.debt += spending.used - last.used
-                account.beyond_debt += spending.beyond - last.beyond
-            accounts.spendings[workspace] = spending
+                account.tolerance_debt += (
+                    spending.over_allotment - last.over_allotment
+                )
+            accounts.reports[workspace] = spending
         accounts.is_complete = accounts.is_complete or tells_all
 
-    def forget(self, peer: str) -> None:
+    def remove_peer(self, peer: str) -> None:
         """Remove a peer that has ended."""
         self._peers.pop(peer, None)
 
@@ -282,21 +294,21 @@
         )
         idle_allowance = self._idle_allowance(allowance)
         idle_allowance_per_s = idle_allowance / self.tolerance.window_s
-        account.beyond_debt = max(
-            account.beyond_debt - elapsed_s * idle_allowance_per_s,
+        account.tolerance_debt = max(
+            account.tolerance_debt - elapsed_s * idle_allowance_per_s,
             self._assumed_debt(idle_allowance, idle_allowance_per_s, now),
         )
 
-    def _settled_at(self) -> float:
-        return self.since + SETTLE_S
+    def _startup_ends_at(self) -> float:
+        return self.complete_since + STARTUP_HOLD_S
 
     def _assumed_debt(
         self, units: float, repaid_per_s: float, now: float
     ) -> float:
         """Return the unpaid rest of units assumed used before the accounts."""
-        if isinf(self.since):
+        if isinf(self.complete_since):
             return 0
-        left = units - repaid_per_s * max(now - self._settled_at(), 0)
+        left = units - repaid_per_s * max(now - self._startup_ends_at(), 0)
         return max(left, 0)
 
     def _idle_allowance(self, allowance: Allowance) -> float:
@@ -308,12 +320,12 @@
         return units * IDLE_TOLERANCE_SHARE / 2
 
 
-def make_allotment_book(
+def make_allotment_ledger(
     tolerance: Tolerance, now: float, *, is_first_start: bool
-) -> AllotmentBook:
+) -> AllotmentLedger:
     """Create the accounts of a VM that starts.
 
     `is_first_start`: the whole system starts for the first time, so no
     workspace has a debt.
     """
-    return AllotmentBook(tolerance, -inf if is_first_start else now)
+    return AllotmentLedger(tolerance, -inf if is_first_start else now)
--- a/bramleybend/decisions/expiry.py
+++ b/bramleybend/decisions/expiry.py
@@ -16,8 +16,8 @@
 
 from bramleybend.decisions.actions import Action, Refuse
 from bramleybend.decisions.drain_rate import retry_after
-from bramleybend.decisions.floor import HOLD_S
 from bramleybend.decisions.shard import Shard
+from bramleybend.decisions.tier_floor import FLOOR_HOLD_S
 from bramleybend.decisions.tier_queue import WaitingEntry
 from bramleybend.decisions.waiting_queue import WaitingQueue
 from bramleybend.models import Ask, Tier
@@ -37,7 +37,7 @@
 ) -> Refuse:
     """Refuse a request and tell its caller when to retry."""
     if shed and shard.switches.floor_at_refusal:
-        shard.raise_floor(ask.tier, now + HOLD_S)
+        shard.raise_floor(ask.tier, now + FLOOR_HOLD_S)
     cost_ahead = shard.queue.cost_ahead(ask)
     retry_after_time = retry_after(
         cost_ahead, shard.drain_per_s(now), shard.rng
--- a/bramleybend/decisions/hedging.py
+++ b/bramleybend/decisions/hedging.py
@@ -32,19 +32,19 @@
     budget: float = MAX_BUDGET
 
 
-class Hedging:
+class HedgeBudgets:
     """The durations and hedging budgets of a gateway's calls."""
 
     def __init__(self) -> None:
         """Start without known calls."""
         self._calls: dict[tuple[str, str], _CallStats] = {}
 
-    def begun(self, service: str, profile: str) -> None:
+    def record_start(self, service: str, profile: str) -> None:
         """Count a first run, which earns part of a second run."""
         calls = self._stats_of(service, profile)
         calls.budget = min(calls.budget + BUDGET_PER_CALL, MAX_BUDGET)
 
-    def finished(self, service: str, profile: str, seconds: float) -> None:
+    def record_finish(self, service: str, profile: str, seconds: float) -> None:
         """Record a call's duration in seconds, if it is positive."""
         if seconds > 0:
             self._stats_of(service, profile).seconds.append(seconds)
@@ -56,7 +56,7 @@
             return None
         return seconds[int(len(seconds) * QUANTILE)]
 
-    def allow(self, service: str, profile: str) -> bool:
+    def try_spend(self, service: str, profile: str) -> bool:
         """Spend a second run; tell whether the budget had one."""
         calls = self._stats_of(service, profile)
         if calls.budget < 1:
--- a/bramleybend/decisions/orders.py
+++ b/bramleybend/decisions/orders.py
@@ -54,8 +54,8 @@
 
     name: str
     state: EngineState | None = None  # None if it has not replied
-    changing: bool = False  # out of service for an order
-    failed: bool = False  # failed a recent order
+    is_changing: bool = False  # out of service for an order
+    has_failed: bool = False  # failed a recent order
 
 
 def next_order(state: EngineState, target: EngineTarget) -> Order | None:
@@ -78,14 +78,14 @@
     return not isinstance(order, SetRole)
 
 
-def is_right(state: EngineState | None, target: EngineTarget) -> bool:
+def matches_target(state: EngineState | None, target: EngineTarget) -> bool:
     """Tell whether an engine matches its target and is not loading."""
     if state is None or state.loading:
         return False
     return next_order(state, target) is None
 
 
-def unfit_engines(
+def unavailable_engines(
     views: Sequence[EngineView],
     target: EngineTarget,
 ) -> frozenset[str]:
@@ -96,12 +96,12 @@
     that has never replied stays in service: work continues if only its report
     fails.
     """
-    right_count = sum(is_right(view.state, target) for view in views)
+    right_count = sum(matches_target(view.state, target) for view in views)
     is_half_right = 2 * right_count >= len(views)
     return frozenset(
         view.name
         for view in views
-        if view.changing
+        if view.is_changing
         or _is_empty(view.state)
         or (is_half_right and _is_wrong(view.state, target))
     )
@@ -131,7 +131,7 @@
 
 
 def _is_out(view: EngineView) -> bool:
-    if view.changing or view.failed or view.state is None:
+    if view.is_changing or view.has_failed or view.state is None:
         return True
     return view.state.loading
 
@@ -141,4 +141,4 @@
 
 
 def _is_wrong(state: EngineState | None, target: EngineTarget) -> bool:
-    return state is not None and not is_right(state, target)
+    return state is not None and not matches_target(state, target)
--- a/bramleybend/decisions/overload.py
+++ b/bramleybend/decisions/overload.py
@@ -23,14 +23,14 @@
 
 
 @dataclass(frozen=True)
-class Overload:
+class OverloadBounds:
     """Bounds that hold while demand exceeds capacity."""
 
     min_share: float = 0  # of the starts, for each waiting lower tier
     standing_s: float = inf  # how long a queue may keep its entries late
 
 
-UNBOUNDED = Overload()
+UNBOUNDED = OverloadBounds()
 
 
 class StartShares:
--- a/bramleybend/decisions/ownership.py
+++ b/bramleybend/decisions/ownership.py
@@ -26,7 +26,7 @@
     return xxh64_intdigest(runner_name.encode()) % shards
 
 
-def owners_of(
+def rank_owners(
     service: str,
     shard: int,
     members: Sequence[Member],
--- a/bramleybend/decisions/pool.py
+++ b/bramleybend/decisions/pool.py
@@ -14,7 +14,7 @@
 from bramleybend.decisions.runner_pace import DEFAULT_PACE, Pace, PaceEstimator
 from bramleybend.decisions.runs import Run, Runner
 from bramleybend.decisions.slow_start import RAMP_S, Ramp
-from bramleybend.decisions.switches import Switches
+from bramleybend.decisions.switches import PolicySwitches
 from bramleybend.decisions.waiting_queue import MinRunTime
 from bramleybend.models import Ask
 
@@ -22,7 +22,7 @@
 class RunnerPool:
     """The runners of the current list."""
 
-    def __init__(self, slots: int, switches: Switches) -> None:
+    def __init__(self, slots: int, switches: PolicySwitches) -> None:
         """Start without runners."""
         self._slots = slots
         self._switches = switches
--- a/bramleybend/decisions/quarantine.py
+++ b/bramleybend/decisions/quarantine.py
@@ -7,13 +7,13 @@
 
 Content that was in flight at a crash is suspect and runs alone from then on, so
 a further crash identifies it. Content is refused permanently after crashes on
-`CONDEMNED` runners: the first among other requests, the next two alone. With a
-limit of two, a runner that crashes by itself under an innocent suspect would
-get it refused; the third crash costs one more runner. Several crashes of one
-runner count once, since the runner may be faulty; so a suspect is sent to a
-runner that it has not crashed yet. In a pool of fewer than `CONDEMNED` runners,
-each crash counts. A run that ends normally clears its content, since crashes by
-content repeat.
+`REFUSAL_CRASHES` runners: the first among other requests, the next two alone.
+With a limit of two, a runner that crashes by itself under an innocent suspect
+would get it refused; the third crash costs one more runner. Several crashes of
+one runner count once, since the runner may be faulty; so a suspect is sent to a
+runner that it has not crashed yet. In a pool of fewer than `REFUSAL_CRASHES`
+runners, each crash counts. A run that ends normally clears its content, since
+crashes by content repeat.
 
 Records merge in any order: clearing raises the generation, and of two records
 the one with the higher generation wins; equal generations are united.
@@ -24,12 +24,12 @@
 from dataclasses import dataclass, replace
 from enum import StrEnum
 
-CONDEMNED = 3
+REFUSAL_CRASHES = 3
 MAX_RECORDS = 10_000
 SUSPECT_TTL_S = 3600.0  # after the last change of the record
 
 
-class Verdict(StrEnum):
+class ContentStatus(StrEnum):
     """How a request with this content is treated."""
 
     CLEAR = 'clear'
@@ -47,7 +47,7 @@
     refused: bool = False
 
 
-class CrashBook:
+class CrashRegistry:
     """One process's crash records, shared with the others by gossip."""
 
     def __init__(self) -> None:
@@ -55,7 +55,7 @@
         self._records: OrderedDict[str, CrashRecord] = OrderedDict()
         self._changed_at: dict[str, float] = {}
 
-    def crashed(
+    def record_crash(
         self,
         runner: str,
         fingerprints: Iterable[str],
@@ -67,7 +67,7 @@
             runners = record.runners | {runner}
             self._store(replace(record, runners=runners), now)
 
-    def finished(self, fingerprint: str, now: float) -> None:
+    def record_finish(self, fingerprint: str, now: float) -> None:
         """Clear content whose run ended normally."""
         record = self._record(fingerprint)
         if record.runners and not record.refused:
@@ -78,21 +78,21 @@
         """Return the runners that crashed with this content in flight."""
         return self._record(fingerprint).runners
 
-    def verdict(self, fingerprint: str, now: float) -> Verdict:
+    def status_of(self, fingerprint: str, now: float) -> ContentStatus:
         """Return how content is treated now."""
         record = self._record(fingerprint)
         if record.refused:
-            return Verdict.REFUSED
+            return ContentStatus.REFUSED
         age = now - self._changed_at.get(fingerprint, now)
         if record.runners and age < SUSPECT_TTL_S:
-            return Verdict.SUSPECT
-        return Verdict.CLEAR
+            return ContentStatus.SUSPECT
+        return ContentStatus.CLEAR
 
-    def export(self) -> list[CrashRecord]:
+    def all_records(self) -> list[CrashRecord]:
         """Return the records for the other processes."""
         return list(self._records.values())
 
-    def recent(self, since: float) -> list[CrashRecord]:
+    def changed_records(self, since: float) -> list[CrashRecord]:
         """Return the records changed since a time, and all refused ones."""
         return [
             record
@@ -112,7 +112,7 @@
         return self._records.get(fingerprint, CrashRecord(fingerprint))
 
     def _store(self, record: CrashRecord, now: float) -> None:
-        refused = record.refused or len(record.runners) >= CONDEMNED
+        refused = record.refused or len(record.runners) >= REFUSAL_CRASHES
         fingerprint = record.fingerprint
         self._records[fingerprint] = replace(record, refused=refused)
         self._records.move_to_end(fingerprint)
--- a/bramleybend/decisions/resends.py
+++ b/bramleybend/decisions/resends.py
@@ -14,11 +14,11 @@
 
 
 @dataclass(frozen=True)
-class ResendTerms:
+class ResendLimits:
     """The limits that the operators set for a service, over all VMs."""
 
     ratio: float  # resends per request
-    extra: float  # resends beyond the ratio, per window
+    extra_per_window: float  # resends beyond the ratio, per window
     window_s: float
 
 
@@ -32,16 +32,16 @@
 class ResendBudget:
     """One VM's part of every service's budget."""
 
-    terms: ResendTerms
+    limits: ResendLimits
     _buckets: dict[str, _Bucket] = field(default_factory=dict)
 
-    def requested(self, service: str, vms: int, now: float) -> None:
+    def record_request(self, service: str, vms: int, now: float) -> None:
         """Count a request, which earns part of a resend."""
         bucket = self._bucket(service, vms, now)
         capacity = self._capacity(vms)
-        bucket.tokens = min(bucket.tokens + self.terms.ratio, capacity + 1)
+        bucket.tokens = min(bucket.tokens + self.limits.ratio, capacity + 1)
 
-    def spend(self, service: str, vms: int, now: float) -> bool:
+    def try_spend(self, service: str, vms: int, now: float) -> bool:
         """Spend one resend; tell whether the budget had one."""
         bucket = self._bucket(service, vms, now)
         if bucket.tokens < 1:
@@ -50,7 +50,7 @@
         return True
 
     def _capacity(self, vms: int) -> float:
-        return self.terms.extra / max(vms, 1) / 2
+        return self.limits.extra_per_window / max(vms, 1) / 2
 
     def _bucket(self, service: str, vms: int, now: float) -> _Bucket:
         capacity = self._capacity(vms)
@@ -58,6 +58,6 @@
         elapsed_s = max(now - bucket.refilled_at, 0)
         bucket.refilled_at = max(now, bucket.refilled_at)
         if bucket.tokens < capacity:
-            earned = elapsed_s * capacity / self.terms.window_s
+            earned = elapsed_s * capacity / self.limits.window_s
             bucket.tokens = min(bucket.tokens + earned, capacity)
         return bucket
--- a/bramleybend/decisions/retries.py
+++ b/bramleybend/decisions/retries.py
@@ -43,12 +43,12 @@
         """Start with full buckets."""
         self._buckets: dict[tuple[str, str], _Bucket] = {}
 
-    def succeeded(self, workspace: str, service: str, now: float) -> None:
+    def record_success(self, workspace: str, service: str, now: float) -> None:
         """Count a success, which earns part of a retry."""
         for bucket in self._workspace_and_service(workspace, service, now):
             bucket.tokens = min(bucket.tokens + TOKENS_PER_SUCCESS, MAX_TOKENS)
 
-    def allow(
+    def try_spend(
         self,
         repeat: Repeat,
         workspace: str,
@@ -80,7 +80,7 @@
         return bucket
 
 
-def backoff(attempt: int, rng: Random) -> timedelta:
+def backoff_delay(attempt: int, rng: Random) -> timedelta:
     """Return the delay before an attempt; attempt 1 is the first retry."""
     doublings = min(max(attempt - 1, 0), MAX_DOUBLINGS)
     max_s = min(BASE_BACKOFF_S * 2**doublings, MAX_BACKOFF_S)
--- a/bramleybend/decisions/runs.py
+++ b/bramleybend/decisions/runs.py
@@ -11,7 +11,7 @@
 from bramleybend.decisions.start_rate import StartRate
 from bramleybend.models import Ask, Tier
 
-COMPLETION_COST = 8  # work of decoding a token, in prompt tokens
+DECODE_TOKEN_COST = 8  # work of decoding a token, in prompt tokens
 
 
 @dataclass
@@ -104,4 +104,4 @@
 
 def run_work(prompt: int, cached: int, completion: int) -> float:
     """Return the work of a run, in prompt-token equivalents."""
-    return max(prompt - cached, 0) + max(completion, 0) * COMPLETION_COST
+    return max(prompt - cached, 0) + max(completion, 0) * DECODE_TOKEN_COST
--- a/bramleybend/decisions/shard.py
+++ b/bramleybend/decisions/shard.py
@@ -6,10 +6,10 @@
 
 from bramleybend.decisions.decaying_sum import DecayingSum
 from bramleybend.decisions.drain_rate import DrainRate
-from bramleybend.decisions.overload import UNBOUNDED, Overload
+from bramleybend.decisions.overload import UNBOUNDED, OverloadBounds
 from bramleybend.decisions.pool import RunnerPool
 from bramleybend.decisions.runs import Run, Runner
-from bramleybend.decisions.switches import Switches
+from bramleybend.decisions.switches import PolicySwitches
 from bramleybend.decisions.tier_queue import WaitingEntry
 from bramleybend.decisions.waiting_queue import WaitingQueue
 from bramleybend.models import Ask, Tier
@@ -30,8 +30,8 @@
     suspects: WaitingQueue
     drain_rate: DrainRate
     rng: Random
-    switches: Switches
-    overload: Overload = UNBOUNDED
+    switches: PolicySwitches
+    overload: OverloadBounds = UNBOUNDED
     runs: dict[str, Run] = field(default_factory=dict)
     # ID of the preempted run, by the ID of the request that waits for its slot.
     victims: dict[str, str] = field(default_factory=dict)
--- a/bramleybend/decisions/owner.py
+++ b/bramleybend/decisions/shard_policy.py
@@ -22,12 +22,12 @@
 from bramleybend.decisions.dispatch import dispatch_waiting, next_start_at
 from bramleybend.decisions.drain_rate import DrainRate
 from bramleybend.decisions.expiry import expire, refuse
-from bramleybend.decisions.overload import UNBOUNDED, Overload
+from bramleybend.decisions.overload import UNBOUNDED, OverloadBounds
 from bramleybend.decisions.pool import RunnerPool
 from bramleybend.decisions.preemption import preempt
 from bramleybend.decisions.run_feedback import apply_first_token, apply_report
 from bramleybend.decisions.shard import Shard
-from bramleybend.decisions.switches import Switches
+from bramleybend.decisions.switches import PolicySwitches
 from bramleybend.decisions.waiting_queue import WaitingQueue
 from bramleybend.models import Ask, Service, ServiceKind, Tier
 
@@ -46,11 +46,13 @@
         self._new_request_id: str | None = None
         self._now = -inf
         self._has_runner_list = False
-        self.is_undecided = False  # events were recorded since the last `tick`
+        self.has_pending_events = (
+            False  # events were recorded since the last `tick`
+        )
         # Until this time no waiting request can start unless an event occurs.
         self._idle_until = -inf
 
-    def ask(self, ask: Ask, now: float) -> list[Action]:
+    def request_slot(self, ask: Ask, now: float) -> list[Action]:
         """Handle a request for a slot; a repeated request changes nothing."""
         moment = self._advance_clock(now)
         run = self._shard.runs.get(ask.request_id)
@@ -77,7 +79,7 @@
             self._shard.adopt(sanitize_ask(ask), runner, moment)
         return self._decide_or_defer(moment)
 
-    def witness(self, ask: Ask, name: str, now: float) -> list[Action]:
+    def record_run(self, ask: Ask, name: str, now: float) -> list[Action]:
         """Record a run that starts now under another owner's grant."""
         moment = self._advance_clock(now)
         runner = self._shard.pool.get(name)
@@ -92,7 +94,7 @@
         self._shard.finish(request_id)
         return self._decide_or_defer(moment)
 
-    def first_token(
+    def record_first_token(
         self,
         request_id: str,
         prompt_tokens: int,
@@ -119,7 +121,7 @@
             apply_first_token(self._shard, run, prefill, moment)
         return self._decide_or_defer(moment)
 
-    def ended(
+    def end_run(
         self,
         request_id: str,
         report: RunReport,
@@ -133,7 +135,7 @@
             self._shard.finish(request_id)
         return self._decide_or_defer(moment)
 
-    def runners(
+    def update_runners(
         self,
         infos: Sequence[RunnerInfo],
         now: float,
@@ -144,7 +146,7 @@
         self._shard.pool.update(infos, self._shard.runs.values(), moment)
         return self._decide_or_defer(moment)
 
-    def start_rates(
+    def update_start_rates(
         self, per_s: Mapping[str, float], now: float
     ) -> list[Action]:
         """Set the maximum start rates of runners, in requests per second.
@@ -158,7 +160,7 @@
         ]
         return self._decide_or_defer(moment) if any(changed) else []
 
-    def cache_event(
+    def handle_cache_event(
         self,
         runner_name: str,
         kind: str,
@@ -176,7 +178,7 @@
         """Decide on everything that has become due."""
         new_request_id = self._new_request_id
         self._new_request_id = None
-        self.is_undecided = False
+        self.has_pending_events = False
         return self._decide(self._advance_clock(now), new_request_id)
 
     def next_wake(self, now: float) -> float | None:
@@ -227,8 +229,8 @@
 
     def _refusal_reason(self, ask: Ask, now: float) -> str | None:
         # New requests don't form a queue while a free slot may still take them.
-        has_unassigned_slots = self.is_undecided and self._shard.pool.has_room(
-            now
+        has_unassigned_slots = (
+            self.has_pending_events and self._shard.pool.has_room(now)
         )
         return refusal_reason(
             self._shard, ask, now, has_unassigned_slots=has_unassigned_slots
@@ -246,8 +248,10 @@
     ) -> list[Action]:
         if not self._batched:
             return self._decide(now, new_request_id)
-        self._new_request_id = None if self.is_undecided else new_request_id
-        self.is_undecided = True
+        self._new_request_id = (
+            None if self.has_pending_events else new_request_id
+        )
+        self.has_pending_events = True
         return []
 
     def _decide(self, now: float, new_request_id: str | None) -> list[Action]:
@@ -271,13 +275,13 @@
     service: Service,
     rng: Random,
     weights: Mapping[str, float] | None = None,
-    switches: Switches | None = None,
+    switches: PolicySwitches | None = None,
     *,
     batched: bool = False,
-    overload: Overload = UNBOUNDED,
+    overload: OverloadBounds = UNBOUNDED,
 ) -> ShardPolicy:
     """Create the policy of an empty shard; `weights` are by workspace."""
-    switches = switches or Switches()
+    switches = switches or PolicySwitches()
     if service.kind is ServiceKind.PLAIN:
         # A plain service reports no first tokens, so the end of a prefill is
         # unknown.
--- a/bramleybend/decisions/switches.py
+++ b/bramleybend/decisions/switches.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True)
-class Switches:
+class PolicySwitches:
     """One flag per decision, so that a benchmark can turn it off."""
 
     tiers: bool = True
--- a/bramleybend/decisions/waiting_queue.py
+++ b/bramleybend/decisions/waiting_queue.py
@@ -24,7 +24,7 @@
 from bramleybend.decisions.overload import (
     UNBOUNDED,
     LatenessTracker,
-    Overload,
+    OverloadBounds,
     StartShares,
 )
 from bramleybend.decisions.tier_queue import TierQueue, WaitingEntry
@@ -59,7 +59,7 @@
         tiers: bool = True,
         fair: bool = True,
         short_first: bool = True,
-        overload: Overload = UNBOUNDED,
+        overload: OverloadBounds = UNBOUNDED,
     ) -> None:
         """Start empty; the switches exist for ablation benchmarks."""
         self._standing_s = overload.standing_s
--- a/bramleybend/direct/admission.py
+++ b/bramleybend/direct/admission.py
@@ -16,9 +16,9 @@
 
 from bramleybend.clock import Clock
 from bramleybend.decisions.allotments import (
-    AllotmentBook,
+    AllotmentDecision,
+    AllotmentLedger,
     Allowance,
-    Verdict,
 )
 from bramleybend.direct.book import Book
 from bramleybend.direct.members import Members
@@ -69,7 +69,7 @@
         self,
         book: Book,
         members: Members,
-        allotments: AllotmentBook,
+        allotments: AllotmentLedger,
         queues: Queues,
         clock: Clock,
         rng: Random,
@@ -102,7 +102,7 @@
     def refund(self, admission: Admission) -> None:
         """Refund the units of a request that did not run."""
         if admission.units:
-            self._allotments.give_back(
+            self._allotments.refund(
                 admission.workspace,
                 admission.units,
                 is_beyond=admission.is_beyond_allotment,
@@ -117,14 +117,14 @@
             return Admission(route, service, workspace, route.tier, 0)
         units = facts.units(holder.allotment)
         verdict = self._verdict(holder.name, holder.allotment, units, service)
-        if verdict.is_let_in:
+        if verdict.is_admitted:
             return Admission(
                 route,
                 service,
                 holder.name,
                 route.tier,
                 units,
-                verdict.is_beyond,
+                verdict.is_over_allotment,
             )
         return own_reply(
             HTTPStatus.TOO_MANY_REQUESTS,
@@ -133,7 +133,7 @@
             inputs={
                 'workspace': holder.name,
                 'units': f'{units:.0f}',
-                'owed': f'{verdict.owed:.0f}',
+                'owed': f'{verdict.debt:.0f}',
                 'rate_per_s': f'{holder.allotment.rate_per_s:.0f}',
                 'burst': f'{holder.allotment.burst:.0f}',
                 'accounts_s': f'{self._account_age_s():.2f}',
@@ -144,7 +144,7 @@
 
     def _verdict(
         self, workspace: str, allotment: Allotment, units: float, service: str
-    ) -> Verdict:
+    ) -> AllotmentDecision:
         return self._allotments.admit(
             workspace,
             Allowance(allotment.rate_per_s, allotment.burst),
--- a/bramleybend/direct/attempt_dispatcher.py
+++ b/bramleybend/direct/attempt_dispatcher.py
@@ -273,7 +273,7 @@
         return job.excluded
 
     def _spend_resend(self, job: Job) -> bool:
-        return self._components.resend_budget.spend(
+        return self._components.resend_budget.try_spend(
             job.admission.service, self._components.vm_count(), self.now()
         )
 
--- a/bramleybend/direct/containment.py
+++ b/bramleybend/direct/containment.py
@@ -4,11 +4,11 @@
 content again, to any VM. Without containment, one prompt takes down a service,
 one runner after another, together with everything that runs beside it.
 
-`CrashBook` keeps the records. Here, a request gets a runner to itself only from
-its second crash on: on a day when runners drop many connections, every request
-whose connection dropped once would otherwise wait for an empty runner. An
-innocent request that was running at two crashes then runs alone to its end, and
-its record is cleared.
+`CrashRegistry` keeps the records. Here, a request gets a runner to itself only
+from its second crash on: on a day when runners drop many connections, every
+request whose connection dropped once would otherwise wait for an empty runner.
+An innocent request that was running at two crashes then runs alone to its end,
+and its record is cleared.
 """
 
 from collections.abc import Sequence
@@ -17,7 +17,11 @@
 from xxhash import xxh64_hexdigest
 
 from bramleybend.clock import Clock
-from bramleybend.decisions.quarantine import CrashBook, CrashRecord, Verdict
+from bramleybend.decisions.quarantine import (
+    ContentStatus,
+    CrashRecord,
+    CrashRegistry,
+)
 from bramleybend.direct.beat_messages import CrashNews
 from bramleybend.direct.models import RequestFacts, RunnerEntry
 from bramleybend.direct.replies import RawRequest
@@ -40,7 +44,7 @@
         """Create an empty set of records."""
         self._clock = clock
         self._events = events
-        self._crash_book = CrashBook()
+        self._crash_book = CrashRegistry()
 
     def fingerprint(self, req: RawRequest, facts: RequestFacts) -> str:
         """Return a hash that is equal for equal caller, target and body."""
@@ -50,7 +54,10 @@
     def is_refused(self, fingerprint: str) -> bool:
         """Return whether content must not be run again."""
         now = self._clock.monotonic()
-        return self._crash_book.verdict(fingerprint, now) is Verdict.REFUSED
+        return (
+            self._crash_book.status_of(fingerprint, now)
+            is ContentStatus.REFUSED
+        )
 
     def crashed_runners(self, fingerprint: str) -> frozenset[str]:
         """Return the incarnations of runners that crashed on this content."""
@@ -63,7 +70,7 @@
     def record_crash(self, fingerprint: str, runner: RunnerEntry) -> None:
         """Record a runner that closed the connection while running content."""
         crashed_before = self.crashed_runners(fingerprint)
-        self._crash_book.crashed(
+        self._crash_book.record_crash(
             runner.incarnation, (fingerprint,), self._clock.monotonic()
         )
         if len(crashed_before | {runner.incarnation}) >= ISOLATE_AFTER_CRASHES:
@@ -76,11 +83,13 @@
 
     def record_completion(self, fingerprint: str) -> None:
         """Record a run of this content that completed."""
-        self._crash_book.finished(fingerprint, self._clock.monotonic())
+        self._crash_book.record_finish(fingerprint, self._clock.monotonic())
 
     def recent_news(self) -> list[CrashNews]:
         """Return the records that the next heartbeat carries."""
-        recent = self._crash_book.recent(self._clock.monotonic() - BROADCAST_S)
+        recent = self._crash_book.changed_records(
+            self._clock.monotonic() - BROADCAST_S
+        )
         return [
             CrashNews(
                 record.fingerprint,
--- a/bramleybend/direct/models.py
+++ b/bramleybend/direct/models.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 from types import MappingProxyType
 
-from bramleybend.decisions.runs import COMPLETION_COST
+from bramleybend.decisions.runs import DECODE_TOKEN_COST
 from bramleybend.models import Repeat, Tier
 
 
@@ -150,7 +150,7 @@
     @property
     def expected_work(self) -> float:
         """Return the expected work of a run, in prompt-token equivalents."""
-        work = self.prompt_tokens + self.expected_output * COMPLETION_COST
+        work = self.prompt_tokens + self.expected_output * DECODE_TOKEN_COST
         return float(max(work, 1))
 
     def units(self, allotment: Allotment) -> float:
--- a/bramleybend/direct/owner.py
+++ b/bramleybend/direct/owner.py
@@ -22,9 +22,9 @@
     RunnerInfo,
     RunReport,
 )
-from bramleybend.decisions.overload import UNBOUNDED, Overload
-from bramleybend.decisions.owner import ShardPolicy, make_shard_policy
-from bramleybend.decisions.switches import Switches
+from bramleybend.decisions.overload import UNBOUNDED, OverloadBounds
+from bramleybend.decisions.shard_policy import ShardPolicy, make_shard_policy
+from bramleybend.decisions.switches import PolicySwitches
 from bramleybend.direct.beat_messages import RunNews
 from bramleybend.direct.models import RunnerEntry, RunnerState
 from bramleybend.models import Ask, Service, ServiceKind, Tier
@@ -53,7 +53,7 @@
 # of a stopped stream can't be given another answer. Requests are not held back
 # for a better runner: raw HTTP requests name no prompt prefixes, so waiting
 # for a runner that has the prefix cached would save no work.
-SWITCHES: Final = Switches(
+SWITCHES: Final = PolicySwitches(
     preemption=False, limits=False, floor_at_refusal=False, holding=False
 )
 # A plain service has no owner: every VM dispatches its own requests to it.
@@ -64,7 +64,11 @@
     """Feeds events to one service's policy and reports its decisions."""
 
     def __init__(
-        self, service: Service, clock: Clock, rng: Random, overload: Overload
+        self,
+        service: Service,
+        clock: Clock,
+        rng: Random,
+        overload: OverloadBounds,
     ) -> None:
         """Start without requests, runs and runners."""
         self._clock = clock
@@ -109,20 +113,20 @@
         self._requested_at[ask.request_id] = now
         if on_queued is not None:
             self._on_queued[ask.request_id] = on_queued
-        self._apply(self._policy.ask(ask, now))
+        self._apply(self._policy.request_slot(ask, now))
         if self._decide_handle is None:
             self._report_queued()
 
     def is_idle(self) -> bool:
         """Tell whether no request waits and load is below `IDLE_MAX_LOAD`."""
-        if self._policy.is_undecided:
+        if self._policy.has_pending_events:
             self._decide()
         load = self._policy.load()
         return not load.waiting and load.running < load.limit * IDLE_MAX_LOAD
 
     def backlog(self) -> Backlog | None:
         """Return the backlog, or `None` if no request waits."""
-        if self._policy.is_undecided:
+        if self._policy.has_pending_events:
             self._decide()
         return self._policy.backlog(self._clock.monotonic())
 
@@ -135,7 +139,7 @@
     def note_remote_grant(self, ask: Ask, runner: str) -> None:
         """Add a run of this VM that another VM's queue granted."""
         now = self._clock.monotonic()
-        self._apply(self._policy.witness(ask, runner, now))
+        self._apply(self._policy.record_run(ask, runner, now))
 
     def began(self, request_id: str) -> None:
         """Confirm that a request of this VM uses its grant.
@@ -149,13 +153,15 @@
     def note_first_token(self, request_id: str, prompt_tokens: int) -> None:
         """Tell the policy that a run has returned its first token."""
         now = self._clock.monotonic()
-        self._apply(self._policy.first_token(request_id, prompt_tokens, 0, now))
+        self._apply(
+            self._policy.record_first_token(request_id, prompt_tokens, 0, now)
+        )
 
     def ended(self, request_id: str, report: RunReport) -> None:
         """Free the run's slot."""
         self._clear_times(request_id)
         now = self._clock.monotonic()
-        self._apply(self._policy.ended(request_id, report, now))
+        self._apply(self._policy.end_run(request_id, report, now))
 
     def take_runners(
         self, entries: Sequence[RunnerEntry], *, warm: bool
@@ -177,11 +183,13 @@
         # the same order, those that reach no owner would all start with the
         # same runner.
         self._rng.shuffle(infos)
-        self._apply(self._policy.runners(infos, self._clock.monotonic()))
+        self._apply(self._policy.update_runners(infos, self._clock.monotonic()))
 
     def update_rate_limits(self, per_s: Mapping[str, float]) -> None:
         """Replace the limits, by runner; a runner not named has none."""
-        self._apply(self._policy.start_rates(per_s, self._clock.monotonic()))
+        self._apply(
+            self._policy.update_start_rates(per_s, self._clock.monotonic())
+        )
 
     def heard_runs(self, vm: str, runs: Iterable[RunNews]) -> None:
         """Replace the runs that a VM reports for this service."""
@@ -230,7 +238,7 @@
 
     def _apply(self, actions: Sequence[Action]) -> None:
         self._report_decisions(actions)
-        if self._policy.is_undecided and self._decide_handle is None:
+        if self._policy.has_pending_events and self._decide_handle is None:
             loop = asyncio.get_running_loop()
             self._decide_handle = loop.call_soon(self._decide)
 
@@ -300,7 +308,7 @@
     is_engine: bool,
     clock: Clock,
     rng: Random,
-    overload: Overload = UNBOUNDED,
+    overload: OverloadBounds = UNBOUNDED,
 ) -> ServiceQueue:
     """Make the queue of a service whose runners declare their slots."""
     kind = ServiceKind.ENGINE if is_engine else ServiceKind.PLAIN
--- a/bramleybend/direct/peer_message_handler.py
+++ b/bramleybend/direct/peer_message_handler.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from bramleybend.clock import Clock
-from bramleybend.decisions.allotments import AllotmentBook, Spending
+from bramleybend.decisions.allotments import AccountReport, AllotmentLedger
 from bramleybend.direct.audience import Receiver
 from bramleybend.direct.beat_messages import (
     Beat,
@@ -40,7 +40,7 @@
     members: Members
     placer: Placer
     queues: Queues
-    allotments: AllotmentBook
+    allotments: AllotmentLedger
     containment: Containment
 
 
@@ -69,7 +69,7 @@
             receiver.is_new or self._spending_reports.is_full_report_due(now)
         )
         totals = self._spending_reports.select(
-            self._allotments.spendings(), now, tells_all=tells_all
+            self._allotments.reports(), now, tells_all=tells_all
         )
         return Beat(
             self._make_profile(),
@@ -92,7 +92,7 @@
                 if feed.settings.name == news.name:
                     feed.handle_news(vm, address, news)
         if beat.tells_all:
-            self._allotments.adopt(
+            self._allotments.adopt_accounts(
                 _parse_spendings(beat.spendings),
                 self._clock.monotonic(),
                 beat.accounts_s,
@@ -131,7 +131,7 @@
 
     def lost(self, member: Member) -> None:
         """Release the runs of a VM that is gone or has restarted."""
-        self._allotments.forget(_peer_id(member.vm, member.incarnation))
+        self._allotments.remove_peer(_peer_id(member.vm, member.incarnation))
         self._release_runs(member.vm)
 
     def _make_profile(self) -> Profile:
@@ -149,7 +149,7 @@
         )
 
     def _apply_spendings(self, peer: str, news: Beat | Spent) -> None:
-        self._allotments.heard(
+        self._allotments.merge_report(
             peer,
             _parse_spendings(news.spendings),
             self._clock.monotonic(),
@@ -193,7 +193,7 @@
 
     def select(
         self,
-        spendings: Mapping[str, Spending],
+        spendings: Mapping[str, AccountReport],
         now: float,
         *,
         tells_all: bool,
@@ -207,22 +207,24 @@
         ]
 
     def _note_changes(
-        self, spendings: Mapping[str, Spending], now: float
+        self, spendings: Mapping[str, AccountReport], now: float
     ) -> None:
         for workspace, spending in spendings.items():
-            total = (spending.used, spending.beyond)
+            total = (spending.used, spending.over_allotment)
             if self._last_totals.get(workspace) != total:
                 self._last_totals[workspace] = total
                 self._changed_at[workspace] = now
 
 
-def _make_spending_news(workspace: str, spending: Spending) -> SpendingNews:
+def _make_spending_news(
+    workspace: str, spending: AccountReport
+) -> SpendingNews:
     return SpendingNews(
         workspace,
         int(spending.used),
-        int(spending.beyond),
+        int(spending.over_allotment),
         int(spending.debt),
-        int(spending.beyond_debt),
+        int(spending.tolerance_debt),
     )
 
 
@@ -230,9 +232,11 @@
     return f'{vm}/{incarnation}'
 
 
-def _parse_spendings(spendings: Iterable[SpendingNews]) -> dict[str, Spending]:
+def _parse_spendings(
+    spendings: Iterable[SpendingNews],
+) -> dict[str, AccountReport]:
     return {
-        news.workspace: Spending(
+        news.workspace: AccountReport(
             news.used, news.beyond, news.debt, news.beyond_debt
         )
         for news in spendings
--- a/bramleybend/direct/process.py
+++ b/bramleybend/direct/process.py
@@ -9,8 +9,8 @@
 from result import Err, Ok
 
 from bramleybend.clock import Clock
-from bramleybend.decisions.allotments import make_allotment_book
-from bramleybend.decisions.resends import ResendBudget, ResendTerms
+from bramleybend.decisions.allotments import make_allotment_ledger
+from bramleybend.decisions.resends import ResendBudget, ResendLimits
 from bramleybend.direct.admission import AdmissionControl
 from bramleybend.direct.book import Book
 from bramleybend.direct.channels import RunnerChannels
@@ -81,7 +81,7 @@
                 cfg.capacity(),
             )
         )
-        self._allotments = make_allotment_book(
+        self._allotments = make_allotment_ledger(
             cfg.allotment_tolerance(),
             clock.monotonic(),
             is_first_start=cfg.first_start,
@@ -236,7 +236,7 @@
             self._channels,
             header_codec,
             ResendBudget(
-                ResendTerms(
+                ResendLimits(
                     self._cfg.resend_ratio,
                     self._cfg.resend_extra,
                     self._cfg.resend_window_s,
--- a/bramleybend/direct/queues.py
+++ b/bramleybend/direct/queues.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from bramleybend.clock import Clock
-from bramleybend.decisions.overload import UNBOUNDED, Overload
+from bramleybend.decisions.overload import UNBOUNDED, OverloadBounds
 from bramleybend.direct.book import Book
 from bramleybend.direct.members import Members
 from bramleybend.direct.owner import ServiceQueue, make_queue
@@ -31,7 +31,7 @@
         limits: RunnerLimits,
         clock: Clock,
         rng: Random,
-        overload: Overload,
+        overload: OverloadBounds,
     ) -> None:
         """Start without queues; each is created when first used."""
         self._overload = overload
@@ -116,7 +116,7 @@
     clock: Clock,
     events: EventLog,
     rng: Random,
-    overload: Overload = UNBOUNDED,
+    overload: OverloadBounds = UNBOUNDED,
 ) -> Queues:
     """Make a VM's queues, with the rate limits of runners and the log."""
     limits = RunnerLimits(clock, events, rng)
--- a/bramleybend/direct/request_handler.py
+++ b/bramleybend/direct/request_handler.py
@@ -75,7 +75,7 @@
         timeout_s = admission.route.timeout_s
         if facts.patience_s is not None:
             timeout_s = min(timeout_s, facts.patience_s)
-        self._components.resend_budget.requested(
+        self._components.resend_budget.record_request(
             admission.service,
             self._components.vm_count(),
             self._dispatcher.now(),
--- a/bramleybend/entry_settings.py
+++ b/bramleybend/entry_settings.py
@@ -10,7 +10,7 @@
     MessageBounds,
 )
 from bramleybend.decisions.allotments import Tolerance
-from bramleybend.decisions.overload import Overload
+from bramleybend.decisions.overload import OverloadBounds
 from bramleybend.direct.answer_memory import AnswerMemory
 from bramleybend.entry_setting_types import share, tier_share, whole, yes_no
 from bramleybend.settings_parsing import Program
@@ -281,9 +281,9 @@
             self.allotment_slack,
         )
 
-    def overload(self) -> Overload:
+    def overload(self) -> OverloadBounds:
         """Return what holds while there is more work than capacity."""
-        return Overload(self.min_tier_share, self.standing_queue_s)
+        return OverloadBounds(self.min_tier_share, self.standing_queue_s)
 
     def answer_bounds(self) -> MessageBounds:
         """Return the most that is read of one answer."""
--- a/bramleybend/gateway/dispatcher.py
+++ b/bramleybend/gateway/dispatcher.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from bramleybend.answers import Answer, Outcome, not_run, unknown
-from bramleybend.decisions.retries import RetryBudgets, backoff
+from bramleybend.decisions.retries import RetryBudgets, backoff_delay
 from bramleybend.gateway.attempt import AttemptEnd, EndKind
 from bramleybend.gateway.hedge import Hedger
 from bramleybend.gateway.job import DispatchDeps, Job
@@ -40,7 +40,7 @@
                 return self._failure_answer(job, slot, sent_end)
             end = await self._hedger.run_attempt(job, slot, str(attempt_number))
             if end.kind is EndKind.WHOLE:
-                self._retries.succeeded(
+                self._retries.record_success(
                     job.run.req.workspace,
                     job.service.name,
                     self._deps.clock.monotonic(),
@@ -53,7 +53,7 @@
             excluded.append(slot.runner)
             self._deps.record_event(job, 'retry', end=end.kind)
             self._deps.metrics.count(Metric.RETRIED, tier=int(job.tier))
-            delay = backoff(attempt_number + 1, self._deps.rng)
+            delay = backoff_delay(attempt_number + 1, self._deps.rng)
             await asyncio.sleep(delay.total_seconds())
         refusal = not_run('no runner took it', RETRY_AFTER)
         return self._failure_answer(job, refusal, sent_end)
@@ -84,7 +84,7 @@
         return (
             end.kind in RETRYABLE_ENDS
             and not job.run.has_answer_data
-            and self._retries.allow(
+            and self._retries.try_spend(
                 job.profile.repeat,
                 job.run.req.workspace,
                 job.service.name,
--- a/bramleybend/gateway/floor_round.py
+++ b/bramleybend/gateway/floor_round.py
@@ -2,8 +2,8 @@
 
 No request may be shed while a lower tier is served anywhere in the pool. Each
 owner knows only its shard, so the gateway asks all owners. An owner that
-replies starts no lower tier for `HOLD_S`, so that its reply stays true until
-the permit to shed expires.
+replies starts no lower tier for `FLOOR_HOLD_S`, so that its reply stays true
+until the permit to shed expires.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 import grpc
 
 from bramleybend.clock import Clock
-from bramleybend.decisions.floor import HOLD_S, ShedPermits
+from bramleybend.decisions.tier_floor import FLOOR_HOLD_S, ShedPermits
 from bramleybend.models import Tier
 from bramleybend.state.member import Member
 from bramleybend.wire.bramleybend_pb2 import FloorReply, FloorRequest
@@ -65,7 +65,7 @@
         False unless all owners confirm by `answer_by` (monotonic clock) that
         they serve no lower tier of the service.
         """
-        if self._permits.permit(service, tier, self._clock.monotonic()):
+        if self._permits.has_permit(service, tier, self._clock.monotonic()):
             return True
         # In a shortage many requests ask at once, so they share a round. With
         # one round each, the last would wait past its deadline while an owner
@@ -74,7 +74,7 @@
         if left_s > 0:
             round_task = self._join_round(service, tier, shards)
             await asyncio.wait((round_task,), timeout=left_s)
-        return self._permits.permit(service, tier, self._clock.monotonic())
+        return self._permits.has_permit(service, tier, self._clock.monotonic())
 
     def _join_round(
         self, service: str, tier: Tier, shards: int
@@ -90,7 +90,7 @@
         return round_task
 
     async def _run_round(self, service: str, tier: Tier, shards: int) -> None:
-        current_round = self._permits.begin(
+        current_round = self._permits.open_round(
             service,
             tier,
             frozenset(range(shards)),
@@ -102,7 +102,7 @@
         )
         for shard, reply in enumerate(replies):
             if reply is not None:
-                self._permits.reply(
+                self._permits.handle_reply(
                     current_round,
                     shard,
                     self._clock.monotonic(),
@@ -125,7 +125,7 @@
             service=service,
             tier=tier,
             shard=shard,
-            hold_s=HOLD_S,
+            hold_s=FLOOR_HOLD_S,
         )
         stub = OwnerStub(self._rpc.channels.get(endpoint))
         try:
--- a/bramleybend/gateway/gateway_process.py
+++ b/bramleybend/gateway/gateway_process.py
@@ -10,7 +10,7 @@
 from bramleybend.clients.http_log import make_http_log
 from bramleybend.clock import Clock
 from bramleybend.control import ControlService
-from bramleybend.decisions.floor import ShedPermits
+from bramleybend.decisions.tier_floor import ShedPermits
 from bramleybend.events import EventLog
 from bramleybend.gateway.floor_round import FloorRounds, FloorRpc
 from bramleybend.gateway.forwarding import (
--- a/bramleybend/gateway/hedge.py
+++ b/bramleybend/gateway/hedge.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from bramleybend.answers import Answer
-from bramleybend.decisions.hedging import Hedging
+from bramleybend.decisions.hedging import HedgeBudgets
 from bramleybend.gateway.attempt import AttemptEnd, EndKind
 from bramleybend.gateway.job import DispatchDeps, Job
 from bramleybend.gateway.slot import Slot
@@ -32,14 +32,14 @@
         self._deps = deps
         self._search = search
         self._supervisor = supervisor
-        self._hedging = Hedging()
+        self._hedging = HedgeBudgets()
 
     async def run_attempt(self, job: Job, slot: Slot, label: str) -> AttemptEnd:
         """Run an attempt, hedged if allowed; return the better of two ends."""
         if not _may_hedge(job):
             return await self._supervisor.run_attempt(job, slot, label)
         key = (job.service.name, job.profile.name)
-        self._hedging.begun(*key)
+        self._hedging.record_start(*key)
         started = self._deps.clock.monotonic()
         first = asyncio.create_task(
             self._supervisor.run_attempt(job, slot, label)
@@ -50,7 +50,7 @@
             self._detach_run(job, first)
         if end.kind is EndKind.WHOLE:
             seconds = self._deps.clock.monotonic() - started
-            self._hedging.finished(*key, seconds)
+            self._hedging.record_finish(*key, seconds)
         return end
 
     async def _wait_or_hedge(
@@ -63,7 +63,7 @@
         key = (job.service.name, job.profile.name)
         delay_s = self._hedging.delay_s(*key)
         await asyncio.wait((first,), timeout=delay_s)
-        if first.done() or not self._hedging.allow(*key):
+        if first.done() or not self._hedging.try_spend(*key):
             return await first
         self._deps.record_event(job, 'hedged', runner=slot.runner)
         self._deps.metrics.count(Metric.HEDGED, tier=int(job.tier))
--- a/bramleybend/gateway/slot_client.py
+++ b/bramleybend/gateway/slot_client.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from bramleybend.clock import Clock
-from bramleybend.decisions.ownership import owners_of
+from bramleybend.decisions.ownership import rank_owners
 from bramleybend.errors import ErrorKind, Problem
 from bramleybend.events import EventLog
 from bramleybend.gateway.hold_stream import (
@@ -120,7 +120,7 @@
 
     def find_owner(self, service: str, shard: int) -> Member | None:
         """Return the shard's owner according to the current member view."""
-        ranked = owners_of(service, shard, self._rpc.members())
+        ranked = rank_owners(service, shard, self._rpc.members())
         return ranked[0] if ranked else None
 
     def owner_incarnation(self, service: str, shard: int) -> str:
@@ -178,7 +178,7 @@
     def _rank_owners(self, service: str, shard: int) -> list[Member]:
         """Return members by rank; those that just failed to reply come last."""
         now = self._clock.monotonic()
-        ranked = owners_of(service, shard, self._rpc.members())
+        ranked = rank_owners(service, shard, self._rpc.members())
         return sorted(
             ranked,
             key=lambda owner: (
--- a/bramleybend/gateway/slot_search.py
+++ b/bramleybend/gateway/slot_search.py
@@ -8,8 +8,8 @@
 from result import Err, Ok
 
 from bramleybend.answers import Answer, not_run, quarantined
-from bramleybend.decisions.floor import grant_usable
 from bramleybend.decisions.routing import rank_shards
+from bramleybend.decisions.tier_floor import is_grant_usable
 from bramleybend.errors import Problem
 from bramleybend.events import MILLISECONDS
 from bramleybend.gateway.ask import make_ask_message
@@ -93,7 +93,7 @@
         """Return whether the shard's owner gave the grant; else release it."""
         # The highest tier is never below a floor, so a grant of any VM is
         # valid for it: bookings don't wait for a change of owner.
-        if job.tier is min(Tier) or grant_usable(
+        if job.tier is min(Tier) or is_grant_usable(
             granted_by=slot.owner_incarnation,
             owner=self._deps.slot_client.owner_incarnation(
                 slot.service, slot.shard
--- a/bramleybend/gateway/view.py
+++ b/bramleybend/gateway/view.py
@@ -108,7 +108,7 @@
         """Seconds since the newest view was requested.
 
         Owners in an old view may have been replaced since; see
-        `decisions.floor`.
+        `decisions.tier_floor`.
         """
         return self._clock.monotonic() - self._asked_at
 
--- a/bramleybend/platform/headers.py
+++ b/bramleybend/platform/headers.py
@@ -5,8 +5,8 @@
 from bramleybend.clients.channel import Head, HeaderList
 from bramleybend.direct.header_codec import (
     AnswerFacts,
-    HeaderCodec,
     ForwardingFacts,
+    HeaderCodec,
     first_header,
     hop_by_hop_names,
 )
--- a/bramleybend/platform/mirror.py
+++ b/bramleybend/platform/mirror.py
@@ -18,8 +18,8 @@
 
 import msgspec
 
-from bramleybend.direct.header_codec import first_header
 from bramleybend.direct.feed_copy import FeedCopy, Page
+from bramleybend.direct.header_codec import first_header
 from bramleybend.direct.replies import RawRequest, Reply, own_reply
 from bramleybend.direct.responder import Responder
 from bramleybend.platform.deflate import CONTENT_ENCODING, DEFLATE, deflate
--- a/bramleybend/scheduler/core.py
+++ b/bramleybend/scheduler/core.py
@@ -10,8 +10,8 @@
 from bramleybend.clock import Clock
 from bramleybend.control import ControlService
 from bramleybend.decisions.actions import ShardView
-from bramleybend.decisions.ownership import owners_of
-from bramleybend.decisions.quarantine import CrashBook
+from bramleybend.decisions.ownership import rank_owners
+from bramleybend.decisions.quarantine import CrashRegistry
 from bramleybend.events import EventLog
 from bramleybend.identity import Identity, make_identity
 from bramleybend.loop_watch import LoopWatch
@@ -67,7 +67,7 @@
             self.events,
             lambda: self.terms_follower.version,
         )
-        self.crashes = CrashBook()
+        self.crashes = CrashRegistry()
         self.vm_list_poller = VmListPoller(
             make_http_vm_list(cfg.vm_list),
             cfg.list_poll_s,
@@ -230,7 +230,7 @@
         )
 
     def _is_terms_renewer(self) -> bool:
-        ranked = owners_of('terms', 0, self.peers.list_owner_candidates())
+        ranked = rank_owners('terms', 0, self.peers.list_owner_candidates())
         return bool(ranked) and (ranked[0].vm == self.identity.vm)
 
     async def _send_gauges(self) -> None:
--- a/bramleybend/scheduler/crash_tracker.py
+++ b/bramleybend/scheduler/crash_tracker.py
@@ -4,7 +4,7 @@
 from math import inf
 from typing import Final
 
-from bramleybend.decisions.quarantine import CrashBook
+from bramleybend.decisions.quarantine import CrashRegistry
 
 # Each gateway that had a run on a crashed runner reports the crash separately,
 # after its attempts to resume the run, which take 0.6 s at most.
@@ -14,7 +14,7 @@
 class CrashTracker:
     """Counts crashes and keeps suspect content off runners it crashed."""
 
-    def __init__(self, book: CrashBook) -> None:
+    def __init__(self, book: CrashRegistry) -> None:
         """Write into the crash records that the process's shards share."""
         self._book = book
         self._last_crashes: dict[str, tuple[int, float]] = {}
@@ -56,7 +56,7 @@
         self._last_crashes[runner] = (crash_number, now)
         name = f'{runner}#{crash_number}' if has_few_runners else runner
         known = [each for each in fingerprints if each]
-        self._book.crashed(name, known, now)
+        self._book.record_crash(name, known, now)
 
     def record_finish(self, fingerprint: str, now: float) -> None:
         """Clear content that ran to its end.
@@ -65,4 +65,4 @@
         otherwise content that crashes runners would go on crashing them.
         """
         if fingerprint:
-            self._book.finished(fingerprint, now)
+            self._book.record_finish(fingerprint, now)
--- a/bramleybend/scheduler/order_issuer.py
+++ b/bramleybend/scheduler/order_issuer.py
@@ -15,10 +15,10 @@
     EngineState,
     Order,
     engines_to_change,
-    is_right,
+    matches_target,
     needs_weights,
     next_order,
-    unfit_engines,
+    unavailable_engines,
 )
 from bramleybend.errors import ErrorKind
 from bramleybend.models import EngineTarget, Vm
@@ -106,9 +106,9 @@
 
     def _update_status(self, plan: EnginePlan) -> None:
         views = make_engine_views(plan.vms, self._states, self._changes)
-        self.unschedulable = unfit_engines(views, plan.target)
+        self.unschedulable = unavailable_engines(views, plan.target)
         self.mismatch_count = sum(
-            not is_right(view.state, plan.target) for view in views
+            not matches_target(view.state, plan.target) for view in views
         )
 
     def _list_orphaned_loads(self, plan: EnginePlan) -> list[str]:
@@ -242,7 +242,7 @@
         if not is_order_finished(change, state, plan.target, now):
             return
         await self._end_load(change)
-        if is_right(state, plan.target):
+        if matches_target(state, plan.target):
             self._changes.pop(change.vm.name)
             self._sender.record_event('engine_ready', change.vm)
         elif state and next_order(state, plan.target) == change.order:
--- a/bramleybend/scheduler/owner_service.py
+++ b/bramleybend/scheduler/owner_service.py
@@ -8,7 +8,7 @@
 
 from bramleybend.clock import Clock
 from bramleybend.decisions.actions import RunReport
-from bramleybend.decisions.quarantine import Verdict
+from bramleybend.decisions.quarantine import ContentStatus
 from bramleybend.models import Ask, Tier
 from bramleybend.scheduler.shard_messages import (
     FirstTokenSeen,
@@ -123,10 +123,10 @@
             task.post(RunAdopted(hold, ask, first.adopt.runner))
             return
         verdict = self._shards.get_verdict(hold.fingerprint)
-        if verdict is Verdict.REFUSED:
+        if verdict is ContentStatus.REFUSED:
             _refuse_quarantined(hold)
             return
-        is_suspect = verdict is Verdict.SUSPECT
+        is_suspect = verdict is ContentStatus.SUSPECT
         ask = _parse_ask(first.ask, now, is_suspect=is_suspect)
         task.post(SlotRequested(hold, ask, first.ask.urgent))
 
--- a/bramleybend/scheduler/peers.py
+++ b/bramleybend/scheduler/peers.py
@@ -10,7 +10,7 @@
 
 from bramleybend.clock import Clock
 from bramleybend.decisions.actions import ShardView
-from bramleybend.decisions.quarantine import CrashBook
+from bramleybend.decisions.quarantine import CrashRegistry
 from bramleybend.decisions.terms_age import terms_age_s
 from bramleybend.identity import Identity
 from bramleybend.models import RunnerState, Vm
@@ -48,7 +48,7 @@
 
     identity: Identity
     terms: TermsFollower
-    crashes: CrashBook
+    crashes: CrashRegistry
     listed_vms: Callable[[], Sequence[Vm]]
     owned_shards: Callable[[], Iterable[ShardView]]
 
--- a/bramleybend/scheduler/shard_table.py
+++ b/bramleybend/scheduler/shard_table.py
@@ -7,10 +7,10 @@
 from typing import Final
 
 from bramleybend.decisions.actions import ShardView
-from bramleybend.decisions.floor import DEFAULT_TIMES
-from bramleybend.decisions.owner import make_shard_policy
-from bramleybend.decisions.ownership import owners_of, shard_of
-from bramleybend.decisions.quarantine import Verdict
+from bramleybend.decisions.ownership import rank_owners, shard_of
+from bramleybend.decisions.quarantine import ContentStatus
+from bramleybend.decisions.shard_policy import make_shard_policy
+from bramleybend.decisions.tier_floor import DEFAULT_TIMES
 from bramleybend.models import RunnerState, Service, Terms, Vm
 from bramleybend.scheduler.pause_detector import PauseDetector
 from bramleybend.scheduler.shard_messages import (
@@ -62,7 +62,7 @@
             self._owners.clear()
         key = (service, shard)
         if key not in self._owners:
-            ranked = owners_of(service, shard, members)
+            ranked = rank_owners(service, shard, members)
             self._owners[key] = ranked[0].vm if ranked else ''
         return self._owners[key] == self._own_vm
 
@@ -83,7 +83,9 @@
         self._tasks: dict[tuple[str, int], ShardTask] = {}
         self._worker_tasks: dict[tuple[str, int], asyncio.Task[None]] = {}
         self._owned_since: dict[tuple[str, int], float] = {}
-        self._pause_detector = PauseDetector(deps.clock, DEFAULT_TIMES.fresh_s)
+        self._pause_detector = PauseDetector(
+            deps.clock, DEFAULT_TIMES.max_view_age_s
+        )
         self._owners = OwnershipCache(sources.members, sources.own_vm)
         self._weights: dict[str, float] = {}
         self._weights_version = 0  # of the terms that the weights come from
@@ -119,10 +121,10 @@
             self._now()
         )
 
-    def get_verdict(self, fingerprint: str) -> Verdict:
+    def get_verdict(self, fingerprint: str) -> ContentStatus:
         """Return whether content is clear, suspect or refused after crashes."""
         now = self._deps.clock.monotonic()
-        return self._deps.crashes.verdict(fingerprint, now)
+        return self._deps.crashes.status_of(fingerprint, now)
 
     async def run(self) -> None:
         """Apply changes of runners, terms and members until cancelled."""
--- a/bramleybend/scheduler/shard_task.py
+++ b/bramleybend/scheduler/shard_task.py
@@ -1,7 +1,7 @@
 """The asyncio task that owns one shard's policy and handles its messages.
 
-The policy (`decisions.owner`) makes all decisions. This task passes messages
-to the policy and executes the actions that the policy returns.
+The policy (`decisions.shard_policy`) makes all decisions. This task passes
+messages to the policy and executes the actions that the policy returns.
 """
 
 import asyncio
@@ -17,11 +17,11 @@
     Refuse,
     RunnerInfo,
 )
-from bramleybend.decisions.floor import DEFAULT_TIMES, Settling
-from bramleybend.decisions.owner import (
+from bramleybend.decisions.quarantine import REFUSAL_CRASHES, CrashRegistry
+from bramleybend.decisions.shard_policy import (
     ShardPolicy,
 )
-from bramleybend.decisions.quarantine import CONDEMNED, CrashBook
+from bramleybend.decisions.tier_floor import DEFAULT_TIMES, TakeoverState
 from bramleybend.events import EventLog
 from bramleybend.metrics import Metric, Metrics
 from bramleybend.models import RunnerState, Tier, Vm
@@ -50,7 +50,7 @@
     clock: Clock
     events: EventLog
     metrics: Metrics
-    crashes: CrashBook
+    crashes: CrashRegistry
 
 
 class ShardTask:
@@ -73,7 +73,7 @@
         self.runners: dict[str, Vm] = {}
         self.runner_by_hold: dict[str, str] = {}
         self._is_owner = False
-        self._settling = Settling()
+        self._settling = TakeoverState()
         self._crash_tracker = CrashTracker(deps.crashes)
         self._replies = ReplySender(service, shard, deps.events, deps.metrics)
 
@@ -92,7 +92,7 @@
 
     def is_settled(self, now: float) -> bool:
         """Whether this task owns the shard and knows every run of it."""
-        return self._is_owner and self._settling.settled(now)
+        return self._is_owner and self._settling.is_settled(now)
 
     def list_waiting(self) -> list[HoldChannel]:
         """Return the holds that were not granted a runner yet."""
@@ -136,7 +136,7 @@
                     now,
                 )
             case FirstTokenSeen(hold, prompt_tokens, cached_tokens):
-                return self.policy.first_token(
+                return self.policy.record_first_token(
                     hold.key,
                     prompt_tokens,
                     cached_tokens,
@@ -187,7 +187,7 @@
             # The gateway will shed this request unless a lower tier makes
             # room, so no lower tier may start before it.
             self.policy.set_floor(ask.tier, 1, now)
-        return self.policy.ask(ask, now)
+        return self.policy.request_slot(ask, now)
 
     def _add_hold(self, hold: HoldChannel) -> None:
         self.holds[hold.key] = hold
@@ -205,7 +205,7 @@
                 for key, other in self.holds.items()
                 if self.runner_by_hold.get(key) == runner
             ]
-            has_few_runners = len(self.runners) < CONDEMNED
+            has_few_runners = len(self.runners) < REFUSAL_CRASHES
             self._crash_tracker.record_crash(
                 runner, [hold.fingerprint, *concurrent], has_few_runners, now
             )
@@ -216,20 +216,20 @@
             )
         elif message.report.outcome == Outcome.DONE:
             self._crash_tracker.record_finish(hold.fingerprint, now)
-        return self.policy.ended(hold.key, message.report, now)
+        return self.policy.end_run(hold.key, message.report, now)
 
     def _handle_hold_lost(self, hold: HoldChannel, now: float) -> list[Action]:
         if self.holds.pop(hold.key, None) is None:
             return []
         if self.runner_by_hold.pop(hold.key, None) is not None:
-            self._settling.lose_run(now)
+            self._settling.record_lost_run(now)
         return self.policy.withdraw(hold.key, now)
 
     def _handle_runners_listed(
         self, runners: tuple[Vm, ...], now: float
     ) -> list[Action]:
         self.runners = {vm.name: vm for vm in runners}
-        return self.policy.runners(
+        return self.policy.update_runners(
             [
                 RunnerInfo(vm.name, vm.state is RunnerState.LEAVING)
                 for vm in runners
--- a/bramleybend/scheduler/suspect_records.py
+++ b/bramleybend/scheduler/suspect_records.py
@@ -3,17 +3,17 @@
 from collections.abc import Iterable
 from random import Random
 
-from bramleybend.decisions.quarantine import CrashBook, CrashRecord
+from bramleybend.decisions.quarantine import CrashRecord, CrashRegistry
 from bramleybend.wire.bramleybend_pb2 import SuspectRecord
 
 
-def export_suspects(book: CrashBook) -> list[SuspectRecord]:
+def export_suspects(book: CrashRegistry) -> list[SuspectRecord]:
     """Encode every crash record."""
-    return _encode_suspects(book.export())
+    return _encode_suspects(book.all_records())
 
 
 def merge_suspects(
-    book: CrashBook,
+    book: CrashRegistry,
     records: Iterable[SuspectRecord],
     now: float,
 ) -> None:
@@ -33,10 +33,10 @@
 
 
 def sample_suspects(
-    book: CrashBook, rng: Random, limit: int
+    book: CrashRegistry, rng: Random, limit: int
 ) -> list[SuspectRecord]:
     """Encode a random sample of `limit` records, to bound the message size."""
-    records = book.export()
+    records = book.all_records()
     return _encode_suspects(rng.sample(records, min(limit, len(records))))
 
 
--- a/spec/floor.py
+++ b/spec/floor.py
@@ -4,7 +4,7 @@
 passes from owner A to owner B, while A may be alive and either gateway may not
 have heard of B yet. `caller` wants to shed a request of a higher tier; `other`
 runs a lower tier's and may be frozen, with its run registered nowhere. Traces
-are replayed against `ShedPermits`, `Settling` and `ShardPolicy`.
+are replayed against `ShedPermits`, `TakeoverState` and `ShardPolicy`.
 """
 
 from collections.abc import Iterator
--- a/tests/benchmarks/capacity_control.py
+++ b/tests/benchmarks/capacity_control.py
@@ -15,9 +15,9 @@
 from bramleybend.clients.http_vm_list import VmListBody
 from bramleybend.clock import SystemClock
 from bramleybend.decisions.actions import RunnerInfo, RunReport, ShardView
-from bramleybend.decisions.owner import ShardPolicy, make_shard_policy
-from bramleybend.decisions.ownership import owners_of
-from bramleybend.decisions.quarantine import CrashBook
+from bramleybend.decisions.ownership import rank_owners
+from bramleybend.decisions.quarantine import CrashRegistry
+from bramleybend.decisions.shard_policy import ShardPolicy, make_shard_policy
 from bramleybend.declarations import parse_terms
 from bramleybend.events import KEPT_EVENTS, EventLog
 from bramleybend.gateway.view import ViewFollower
@@ -153,7 +153,7 @@
     for nodes in NODES:
         members = tuple(make_members(nodes))
         rank.append(
-            (nodes, _spent(partial(owners_of, 'model-1', 1, members))),
+            (nodes, _spent(partial(rank_owners, 'model-1', 1, members))),
         )
         table = asyncio.run(_table(nodes))
         change.append((nodes, _spent(table.update, repeats=1)))
@@ -181,7 +181,7 @@
             clock,
             EventLog('scheduler', 'a', clock),
             make_metrics(None, 'a'),
-            CrashBook(),
+            CrashRegistry(),
         ),
         Random(1),
     )
@@ -300,7 +300,7 @@
     service = Service('model-1', ServiceKind.ENGINE, slots=8)
     shard = make_shard_policy(service, Random(1))
     names = [RunnerInfo(f'runner-{idx}') for idx in range(runners)]
-    shard.runners(names, -1000)
+    shard.update_runners(names, -1000)
     now = float(0)
     running: list[str] = []
     filled = 0
@@ -315,14 +315,14 @@
         now += 0.01
         running.extend(_asked(shard, idx, now))
         request_id = running.pop(0)
-        shard.first_token(request_id, 500, 0, now)
+        shard.record_first_token(request_id, 500, 0, now)
         report = RunReport(
             'done',
             prompt_tokens=500,
             completion_tokens=200,
             seconds=6,
         )
-        ended = shard.ended(request_id, report, now)
+        ended = shard.end_run(request_id, report, now)
         running.extend(
             act.request_id for act in ended if hasattr(act, 'runner')
         )
@@ -343,7 +343,9 @@
         cancellable=False,
     )
     return [
-        act.request_id for act in shard.ask(ask, now) if hasattr(act, 'runner')
+        act.request_id
+        for act in shard.request_slot(ask, now)
+        if hasattr(act, 'runner')
     ]
 
 
--- a/tests/benchmarks/gateways.py
+++ b/tests/benchmarks/gateways.py
@@ -13,9 +13,9 @@
     RunReport,
     ShardView,
 )
-from bramleybend.decisions.owner import ShardPolicy, make_shard_policy
 from bramleybend.decisions.routing import rank_shards
-from bramleybend.decisions.switches import Switches
+from bramleybend.decisions.shard_policy import ShardPolicy, make_shard_policy
+from bramleybend.decisions.switches import PolicySwitches
 from bramleybend.models import Ask, Repeat, Service, ServiceKind
 from tests.benchmarks.fleet import Fleet, Try
 from tests.benchmarks.measures import Scores
@@ -39,7 +39,7 @@
         scores: Scores,
         kinds: tuple[Kind, ...],
         seed: int,
-        switches: Switches,
+        switches: PolicySwitches,
         affinity: bool,
     ) -> None:
         self._affinity = affinity
@@ -95,7 +95,7 @@
             HOP_S,
             lambda: self._act(
                 shard,
-                self._policies[shard].ask(ask, self._time.now),
+                self._policies[shard].request_slot(ask, self._time.now),
             ),
         )
 
@@ -198,7 +198,7 @@
         shard = next(iter(attempt.shards))
         policy = self._policies[shard]
         job = attempt.job
-        actions = policy.first_token(
+        actions = policy.record_first_token(
             job.job_id,
             job.prompt,
             cached,
@@ -252,7 +252,7 @@
             HOP_S,
             lambda: self._act(
                 shard,
-                self._policies[shard].ended(name, report, self._time.now),
+                self._policies[shard].end_run(name, report, self._time.now),
             ),
         )
 
@@ -290,7 +290,9 @@
 
     def _listed(self, shard: int, live: list[str]) -> None:
         infos = [RunnerInfo(name) for name in live]
-        self._act(shard, self._policies[shard].runners(infos, self._time.now))
+        self._act(
+            shard, self._policies[shard].update_runners(infos, self._time.now)
+        )
 
     def _look(self, entry: int) -> None:
         self._heard[entry] = self._time.now
--- a/tests/benchmarks/patterns.py
+++ b/tests/benchmarks/patterns.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, replace
 from random import Random
 
-from bramleybend.decisions.runs import COMPLETION_COST
+from bramleybend.decisions.runs import DECODE_TOKEN_COST
 from bramleybend.models import Repeat, Tier
 from tests.utils.queueing_fake import Job, Segment
 
@@ -56,7 +56,7 @@
         """Return the least work: each document filled once."""
         document = sum(self.document) / 2 * NEW_DOCUMENT
         own = sum(self.own) / 2
-        return document + own + self.mean_completion() * COMPLETION_COST
+        return document + own + self.mean_completion() * DECODE_TOKEN_COST
 
 
 PARWAZ = (
@@ -281,7 +281,7 @@
     """Guess the work as a gateway would: the prompt and the usual answer."""
     name = job.job_id.rsplit('-', 1)[0]
     kind = next(kind for kind in kinds if kind.name == name)
-    return job.prompt + kind.mean_completion() * COMPLETION_COST
+    return job.prompt + kind.mean_completion() * DECODE_TOKEN_COST
 
 
 def scaled(pattern: Pattern, load: float) -> Pattern:
--- a/tests/benchmarks/players.py
+++ b/tests/benchmarks/players.py
@@ -3,7 +3,7 @@
 from functools import partial
 from random import Random
 
-from bramleybend.decisions.switches import Switches
+from bramleybend.decisions.switches import PolicySwitches
 from tests.benchmarks.baselines import (
     Baseline,
     LeastOutstanding,
@@ -31,7 +31,7 @@
     kinds: tuple[Kind, ...],
     pattern: Pattern,
     seed: int,
-    switches: Switches | None = None,
+    switches: PolicySwitches | None = None,
     *,
     affinity: bool = True,
     seconds: float = SECONDS,
@@ -42,7 +42,7 @@
     scores = Scores()
     player: Player
     if scheduler == 'bramleybend':
-        on = switches or Switches()
+        on = switches or PolicySwitches()
         player = Bramleybend(fleet, scores, kinds, seed, on, affinity)
     else:
         player = _make_baseline(scheduler, fleet, scores, seed)
--- a/tests/benchmarks/report.py
+++ b/tests/benchmarks/report.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from statistics import median
 
-from bramleybend.decisions.switches import Switches
+from bramleybend.decisions.switches import PolicySwitches
 from bramleybend.models import Tier
 from tests.benchmarks.patterns import DEPLOYMENTS, PATTERNS
 from tests.benchmarks.players import PATTERN_BY_NAME, SCHEDULERS, play
@@ -55,7 +55,7 @@
 
 
 def play_case(case: Case) -> Row:
-    switches = Switches()
+    switches = PolicySwitches()
     if case.without not in {'', AFFINITY}:
         switches = replace(switches, **{case.without: False})
     scores = play(
--- a/tests/benchmarks/test_growth.py
+++ b/tests/benchmarks/test_growth.py
@@ -19,8 +19,8 @@
     RunReport,
     ShardView,
 )
-from bramleybend.decisions.owner import make_shard_policy
 from bramleybend.decisions.routing import rank_shards
+from bramleybend.decisions.shard_policy import make_shard_policy
 from bramleybend.models import Service, ServiceKind
 from tests.decisions.test_owner import make_ask
 
@@ -32,7 +32,7 @@
     """Return one end of a run, the grant after it, and a new request."""
     service = Service('briefing-llm', ServiceKind.ENGINE, slots=4)
     policy = make_shard_policy(service, Random(1))
-    policy.runners([RunnerInfo(f'e{n}') for n in range(RUNNERS)], -100)
+    policy.update_runners([RunnerInfo(f'e{n}') for n in range(RUNNERS)], -100)
     names = count()
     running: list[str] = []
 
@@ -40,7 +40,10 @@
         for action in actions:
             if isinstance(action, Grant):
                 running.append(action.request_id)
-                note(policy.first_token(action.request_id, 900, 0, now), now)
+                note(
+                    policy.record_first_token(action.request_id, 900, 0, now),
+                    now,
+                )
 
     def send(now: float) -> None:
         number = next(names)
@@ -52,11 +55,11 @@
             prefixes=(f'p{number % 40}', f'q{number % 400}'),
             deadline=1e9,
         )
-        note(policy.ask(ask, now), now)
+        note(policy.request_slot(ask, now), now)
 
     def cycle() -> int:
         now = 100 + next(names) / 1000
-        note(policy.ended(running.pop(0), DONE, now), now)
+        note(policy.end_run(running.pop(0), DONE, now), now)
         send(now)
         return len(running)
 
--- a/tests/decisions/engine_simulation.py
+++ b/tests/decisions/engine_simulation.py
@@ -21,8 +21,8 @@
     RunnerInfo,
     RunReport,
 )
-from bramleybend.decisions.owner import make_shard_policy
-from bramleybend.decisions.switches import Switches
+from bramleybend.decisions.shard_policy import make_shard_policy
+from bramleybend.decisions.switches import PolicySwitches
 from bramleybend.models import Ask, Service, ServiceKind, Tier
 
 ENGINES: Final = 30
@@ -117,7 +117,7 @@
     """Simulates callers, engines and one policy; collects tallies."""
 
     def __init__(
-        self, seed: int, switches: Switches, counts_from: float = 0
+        self, seed: int, switches: PolicySwitches, counts_from: float = 0
     ) -> None:
         """Start with idle engines; tallies leave out earlier requests."""
         self._rng = Random(seed)
@@ -142,7 +142,7 @@
         infos = [
             RunnerInfo(name, slots=SLOTS, warm=True) for name in self._engines
         ]
-        self._handle_actions(self._policy.runners(infos, 0))
+        self._handle_actions(self._policy.update_runners(infos, 0))
 
     def run(
         self, kinds: tuple[RequestKind, ...], burst: LoadBurst, end: float
@@ -188,7 +188,7 @@
         run.is_counted = self._now >= self._counts_from
         self.tallies[kind].sent += run.is_counted
         self._runs[ask.request_id] = run
-        self._handle_actions(self._policy.ask(ask, self._now))
+        self._handle_actions(self._policy.request_slot(ask, self._now))
 
     def _handle_actions(self, actions: list[Action]) -> None:
         for action in actions:
@@ -263,7 +263,7 @@
             tally.late += run.is_counted
         name, tokens = run.ask.request_id, run.ask.prompt_tokens
         self._handle_actions(
-            self._policy.first_token(name, tokens, 0, self._now)
+            self._policy.record_first_token(name, tokens, 0, self._now)
         )
 
     def _end(self, run: Run) -> None:
@@ -275,4 +275,4 @@
         )
         name = run.ask.request_id
         self._runs.pop(name)
-        self._handle_actions(self._policy.ended(name, report, self._now))
+        self._handle_actions(self._policy.end_run(name, report, self._now))
--- a/tests/decisions/test_allotments.py
+++ b/tests/decisions/test_allotments.py
@@ -3,11 +3,11 @@
 from dataclasses import dataclass, field
 
 from bramleybend.decisions.allotments import (
-    AllotmentBook,
+    AccountReport,
+    AllotmentLedger,
     Allowance,
-    Spending,
     Tolerance,
-    make_allotment_book,
+    make_allotment_ledger,
 )
 
 ALLOWANCE = Allowance(rate_per_s=1000, burst=2000)
@@ -44,7 +44,7 @@
                     1 / self.vms if self.is_partitioned else 1,
                     are_runners_idle=self.are_runners_idle,
                 )
-                if decision.is_let_in:
+                if decision.is_admitted:
                     self.admitted.append((now, units))
             if now >= next_heartbeat and not self.is_partitioned:
                 next_heartbeat += HEARTBEAT_S
@@ -71,25 +71,25 @@
         return max_total
 
     def _exchange_reports(
-        self, ledgers: list[AllotmentBook], starts: list[int], now: float
+        self, ledgers: list[AllotmentLedger], starts: list[int], now: float
     ) -> None:
         for number, ledger in enumerate(ledgers):
             for other in ledgers[:number] + ledgers[number + 1 :]:
                 name = f'vm{number}/{starts[number]}'
-                other.heard(name, dict(ledger.spendings()), now)
+                other.merge_report(name, dict(ledger.reports()), now)
 
-    def _make_ledger(self) -> AllotmentBook:
-        return AllotmentBook(TOLERANCE)
+    def _make_ledger(self) -> AllotmentLedger:
+        return AllotmentLedger(TOLERANCE)
 
 
 def is_admitted(
-    ledger: AllotmentBook, units: float, now: float, share: float = 1
+    ledger: AllotmentLedger, units: float, now: float, share: float = 1
 ) -> bool:
     """Tell whether a request of the busy workspace is admitted.
 
     The runners have no idle slots.
     """
-    return ledger.admit('w', ALLOWANCE, units, now, share).is_let_in
+    return ledger.admit('w', ALLOWANCE, units, now, share).is_admitted
 
 
 def test_a_workspace_within_its_allotment_is_never_refused() -> None:
@@ -174,18 +174,20 @@
 
 def test_work_on_idle_runners_does_not_use_the_allotment() -> None:
     """A workspace keeps its whole allotment for the next busy time."""
-    ledger = AllotmentBook(TOLERANCE)
+    ledger = AllotmentLedger(TOLERANCE)
     assert is_admitted(ledger, 2000, 0)
-    assert ledger.admit('w', ALLOWANCE, 900, 0, are_runners_idle=True).is_beyond
+    assert ledger.admit(
+        'w', ALLOWANCE, 900, 0, are_runners_idle=True
+    ).is_over_allotment
     assert is_admitted(ledger, 1000, 1)
     assert not is_admitted(ledger, 1000, 1)
-    ledger.give_back('w', 900, is_beyond=True)
-    assert ledger.spendings()['w'].beyond == 0
+    ledger.refund('w', 900, is_beyond=True)
+    assert ledger.reports()['w'].over_allotment == 0
 
 
 def test_refusal_tells_when_to_retry() -> None:
     """The delay is the time until the bucket can hold the request."""
-    ledger = AllotmentBook()
+    ledger = AllotmentLedger()
     assert is_admitted(ledger, 2500, 0)
     assert ledger.admit('w', ALLOWANCE, 500, 0).retry_after_s == 0.6
     assert not is_admitted(ledger, 500, 0.5)
@@ -194,11 +196,11 @@
 
 def test_refusal_reports_the_known_debt() -> None:
     """Without the debt, refusals don't show whether the VMs' accounts differ."""
-    ledger = AllotmentBook()
+    ledger = AllotmentLedger()
     assert is_admitted(ledger, 2500, 0)
-    ledger.heard('vm2/a', {'w': Spending()}, 0)
-    ledger.heard('vm2/a', {'w': Spending(used=1000)}, 0)
-    assert ledger.admit('w', ALLOWANCE, 500, 0.5).owed == 3000
+    ledger.merge_report('vm2/a', {'w': AccountReport()}, 0)
+    ledger.merge_report('vm2/a', {'w': AccountReport(used=1000)}, 0)
+    assert ledger.admit('w', ALLOWANCE, 500, 0.5).debt == 3000
 
 
 def test_large_requests_of_a_busy_workspace_are_admitted_too() -> None:
@@ -207,7 +209,7 @@
     A workspace asks for six times its allotment. A bucket that had to hold a
     whole request would admit only small ones.
     """
-    ledger = AllotmentBook()
+    ledger = AllotmentLedger()
     admitted = {20: 0, 1500: 0}
     asked = 400
     for number in range(asked):
@@ -221,22 +223,22 @@
 
 def test_request_that_did_not_run_is_not_counted() -> None:
     """A refused request is refunded."""
-    ledger = AllotmentBook()
+    ledger = AllotmentLedger()
     assert is_admitted(ledger, 2000, 0)
-    ledger.give_back('w', 2000)
+    ledger.refund('w', 2000)
     assert is_admitted(ledger, 2000, 0)
-    assert ledger.spendings()['w'].used == 2000
+    assert ledger.reports()['w'].used == 2000
 
 
 def test_restarted_peer_is_not_counted_twice() -> None:
     """A restarted peer's total begins at zero; only its increase counts."""
-    ledger = AllotmentBook()
+    ledger = AllotmentLedger()
     is_admitted(ledger, 1, 0)
-    ledger.heard('vm2/a', {'w': Spending(used=5000)}, 0)
-    ledger.heard('vm2/a', {'w': Spending(used=5500)}, 0)
-    ledger.forget('vm2/a')
-    ledger.heard('vm2/b', {'w': Spending()}, 0)
-    ledger.heard('vm2/b', {'w': Spending(used=100)}, 0)
+    ledger.merge_report('vm2/a', {'w': AccountReport(used=5000)}, 0)
+    ledger.merge_report('vm2/a', {'w': AccountReport(used=5500)}, 0)
+    ledger.remove_peer('vm2/a')
+    ledger.merge_report('vm2/b', {'w': AccountReport()}, 0)
+    ledger.merge_report('vm2/b', {'w': AccountReport(used=100)}, 0)
     # 2,000 less its own 1, and 500 and 100 of the peer.
     assert is_admitted(ledger, 1350, 0)
     assert not is_admitted(ledger, 100, 0)
@@ -244,39 +246,41 @@
 
 def test_peers_do_not_adopt_the_assumed_debt_of_a_starting_vm() -> None:
     """Otherwise one VM that starts makes all others refuse its workspaces."""
-    informed = AllotmentBook()
+    informed = AllotmentLedger()
     assert is_admitted(informed, 10, 100)
-    starter = make_allotment_book(TOLERANCE, 100, is_first_start=False)
+    starter = make_allotment_ledger(TOLERANCE, 100, is_first_start=False)
     assert not is_admitted(starter, 2000, 100.45)
-    informed.heard('vm2/b', starter.spendings(), 101, age_s=starter.age_s(101))
-    assert informed.spendings()['w'].debt == 10
+    informed.merge_report(
+        'vm2/b', starter.reports(), 101, age_s=starter.age_s(101)
+    )
+    assert informed.reports()['w'].debt == 10
     assert is_admitted(informed, 1990, 101)
 
 
 def test_starting_vm_replaces_assumed_debt_by_reported_debt() -> None:
     """Otherwise a workspace is refused until a whole burst is repaid."""
-    informed = AllotmentBook()
+    informed = AllotmentLedger()
     assert is_admitted(informed, 500, 100)
-    starter = make_allotment_book(TOLERANCE, 100, is_first_start=False)
+    starter = make_allotment_ledger(TOLERANCE, 100, is_first_start=False)
     assert not is_admitted(starter, 10, 100.1)
-    starter.adopt(informed.spendings(), 100.1, informed.age_s(100.1))
+    starter.adopt_accounts(informed.reports(), 100.1, informed.age_s(100.1))
     assert is_admitted(starter, 1450, 100.1)
     assert not is_admitted(starter, 500, 100.1)
 
 
 def test_vms_that_start_together_adopt_the_oldest_accounts() -> None:
     """Otherwise the VMs that start last refuse what the rate has repaid."""
-    first = make_allotment_book(TOLERANCE, 100, is_first_start=False)
-    last = make_allotment_book(TOLERANCE, 101, is_first_start=False)
+    first = make_allotment_ledger(TOLERANCE, 100, is_first_start=False)
+    last = make_allotment_ledger(TOLERANCE, 101, is_first_start=False)
     assert is_admitted(first, 0, 101)
-    last.adopt(first.spendings(), 101, first.age_s(101))
+    last.adopt_accounts(first.reports(), 101, first.age_s(101))
     assert last.age_s(101) == first.age_s(101)
     assert is_admitted(last, 500, 101)
 
 
 def test_starting_vm_without_peers_admits_what_the_rate_repays() -> None:
     """Otherwise a single VM refuses all requests after its restart."""
-    ledger = make_allotment_book(TOLERANCE, 100, is_first_start=False)
+    ledger = make_allotment_ledger(TOLERANCE, 100, is_first_start=False)
     assert not is_admitted(ledger, 10, 100)
     assert not is_admitted(ledger, 2000, 100.4)
     assert is_admitted(ledger, 2000, 102.5)
--- a/tests/decisions/test_choice.py
+++ b/tests/decisions/test_choice.py
@@ -30,7 +30,7 @@
 from bramleybend.decisions.pool import RunnerPool
 from bramleybend.decisions.runs import Runner
 from bramleybend.decisions.shard import Shard
-from bramleybend.decisions.switches import Switches
+from bramleybend.decisions.switches import PolicySwitches
 from bramleybend.decisions.tier_queue import WINDOW_ENTRIES, WaitingEntry
 from bramleybend.decisions.waiting_queue import MinRunTime, WaitingQueue
 from bramleybend.models import Ask, Tier
@@ -168,7 +168,7 @@
     runner.cache.record_sent(rng.sample(PREFIXES, rng.randint(0, 8)), NOW - 1)
 
 
-def random_shard(rng: Random, switches: Switches) -> Shard:
+def random_shard(rng: Random, switches: PolicySwitches) -> Shard:
     """Return a shard with a queue and one to thirty runners."""
     pool = RunnerPool(4, switches)
     count = rng.choice([1, 3, 8, 30])
@@ -186,10 +186,14 @@
 
 @pytest.mark.parametrize(
     'switches',
-    [Switches(), Switches(holding=False), Switches(expiry=False)],
+    [
+        PolicySwitches(),
+        PolicySwitches(holding=False),
+        PolicySwitches(expiry=False),
+    ],
     ids=['all', 'no holding', 'no expiry'],
 )
-def test_choice_equals_exhaustive_evaluation(switches: Switches) -> None:
+def test_choice_equals_exhaustive_evaluation(switches: PolicySwitches) -> None:
     """Runners that are skipped without an evaluation are never the best."""
     rng = Random(23)
     started = 0
@@ -220,7 +224,7 @@
     monkeypatch.setattr(CacheView, 'cached_tokens', counted)
     rng = Random(29)
     for _ in range(STATES):
-        shard = random_shard(rng, Switches())
+        shard = random_shard(rng, PolicySwitches())
         lookups.clear()
         choose_next(shard, NOW)
         assert max(lookups.values(), default=0) <= len(shard.queue)
@@ -230,7 +234,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """An owner with needless lookups falls behind its callers."""
-    shard = random_shard(Random(31), Switches())
+    shard = random_shard(Random(31), PolicySwitches())
     shard.queue = WaitingQueue({})
     for number in range(20):
         ask = replace(random_ask(Random(number), number), prefixes=())
--- a/tests/decisions/test_connected.py
+++ b/tests/decisions/test_connected.py
@@ -5,7 +5,7 @@
 import pytest
 
 from bramleybend.decisions.actions import Grant, RunnerInfo, RunReport
-from bramleybend.decisions.owner import ShardPolicy, make_shard_policy
+from bramleybend.decisions.shard_policy import ShardPolicy, make_shard_policy
 from bramleybend.direct.owner import SWITCHES
 from bramleybend.models import Ask, Service, ServiceKind, Tier
 
@@ -39,16 +39,16 @@
     service = Service('lm', ServiceKind.ENGINE, slots=4)
     policy = make_shard_policy(service, Random(1), switches=SWITCHES)
     infos = [RunnerInfo(name, slots=4, warm=True) for name in seconds]
-    policy.runners(infos, 0)
+    policy.update_runners(infos, 0)
     for number, (name, whole_s) in enumerate(seconds.items()):
         others = frozenset(seconds) - {name}
         run = f'first-{number}'
-        policy.ask(make_ask(run, excluded=others), number)
-        policy.first_token(run, TOKENS, 0, number + whole_s / 2)
+        policy.request_slot(make_ask(run, excluded=others), number)
+        policy.record_first_token(run, TOKENS, 0, number + whole_s / 2)
         report = RunReport(
             'done', prompt_tokens=TOKENS, completion_tokens=10, seconds=whole_s
         )
-        policy.ended(run, report, number + whole_s)
+        policy.end_run(run, report, number + whole_s)
     return policy
 
 
@@ -61,7 +61,7 @@
     """A new connection costs both sides, but a slower run costs callers more."""
     policy = make_policy({'a': other_s, 'b': 0.4})
     ask = make_ask('x', connected=frozenset({'a', 'gone'}))
-    (grant,) = policy.ask(ask, 10)
+    (grant,) = policy.request_slot(ask, 10)
     assert isinstance(grant, Grant)
     assert grant.runner == expected
 
@@ -70,6 +70,8 @@
     """It would fail the request again."""
     policy = make_policy({'a': 0.4, 'b': 0.4})
     names = frozenset({'a'})
-    (grant,) = policy.ask(make_ask('x', connected=names, excluded=names), 10)
+    (grant,) = policy.request_slot(
+        make_ask('x', connected=names, excluded=names), 10
+    )
     assert isinstance(grant, Grant)
     assert grant.runner == 'b'
--- a/tests/decisions/test_drain_rate.py
+++ b/tests/decisions/test_drain_rate.py
@@ -10,9 +10,9 @@
     RunnerInfo,
     RunReport,
 )
-from bramleybend.decisions.owner import ShardPolicy, make_shard_policy
 from bramleybend.decisions.run_feedback import DONE
-from bramleybend.decisions.switches import Switches
+from bramleybend.decisions.shard_policy import ShardPolicy, make_shard_policy
+from bramleybend.decisions.switches import PolicySwitches
 from bramleybend.models import Service, ServiceKind, Tier
 from tests.decisions.test_owner import make_ask
 
@@ -49,10 +49,10 @@
         now += 0.01
         while first_tokens and first_tokens[0][0] <= now:
             name = first_tokens.pop(0)[1]
-            handle_actions(policy.first_token(name, 1800, 0, now), now)
+            handle_actions(policy.record_first_token(name, 1800, 0, now), now)
         while ends and ends[0][0] <= now:
             name = ends.pop(0)[1]
-            handle_actions(policy.ended(name, REPORT, now), now)
+            handle_actions(policy.end_run(name, REPORT, now), now)
         while pending and pending[0] <= now:
             name = f'r{len(asked)}'
             asked[name] = now
@@ -63,7 +63,7 @@
                 prompt_tokens=1800,
                 deadline=now + patience,
             )
-            handle_actions(policy.ask(ask, now), now)
+            handle_actions(policy.request_slot(ask, now), now)
             pending.pop(0)
         handle_actions(policy.tick(now), now)
     return served, refusal_waits
@@ -72,13 +72,13 @@
 def make_engine_policy(runners: int = 1) -> ShardPolicy:
     """Return the policy of a new owner of an engine service."""
     service = Service('llm', ServiceKind.ENGINE, SLOTS)
-    switches = Switches(preemption=False, limits=False)
+    switches = PolicySwitches(preemption=False, limits=False)
     policy = make_shard_policy(service, Random(3), switches=switches)
     infos = [
         RunnerInfo(f'e{number}', False, SLOTS, True)
         for number in range(runners)
     ]
-    policy.runners(infos, 0)
+    policy.update_runners(infos, 0)
     return policy
 
 
--- a/tests/decisions/test_failure_share.py
+++ b/tests/decisions/test_failure_share.py
@@ -4,8 +4,8 @@
 
 from bramleybend.decisions.actions import Grant, RunnerInfo, RunReport
 from bramleybend.decisions.failure_share import FailureShare
-from bramleybend.decisions.owner import make_shard_policy
-from bramleybend.decisions.switches import Switches
+from bramleybend.decisions.shard_policy import make_shard_policy
+from bramleybend.decisions.switches import PolicySwitches
 from bramleybend.models import Ask, Service, ServiceKind, Tier
 
 RUN_S = 0.3
@@ -36,10 +36,10 @@
     policy = make_shard_policy(
         Service('s', ServiceKind.ENGINE, 4),
         rng,
-        switches=Switches(preemption=False, limits=False),
+        switches=PolicySwitches(preemption=False, limits=False),
     )
     infos = [RunnerInfo(name, warm=True) for name in ('grey', 'b', 'c')]
-    policy.runners(infos, 0)
+    policy.update_runners(infos, 0)
     starts = {'grey': 0, 'b': 0, 'c': 0}
     ends: list[tuple[float, str, bool]] = []
     for step in range(int(12 / STEP_S)):
@@ -55,9 +55,9 @@
                 completion_tokens=125,
                 seconds=RUN_S,
             )
-            actions.extend(policy.ended(end[1], report, now))
+            actions.extend(policy.end_run(end[1], report, now))
         if rng.random() < requests_per_s * STEP_S:
-            actions.extend(policy.ask(make_ask(step, now), now))
+            actions.extend(policy.request_slot(make_ask(step, now), now))
         actions.extend(policy.tick(now))
         for action in actions:
             if isinstance(action, Grant):
--- a/tests/decisions/test_free_slots.py
+++ b/tests/decisions/test_free_slots.py
@@ -12,8 +12,8 @@
     RunnerInfo,
     RunReport,
 )
-from bramleybend.decisions.owner import ShardPolicy, make_shard_policy
-from bramleybend.decisions.switches import Switches
+from bramleybend.decisions.shard_policy import ShardPolicy, make_shard_policy
+from bramleybend.decisions.switches import PolicySwitches
 from bramleybend.direct.owner import SWITCHES
 from bramleybend.models import Ask, Service, ServiceKind, Tier
 from tests.decisions.engine_simulation import (
@@ -101,22 +101,24 @@
     policy: ShardPolicy, name: str, runner: str, begins: float, seconds: float
 ) -> None:
     """Report one complete run on a runner to the policy."""
-    policy.witness(make_ask(name, Tier.CRITICAL), runner, begins)
-    policy.first_token(name, 400, 0, begins + seconds / 10)
+    policy.record_run(make_ask(name, Tier.CRITICAL), runner, begins)
+    policy.record_first_token(name, 400, 0, begins + seconds / 10)
     report = RunReport(
         'done', prompt_tokens=400, completion_tokens=100, seconds=seconds
     )
-    policy.ended(name, report, begins + seconds)
+    policy.end_run(name, report, begins + seconds)
 
 
-def make_trained_policy(switches: Switches, pairs: int = 1) -> ShardPolicy:
+def make_trained_policy(
+    switches: PolicySwitches, pairs: int = 1
+) -> ShardPolicy:
     """Return a policy with measured paces, full fast and free slow engines."""
     service = Service('lm', ServiceKind.ENGINE, slots=1)
     policy = make_shard_policy(service, Random(1), switches=switches)
     paces = [(f'fast-{number}', 0.4) for number in range(pairs)]
     paces += [(f'slow-{number}', 0.9) for number in range(pairs)]
     infos = [RunnerInfo(name, slots=SLOTS, warm=True) for name, _ in paces]
-    policy.runners(infos, 0)
+    policy.update_runners(infos, 0)
     for number in range(RUNS_PER_ENGINE):
         for position, (runner, seconds) in enumerate(paces):
             begins = float(number * len(paces) + position)
@@ -124,8 +126,8 @@
     for name, _ in paces[:pairs]:
         for number in range(SLOTS):
             running = make_ask(f'on-{name}-{number}', Tier.CRITICAL)
-            policy.witness(running, name, NOW)
-            policy.first_token(running.request_id, 400, 0, NOW)
+            policy.record_run(running, name, NOW)
+            policy.record_first_token(running.request_id, 400, 0, NOW)
     return policy
 
 
@@ -138,26 +140,26 @@
 
 @pytest.mark.parametrize('switches', SWITCH_SETS, ids=SWITCH_IDS)
 def test_requests_of_many_workspaces_use_all_free_slots(
-    switches: Switches,
+    switches: PolicySwitches,
 ) -> None:
     policy = make_trained_policy(switches)
     started: list[str] = []
     for number in range(WORKSPACE_COUNT):
         started += granted_ids(
-            policy.ask(make_ask(f'w{number}', Tier.HIGH), NOW)
+            policy.request_slot(make_ask(f'w{number}', Tier.HIGH), NOW)
         )
     assert len(started) == SLOTS
 
 
 @pytest.mark.parametrize('switches', SWITCH_SETS, ids=SWITCH_IDS)
 def test_held_requests_do_not_hide_a_lower_one_from_free_slots(
-    switches: Switches,
+    switches: PolicySwitches,
 ) -> None:
     policy = make_trained_policy(switches, PAIR_COUNT)
     for number in range(HELD_COUNT):
-        policy.ask(make_ask(f'w{number}', Tier.HIGH), NOW)
+        policy.request_slot(make_ask(f'w{number}', Tier.HIGH), NOW)
     brief = make_ask('brief', Tier.NORMAL, tokens=50, answer=2)
-    assert granted_ids(policy.ask(brief, NOW)) == ['brief']
+    assert granted_ids(policy.request_slot(brief, NOW)) == ['brief']
 
 
 def test_no_kind_is_starved_while_engines_have_free_slots(
--- a/tests/decisions/test_hedging.py
+++ b/tests/decisions/test_hedging.py
@@ -4,26 +4,26 @@
     MAX_BUDGET,
     MIN_CALLS,
     WINDOW_CALLS,
-    Hedging,
+    HedgeBudgets,
 )
 
 CALL = ('booking-app', 'availability')
 
 
-def _trained(seconds: float) -> Hedging:
-    hedging = Hedging()
+def _trained(seconds: float) -> HedgeBudgets:
+    hedging = HedgeBudgets()
     for _ in range(WINDOW_CALLS):
-        hedging.finished(*CALL, seconds)
+        hedging.record_finish(*CALL, seconds)
     return hedging
 
 
 def test_nothing_is_hedged_before_enough_calls_are_known() -> None:
     """A quantile of a few calls has no meaning."""
-    hedging = Hedging()
+    hedging = HedgeBudgets()
     for _ in range(MIN_CALLS - 1):
-        hedging.finished(*CALL, 1)
+        hedging.record_finish(*CALL, 1)
     assert hedging.delay_s(*CALL) is None
-    hedging.finished(*CALL, 1)
+    hedging.record_finish(*CALL, 1)
     assert hedging.delay_s(*CALL) == 1
 
 
@@ -36,21 +36,21 @@
     hedging = _trained(0.02)
     allowed = 0
     for _ in range(1000):
-        hedging.begun(*CALL)
-        allowed += hedging.allow(*CALL)
+        hedging.record_start(*CALL)
+        allowed += hedging.try_spend(*CALL)
     assert allowed <= MAX_BUDGET + 50
 
 
 def test_one_slow_profile_spends_its_own_budget_only() -> None:
     """Other profiles keep the budget for their second runs."""
     hedging = _trained(0.02)
-    while hedging.allow(*CALL):
-        hedging.finished(*CALL, 5)
-    assert hedging.allow('booking-app', 'other')
+    while hedging.try_spend(*CALL):
+        hedging.record_finish(*CALL, 5)
+    assert hedging.try_spend('booking-app', 'other')
 
 
 def test_negative_duration_is_ignored() -> None:
     """A negative duration would shorten the delay to nothing."""
     hedging = _trained(0.02)
-    hedging.finished(*CALL, -5)
+    hedging.record_finish(*CALL, -5)
     assert hedging.delay_s(*CALL) == 0.02
--- a/tests/decisions/test_incremental_decisions.py
+++ b/tests/decisions/test_incremental_decisions.py
@@ -13,8 +13,8 @@
     RunnerInfo,
     RunReport,
 )
-from bramleybend.decisions.owner import ShardPolicy, make_shard_policy
-from bramleybend.decisions.switches import Switches
+from bramleybend.decisions.shard_policy import ShardPolicy, make_shard_policy
+from bramleybend.decisions.switches import PolicySwitches
 from bramleybend.models import Ask, Service, ServiceKind, Tier
 
 SERVICE = Service('lm', ServiceKind.ENGINE, slots=1)
@@ -24,13 +24,13 @@
 
 def make_policy() -> ShardPolicy:
     """Create the policy of four engines with three slots each."""
-    switches = Switches(preemption=False, limits=False)
+    switches = PolicySwitches(preemption=False, limits=False)
     policy = make_shard_policy(SERVICE, Random(1), switches=switches)
     infos = [
         RunnerInfo(f'r{number}', leaving=False, slots=3, warm=True)
         for number in range(RUNNER_COUNT)
     ]
-    policy.runners(infos, -100)
+    policy.update_runners(infos, -100)
     return policy
 
 
@@ -69,7 +69,7 @@
         if kind < 0.5:
             ask = random_ask(self._rng, number, now)
             self._asks[ask.request_id] = ask
-            self._apply_to_both('ask', ask, now)
+            self._apply_to_both('request_slot', ask, now)
         elif kind < 0.6 or not self._running:
             self._apply_to_both('tick', now)
         else:
@@ -79,12 +79,14 @@
         name = self._rng.choice(sorted(self._running))
         ask, _, since = self._running[name]
         if self._rng.random() < 0.4:
-            self._apply_to_both('first_token', name, ask.prompt_tokens, 0, now)
+            self._apply_to_both(
+                'record_first_token', name, ask.prompt_tokens, 0, now
+            )
             return
         self._running.pop(name)
         report = RunReport('done', prompt_tokens=ask.prompt_tokens)
         report = replace(report, completion_tokens=20, seconds=now - since)
-        self._apply_to_both('ended', name, report, now)
+        self._apply_to_both('end_run', name, report, now)
 
     def _apply_to_both(self, event: str, *facts: object) -> None:
         now = facts[-1]
--- a/tests/decisions/test_invariants.py
+++ b/tests/decisions/test_invariants.py
@@ -12,7 +12,7 @@
     RunnerInfo,
     RunReport,
 )
-from bramleybend.decisions.owner import make_shard_policy
+from bramleybend.decisions.shard_policy import make_shard_policy
 from bramleybend.models import Ask, Tier
 from tests.decisions.test_owner import SERVICE, make_ask
 
@@ -33,7 +33,7 @@
         self.leaving: set[str] = set()
         self.floor: tuple[float, Tier] = (-1, Tier.BULK)
         infos = [RunnerInfo(name) for name in RUNNER_NAMES]
-        self.handle_actions(self.policy.runners(infos, 0))
+        self.handle_actions(self.policy.update_runners(infos, 0))
 
     def handle_actions(self, actions: list[Action]) -> None:
         for action in actions:
@@ -97,7 +97,7 @@
             excluded=frozenset(rng.sample(RUNNER_NAMES, rng.randint(0, 1))),
         )
         self.asks[ask.request_id] = ask
-        self.handle_actions(self.policy.ask(ask, self.now))
+        self.handle_actions(self.policy.request_slot(ask, self.now))
 
     def end(self) -> None:
         if self.running:
@@ -112,19 +112,19 @@
                 completion_tokens=self.rng.randint(-5, 500),
                 seconds=self.rng.uniform(-1, 20),
             )
-            self.handle_actions(self.policy.ended(name, report, self.now))
+            self.handle_actions(self.policy.end_run(name, report, self.now))
 
     def first_token(self) -> None:
         if self.running:
             name = self.rng.choice(list(self.running))
             self.handle_actions(
-                self.policy.first_token(name, 900, 100, self.now)
+                self.policy.record_first_token(name, 900, 100, self.now)
             )
 
     def repeat_ask(self) -> None:
         if self.running:
             ask = self.asks[self.rng.choice(list(self.running))]
-            self.handle_actions(self.policy.ask(ask, self.now))
+            self.handle_actions(self.policy.request_slot(ask, self.now))
 
     def withdraw(self) -> None:
         waiting = self.asks.keys() - self.running.keys() - self.finished
@@ -140,7 +140,7 @@
         infos = [
             RunnerInfo(name, name in self.leaving) for name in RUNNER_NAMES
         ]
-        self.handle_actions(self.policy.runners(infos, self.now))
+        self.handle_actions(self.policy.update_runners(infos, self.now))
 
     def set_floor(self) -> None:
         if self.now >= self.floor[0]:
--- a/tests/decisions/test_on_time_first.py
+++ b/tests/decisions/test_on_time_first.py
@@ -9,8 +9,8 @@
     RunnerInfo,
     RunReport,
 )
-from bramleybend.decisions.owner import make_shard_policy
-from bramleybend.decisions.switches import Switches
+from bramleybend.decisions.shard_policy import make_shard_policy
+from bramleybend.decisions.switches import PolicySwitches
 from bramleybend.models import Ask, Service, ServiceKind, Tier
 
 RUN_S = 0.1
@@ -25,11 +25,13 @@
     policy = make_shard_policy(
         Service('lm', ServiceKind.ENGINE, slots=1),
         Random(1),
-        switches=Switches(
+        switches=PolicySwitches(
             limits=False, preemption=False, on_time_first=on_time_first
         ),
     )
-    policy.runners([RunnerInfo('r1', leaving=False, slots=1, warm=True)], 0)
+    policy.update_runners(
+        [RunnerInfo('r1', leaving=False, slots=1, warm=True)], 0
+    )
     arrivals = {
         f'a{number:03}': number * ARRIVAL_INTERVAL_S
         for number in range(REQUEST_COUNT)
@@ -52,10 +54,10 @@
         for name in due:
             ends.pop(name)
             report = RunReport('done', prompt_tokens=10, completion_tokens=1)
-            act(policy.ended(name, report, now), now)
+            act(policy.end_run(name, report, now), now)
         for name, at in arrivals.items():
             if at <= now < at + 0.01:
-                act(policy.ask(make_ask(name, at), now), now)
+                act(policy.request_slot(make_ask(name, at), now), now)
         act(policy.tick(now), now)
     waits = {name: at - arrivals[name] for name, at in started.items()}
     on_time = sum(wait <= OBJECTIVE_S for wait in waits.values())
--- a/tests/decisions/test_orders.py
+++ b/tests/decisions/test_orders.py
@@ -13,7 +13,7 @@
     SetRole,
     engines_to_change,
     next_order,
-    unfit_engines,
+    unavailable_engines,
 )
 from bramleybend.models import EngineRole, EngineTarget
 
@@ -72,7 +72,7 @@
     pool: Sequence[EngineState | None],
     unfit: set[str],
 ) -> None:
-    assert unfit_engines(make_views(*pool), TARGET) == unfit
+    assert unavailable_engines(make_views(*pool), TARGET) == unfit
 
 
 @pytest.mark.parametrize(
@@ -97,11 +97,11 @@
 
 def test_failed_engines_stop_the_rollout() -> None:
     pool = [
-        EngineView('e0', OLD, failed=True),
-        EngineView('e1', EMPTY, failed=True),
+        EngineView('e0', OLD, has_failed=True),
+        EngineView('e1', EMPTY, has_failed=True),
         EngineView('e2', OLD),
         EngineView('e3', OLD),
     ]
 
     assert not engines_to_change(pool, TARGET, 9)
-    assert unfit_engines(pool, TARGET) == {'e1'}
+    assert unavailable_engines(pool, TARGET) == {'e1'}
--- a/tests/decisions/test_overload.py
+++ b/tests/decisions/test_overload.py
@@ -18,8 +18,8 @@
     MIN_RETRY_AFTER_S,
     RETRY_AFTER_SPREAD,
 )
-from bramleybend.decisions.overload import MAX_OWED_STARTS, Overload
-from bramleybend.decisions.owner import make_shard_policy
+from bramleybend.decisions.overload import MAX_OWED_STARTS, OverloadBounds
+from bramleybend.decisions.shard_policy import make_shard_policy
 from bramleybend.direct.owner import SWITCHES
 from bramleybend.entry_settings import MIN_TIER_SHARE, STANDING_QUEUE_S
 from bramleybend.models import Ask, Service, ServiceKind, Tier
@@ -32,7 +32,7 @@
 OBJECTIVE_S: Final = 0.5
 PATIENCE_S: Final = 4.0
 SEEDS: Final = (1, 2, 3)
-OVERLOAD: Final = Overload(MIN_TIER_SHARE, STANDING_QUEUE_S)
+OVERLOAD: Final = OverloadBounds(MIN_TIER_SHARE, STANDING_QUEUE_S)
 # The runner serves ten per second: the higher tier alone exceeds its capacity.
 ARRIVALS_PER_S: Final = {Tier.HIGH: 11.0, Tier.NORMAL: 8.0}
 # With a later refusal, the shortest Retry-After exceeds the caller's patience.
@@ -69,21 +69,26 @@
 
     def _run(self, rng: Random) -> None:
         info = RunnerInfo('r1', slots=1, warm=True)
-        self._handle_actions(self._policy.runners([info], 0), 0)
+        self._handle_actions(self._policy.update_runners([info], 0), 0)
         for step in range(int(DURATION_S / STEP_S)):
             now = step * STEP_S
             due = tuple(name for name, at in self._ends.items() if at <= now)
             for name in due:
                 self._ends.pop(name)
                 report = RunReport('done', prompt_tokens=10, seconds=RUN_S)
-                self._handle_actions(self._policy.ended(name, report, now), now)
+                self._handle_actions(
+                    self._policy.end_run(name, report, now), now
+                )
             for tier, per_s in ARRIVALS_PER_S.items():
                 if rng.random() < per_s * STEP_S:
                     name = f'{tier.name}-{step}'
                     self._asks[name] = (tier, now)
                     self.sent[tier] += now >= SETTLED_S
                     self._handle_actions(
-                        self._policy.ask(_make_ask(name, tier, now), now), now
+                        self._policy.request_slot(
+                            _make_ask(name, tier, now), now
+                        ),
+                        now,
                     )
             self._handle_actions(self._policy.tick(now), now)
 
@@ -161,16 +166,16 @@
         switches=SWITCHES,
         overload=OVERLOAD,
     )
-    policy.runners([RunnerInfo('r1', slots=1, warm=True)], 0)
+    policy.update_runners([RunnerInfo('r1', slots=1, warm=True)], 0)
     started: list[str] = []
     ends_at = float(0)
     for number in range(int(STANDING_QUEUE_S / RUN_S)):
-        policy.ask(_make_ask(f'a{number}', Tier.HIGH, 0), 0)
+        policy.request_slot(_make_ask(f'a{number}', Tier.HIGH, 0), 0)
     for step in range(int(PATIENCE_S / STEP_S)):
         now = step * STEP_S
         if started and now >= ends_at:
             report = RunReport('done', prompt_tokens=10, seconds=RUN_S)
-            actions = policy.ended(started[-1], report, now)
+            actions = policy.end_run(started[-1], report, now)
         else:
             actions = policy.tick(now)
         for action in actions:
@@ -191,7 +196,7 @@
         switches=SWITCHES,
         overload=OVERLOAD,
     )
-    policy.runners([RunnerInfo('r1', slots=1, warm=True)], 0)
+    policy.update_runners([RunnerInfo('r1', slots=1, warm=True)], 0)
     refused: list[str] = []
     running = ''
     ends_at = float(0)
@@ -200,11 +205,11 @@
         actions: list[Action] = []
         if running and now >= ends_at:
             report = RunReport('done', prompt_tokens=10, seconds=RUN_S)
-            actions.extend(policy.ended(running, report, now))
+            actions.extend(policy.end_run(running, report, now))
             running = ''
         for number in range(BURSTS.get(step % BURST_STEPS, 0)):
             ask = _make_ask(f'a{step}-{number}', Tier.HIGH, now)
-            actions.extend(policy.ask(ask, now))
+            actions.extend(policy.request_slot(ask, now))
         actions.extend(policy.tick(now))
         for action in actions:
             if isinstance(action, Grant):
--- a/tests/decisions/test_patterns.py
+++ b/tests/decisions/test_patterns.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from bramleybend.decisions.switches import Switches
+from bramleybend.decisions.switches import PolicySwitches
 from bramleybend.models import Tier
 from tests.benchmarks.measures import Scores
 from tests.benchmarks.patterns import DEPLOYMENTS, SEEDS
@@ -21,7 +21,7 @@
 def scores_of(
     pattern: str, deployment: str = 'parwaz', disabled: str = ''
 ) -> Scores:
-    switches = Switches(**({disabled: False} if disabled else {}))
+    switches = PolicySwitches(**({disabled: False} if disabled else {}))
     return play(
         'bramleybend',
         DEPLOYMENTS[deployment],
--- a/tests/decisions/test_quarantine.py
+++ b/tests/decisions/test_quarantine.py
@@ -1,33 +1,33 @@
 """Isolation of content that crashes runners, but not of other content."""
 
 from bramleybend.decisions.quarantine import (
-    CONDEMNED,
     MAX_RECORDS,
-    CrashBook,
-    Verdict,
+    REFUSAL_CRASHES,
+    ContentStatus,
+    CrashRegistry,
 )
 
 
-def make_refusing_registry() -> CrashBook:
-    registry = CrashBook()
-    for number in range(CONDEMNED):
-        registry.crashed(f'engine-{number}', ['poison'], number)
+def make_refusing_registry() -> CrashRegistry:
+    registry = CrashRegistry()
+    for number in range(REFUSAL_CRASHES):
+        registry.record_crash(f'engine-{number}', ['poison'], number)
     return registry
 
 
 def test_all_in_flight_at_a_crash_is_suspect() -> None:
-    registry = CrashBook()
-    registry.crashed('engine-1', ['a', 'b'], 0)
-    assert registry.verdict('a', 1) is Verdict.SUSPECT
-    assert registry.verdict('b', 1) is Verdict.SUSPECT
-    assert registry.verdict('c', 1) is Verdict.CLEAR
+    registry = CrashRegistry()
+    registry.record_crash('engine-1', ['a', 'b'], 0)
+    assert registry.status_of('a', 1) is ContentStatus.SUSPECT
+    assert registry.status_of('b', 1) is ContentStatus.SUSPECT
+    assert registry.status_of('c', 1) is ContentStatus.CLEAR
 
 
 def test_finishing_clears_a_suspect() -> None:
-    registry = CrashBook()
-    registry.crashed('engine-1', ['a'], 0)
-    registry.finished('a', 1)
-    assert registry.verdict('a', 1) is Verdict.CLEAR
+    registry = CrashRegistry()
+    registry.record_crash('engine-1', ['a'], 0)
+    registry.record_finish('a', 1)
+    assert registry.status_of('a', 1) is ContentStatus.CLEAR
 
 
 def test_crashes_on_enough_runners_refuse_for_good() -> None:
@@ -37,41 +37,43 @@
     ended normally does not clear it.
     """
     registry = make_refusing_registry()
-    assert registry.verdict('poison', 10) is Verdict.REFUSED
-    registry.finished('poison', 11)
-    assert registry.verdict('poison', 10**9) is Verdict.REFUSED
+    assert registry.status_of('poison', 10) is ContentStatus.REFUSED
+    registry.record_finish('poison', 11)
+    assert registry.status_of('poison', 10**9) is ContentStatus.REFUSED
 
 
 def test_crashes_of_one_runner_refuse_nothing() -> None:
-    registry = CrashBook()
+    registry = CrashRegistry()
     for moment in range(10):
-        registry.crashed('engine-1', ['a'], moment)
-    assert registry.verdict('a', 10) is Verdict.SUSPECT
+        registry.record_crash('engine-1', ['a'], moment)
+    assert registry.status_of('a', 10) is ContentStatus.SUSPECT
 
 
 def test_records_merge_in_any_order() -> None:
-    one, other = CrashBook(), CrashBook()
-    one.crashed('engine-1', ['a', 'b'], 0)
-    other.crashed('engine-2', ['a'], 0)
-    other.crashed('engine-3', ['a'], 0)
-    other.crashed('engine-1', ['b'], 0)
-    other.finished('b', 1)
-    first, second = CrashBook(), CrashBook()
-    first.merge(one.export() + other.export(), 2)
-    second.merge(other.export() + one.export(), 2)
-    assert set(first.export()) == set(second.export())
-    assert first.verdict('a', 2) is Verdict.REFUSED
-    assert first.verdict('b', 2) is Verdict.CLEAR
+    one, other = CrashRegistry(), CrashRegistry()
+    one.record_crash('engine-1', ['a', 'b'], 0)
+    other.record_crash('engine-2', ['a'], 0)
+    other.record_crash('engine-3', ['a'], 0)
+    other.record_crash('engine-1', ['b'], 0)
+    other.record_finish('b', 1)
+    first, second = CrashRegistry(), CrashRegistry()
+    first.merge(one.all_records() + other.all_records(), 2)
+    second.merge(other.all_records() + one.all_records(), 2)
+    assert set(first.all_records()) == set(second.all_records())
+    assert first.status_of('a', 2) is ContentStatus.REFUSED
+    assert first.status_of('b', 2) is ContentStatus.CLEAR
 
 
 def test_suspicion_expires() -> None:
-    registry = CrashBook()
-    registry.crashed('engine-1', ['a'], 0)
-    assert registry.verdict('a', 4000) is Verdict.CLEAR
+    registry = CrashRegistry()
+    registry.record_crash('engine-1', ['a'], 0)
+    assert registry.status_of('a', 4000) is ContentStatus.CLEAR
 
 
 def test_memory_is_bounded_and_keeps_what_is_refused() -> None:
     registry = make_refusing_registry()
-    registry.crashed('engine-9', [f'f{n}' for n in range(MAX_RECORDS + 50)], 5)
-    assert len(registry.export()) == MAX_RECORDS
-    assert registry.verdict('poison', 6) is Verdict.REFUSED
+    registry.record_crash(
+        'engine-9', [f'f{n}' for n in range(MAX_RECORDS + 50)], 5
+    )
+    assert len(registry.all_records()) == MAX_RECORDS
+    assert registry.status_of('poison', 6) is ContentStatus.REFUSED
--- a/tests/decisions/test_random_placement.py
+++ b/tests/decisions/test_random_placement.py
@@ -10,7 +10,7 @@
 import pytest
 
 from bramleybend.decisions.actions import Grant, RunnerInfo, RunReport
-from bramleybend.decisions.owner import ShardPolicy, make_shard_policy
+from bramleybend.decisions.shard_policy import ShardPolicy, make_shard_policy
 from bramleybend.direct.owner import PLAIN_SWITCHES
 from bramleybend.models import Ask, Service, ServiceKind, Tier
 
@@ -93,7 +93,7 @@
     def _update_runners(self, names: list[str], now: float) -> None:
         infos = [RunnerInfo(name, slots=SLOTS, warm=True) for name in names]
         for policy in self._policies:
-            policy.runners(infos, now)
+            policy.update_runners(infos, now)
 
     def _ask(self, vm: int, now: float) -> None:
         ask = Ask(
@@ -108,7 +108,7 @@
             cancellable=False,
             connected=self._connected(vm, now),
         )
-        for action in self._policies[vm].ask(ask, now):
+        for action in self._policies[vm].request_slot(ask, now):
             assert isinstance(action, Grant)
             self._start(vm, action, now)
 
@@ -137,7 +137,7 @@
     ) -> None:
         outcome = 'failed' if self._rng.random() < FAILURE_SHARE else 'done'
         report = RunReport(outcome, completion_tokens=1, seconds=ends - started)
-        self._policies[vm].ended(grant.request_id, report, ends)
+        self._policies[vm].end_run(grant.request_id, report, ends)
         self._free_until[vm][grant.runner] = ends + CONNECTION_IDLE_S
 
 
@@ -187,7 +187,7 @@
         switches=PLAIN_SWITCHES,
     )
     names = ('slow', 'a', 'b')
-    policy.runners(
+    policy.update_runners(
         [RunnerInfo(one, slots=SLOTS, warm=True) for one in names], 0
     )
     got: Counter[str] = Counter()
@@ -197,7 +197,7 @@
         got[grant.runner] += 1
         seconds = RUN_S * (4 if grant.runner == 'slow' else 1)
         report = RunReport('done', completion_tokens=1, seconds=seconds)
-        policy.ended(f'{number}', report, now + seconds)
+        policy.end_run(f'{number}', report, now + seconds)
     assert 20 <= got['slow'] <= 120
 
 
@@ -215,11 +215,11 @@
         switches=PLAIN_SWITCHES,
     )
     names = ('limited', 'other')
-    policy.runners(
+    policy.update_runners(
         [RunnerInfo(one, slots=SLOTS, warm=True) for one in names], 0
     )
     per_s = 0.4
-    policy.start_rates({'limited': per_s}, 0)
+    policy.update_start_rates({'limited': per_s}, 0)
     starts = []
     for number in range(20_000):
         now = number / 20
@@ -227,7 +227,7 @@
         if grant.runner == 'limited':
             starts.append(now)
         report = RunReport('done', completion_tokens=1, seconds=RUN_S)
-        policy.ended(grant.request_id, report, now + RUN_S)
+        policy.end_run(grant.request_id, report, now + RUN_S)
     waits = [later - earlier for earlier, later in pairwise(starts)]
     assert max(waits) <= 2 / per_s
 
@@ -250,6 +250,6 @@
         cancellable=False,
         connected=connected,
     )
-    (grant,) = policy.ask(ask, now)
+    (grant,) = policy.request_slot(ask, now)
     assert isinstance(grant, Grant)
     return grant
--- a/tests/decisions/test_resends.py
+++ b/tests/decisions/test_resends.py
@@ -1,8 +1,8 @@
 """Budget of requests sent to a second runner, over all VMs."""
 
-from bramleybend.decisions.resends import ResendBudget, ResendTerms
+from bramleybend.decisions.resends import ResendBudget, ResendLimits
 
-TERMS = ResendTerms(ratio=0.2, extra=52, window_s=10)
+TERMS = ResendLimits(ratio=0.2, extra_per_window=52, window_s=10)
 STEP_S = 0.01
 
 
@@ -22,26 +22,26 @@
             continue
         for budget in budgets:
             requests.append(now)
-            budget.requested('s', vms, now)
-            while budget.spend('s', vms, now):
+            budget.record_request('s', vms, now)
+            while budget.try_spend('s', vms, now):
                 spent.append(now)
     for start in range(30):
         window = range(start, start + int(TERMS.window_s))
         asked = sum(int(at) in window for at in requests)
         again = sum(int(at) in window for at in spent)
-        assert again <= TERMS.ratio * asked + TERMS.extra
+        assert again <= TERMS.ratio * asked + TERMS.extra_per_window
 
 
 def test_a_quiet_vm_may_resend_a_failed_request() -> None:
     """A VM's part of the fixed allowance needs no traffic."""
     budget = ResendBudget(TERMS)
-    assert budget.spend('s', 6, 0)
+    assert budget.try_spend('s', 6, 0)
 
 
 def test_many_vms_share_the_fixed_allowance() -> None:
     """With 78 VMs a part is below 1; resends then need requests."""
     budget = ResendBudget(TERMS)
-    assert not budget.spend('s', 78, 0)
+    assert not budget.try_spend('s', 78, 0)
     for _ in range(5):
-        budget.requested('s', 78, 0)
-    assert budget.spend('s', 78, 0)
+        budget.record_request('s', 78, 0)
+    assert budget.try_spend('s', 78, 0)
--- a/tests/decisions/test_start_rate.py
+++ b/tests/decisions/test_start_rate.py
@@ -30,13 +30,13 @@
 def test_start_rate_applies_while_slots_are_free() -> None:
     """Short runs release their slots at once, so slots don't bound the rate."""
     policy = make_policy('engine-1')
-    policy.start_rates({'engine-1': 1}, 0)
+    policy.update_start_rates({'engine-1': 1}, 0)
     started = []
     for number in range(40):
         now = number / 10
-        names = granted_ids(policy.ask(make_ask(f'a{number:02}'), now))
+        names = granted_ids(policy.request_slot(make_ask(f'a{number:02}'), now))
         for name in names:
-            policy.ended(name, RunReport('done', seconds=0.01), now + 0.01)
+            policy.end_run(name, RunReport('done', seconds=0.01), now + 0.01)
         started.extend(names)
         due = policy.next_wake(now)
         assert due is not None
@@ -46,14 +46,14 @@
 def test_removed_rate_limit_starts_waiting_requests() -> None:
     """No request waits for a rate that is no longer in force."""
     policy = make_policy('engine-1')
-    policy.start_rates({'engine-1': 0.25}, 0)
-    assert not granted_ids(policy.ask(make_ask('a'), 0))
-    assert granted_ids(policy.start_rates({}, 0.1)) == ['a']
+    policy.update_start_rates({'engine-1': 0.25}, 0)
+    assert not granted_ids(policy.request_slot(make_ask('a'), 0))
+    assert granted_ids(policy.update_start_rates({}, 0.1)) == ['a']
 
 
 def test_request_is_refused_when_all_rates_are_zero() -> None:
     """Another VM has the runner's whole limit; the request would wait in vain."""
     policy = make_policy('engine-1')
-    policy.start_rates({'engine-1': 0}, 0)
-    (refused,) = policy.ask(make_ask('a'), 0)
+    policy.update_start_rates({'engine-1': 0}, 0)
+    (refused,) = policy.request_slot(make_ask('a'), 0)
     assert refused.reason == 'no_live_runner'  # type: ignore[union-attr]
--- a/tests/direct/test_allotments_after_restart.py
+++ b/tests/direct/test_allotments_after_restart.py
@@ -2,7 +2,11 @@
 
 import pytest
 
-from bramleybend.decisions.allotments import SETTLE_S, Allowance, Tolerance
+from bramleybend.decisions.allotments import (
+    STARTUP_HOLD_S,
+    Allowance,
+    Tolerance,
+)
 from bramleybend.direct.members import BEAT_S
 from tests.utils.allotment_demand import Demand
 from tests.utils.peer_network import Network
@@ -119,7 +123,7 @@
     demand.run(1)
     if are_all_restarted:
         demand.restart(range(9), down_s=1, within_s=0.3)
-        demand.run(SETTLE_S + 3)
+        demand.run(STARTUP_HOLD_S + 3)
     demand.refused.clear()
     for number in range(9):
         before = len(demand.refused)
@@ -153,7 +157,7 @@
     demand.network.cut = {frozenset('01'), frozenset('12')}
     numbers = [1, 4, 7]
     demand.restart(numbers, down_s=0.5, within_s=0)
-    demand.run(SETTLE_S + 0.2)
+    demand.run(STARTUP_HOLD_S + 0.2)
     starters = {f'entry-{number}' for number in numbers}
     assert {name for _, name in demand.refused} <= starters
     demand.network.cut = set()
@@ -196,7 +200,7 @@
     started = demand.network.clock.monotonic()
     demand.run(10)
     late = [moment - started for moment, _ in demand.refused]
-    assert all(since <= SETTLE_S + 2 for since in late)
+    assert all(since <= STARTUP_HOLD_S + 2 for since in late)
     now = demand.network.clock.monotonic()
     for vm in demand.network.up():
         vm.allotments.admit('busy', demand.allowance, 0, now)
--- a/tests/direct/test_containment.py
+++ b/tests/direct/test_containment.py
@@ -5,7 +5,7 @@
 from datetime import UTC, datetime
 
 from bramleybend.clock import ManualClock
-from bramleybend.decisions.quarantine import CONDEMNED
+from bramleybend.decisions.quarantine import REFUSAL_CRASHES
 from bramleybend.direct.containment import BROADCAST_S, Containment
 from bramleybend.direct.models import (
     RequestFacts,
@@ -65,8 +65,10 @@
             )
             statuses.append(answer.status)
             await asyncio.sleep(HEARTBEAT_WAIT_S)
-        assert statuses == [502] * CONDEMNED + [503] * (CALLS - CONDEMNED)
-        assert count_runs(cluster, POISON) == CONDEMNED
+        assert statuses == [502] * REFUSAL_CRASHES + [503] * (
+            CALLS - REFUSAL_CRASHES
+        )
+        assert count_runs(cluster, POISON) == REFUSAL_CRASHES
         for vm in (0, 1):
             answer = await cluster.call('/book/x', vm, body=INNOCENT)
             assert answer.status == 200
@@ -81,7 +83,7 @@
         await add_runners(cluster, 6)
         for number in range(CALLS):
             await cluster.call('/read/x', body=POISON, attempt=f'p{number}')
-        assert count_runs(cluster, POISON) == CONDEMNED
+        assert count_runs(cluster, POISON) == REFUSAL_CRASHES
 
 
 async def test_content_that_crashed_beside_others_is_cleared_by_one_good_run() -> (
@@ -96,7 +98,7 @@
 
     async def crashes_twice(seen: Seen) -> None:
         crash_counts[seen.body] += 1
-        if crash_counts[seen.body] <= CONDEMNED - 1:
+        if crash_counts[seen.body] <= REFUSAL_CRASHES - 1:
             seen.writer.transport.abort()
             return
         await answers(seen)
@@ -168,7 +170,7 @@
     """Heartbeats stay small when many connections break."""
     clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
     containment = Containment(clock, EventLog('vm', 'i', clock, kept=0))
-    for number in range(CONDEMNED):
+    for number in range(REFUSAL_CRASHES):
         containment.record_crash('refused', runner(number))
     containment.record_crash('broken', runner(0))
     containment.record_crash('cleared', runner(0))
--- a/tests/direct/test_gone_vms.py
+++ b/tests/direct/test_gone_vms.py
@@ -158,7 +158,7 @@
     now = network.clock.monotonic()
     let_in = [
         sum(
-            vm.allotments.admit('first', ALLOWANCE, 10_000, now).is_let_in
+            vm.allotments.admit('first', ALLOWANCE, 10_000, now).is_admitted
             for _ in range(20)
         )
         for vm in (old, starter)
--- a/tests/direct/test_owner_batches.py
+++ b/tests/direct/test_owner_batches.py
@@ -14,7 +14,7 @@
     RunnerInfo,
     RunReport,
 )
-from bramleybend.decisions.owner import ShardPolicy, make_shard_policy
+from bramleybend.decisions.shard_policy import ShardPolicy, make_shard_policy
 from bramleybend.direct.beat_messages import RunNews
 from bramleybend.direct.models import RunnerEntry, RunnerState
 from bramleybend.direct.owner import SWITCHES, ServiceQueue, make_queue
@@ -105,17 +105,17 @@
     infos = [
         RunnerInfo(f'r{number}', slots=8, warm=True) for number in range(10)
     ]
-    policy.runners(infos, 0)
+    policy.update_runners(infos, 0)
     for number in range(20):
-        policy.ask(ask_of_cost(f'l{number}', 100, 0), 0)
+        policy.request_slot(ask_of_cost(f'l{number}', 100, 0), 0)
     policy.tick(0)
     report = RunReport('done', prompt_tokens=1, completion_tokens=6, seconds=1)
     for number in range(20):
-        policy.ended(f'l{number}', report, 1)
+        policy.end_run(f'l{number}', report, 1)
     policy.tick(1)
     actions: list[Action] = []
     for number in range(64):
-        actions += policy.ask(ask_of_cost(f'b{number}', 1000, 1), 1)
+        actions += policy.request_slot(ask_of_cost(f'b{number}', 1000, 1), 1)
     actions += policy.tick(1)
     assert [type(action) for action in actions] == [Grant] * 64
 
--- a/tests/direct/test_spending_reports.py
+++ b/tests/direct/test_spending_reports.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from bramleybend.decisions.allotments import Spending
+from bramleybend.decisions.allotments import AccountReport
 from bramleybend.direct.beat_messages import Digest, SpendingNews, Spent
 from bramleybend.direct.digests import Digests
 from bramleybend.direct.members import HUBS, Members, Self
@@ -64,15 +64,15 @@
 def count_reported(vm: Vm) -> Counter[str]:
     """Count the totals that a VM applies from now on, by spending VM."""
     reported: Counter[str] = Counter()
-    apply = vm.allotments.heard
+    apply = vm.allotments.merge_report
 
     def count_and_apply(
-        peer: str, news: Mapping[str, Spending], now: float, **options: Any
+        peer: str, news: Mapping[str, AccountReport], now: float, **options: Any
     ) -> None:
         reported[peer.partition('/')[0]] += len(news)
         apply(peer, news, now, **options)
 
-    vars(vm.allotments)['heard'] = count_and_apply
+    vars(vm.allotments)['merge_report'] = count_and_apply
     return reported
 
 
--- a/tests/failures/test_engine_orders.py
+++ b/tests/failures/test_engine_orders.py
@@ -6,8 +6,8 @@
 engine that loads serves nobody, and a woken issuer still holds the old terms.
 """
 
-from collections.abc import Sequence
 import time
+from collections.abc import Sequence
 from dataclasses import replace
 from pathlib import Path
 from typing import Any
@@ -16,7 +16,7 @@
 import yaml
 
 from bramleybend.answers import Outcome
-from tests.utils.cluster import EXAMPLE, ENGINE_SERVICE, Layout
+from tests.utils.cluster import ENGINE_SERVICE, EXAMPLE, Layout
 from tests.utils.engine import Engine, EngineConfig
 from tests.utils.engine_weights import most_at_once
 from tests.utils.entry_vm import EntryVm
--- a/tests/failures/test_paused_processes.py
+++ b/tests/failures/test_paused_processes.py
@@ -24,7 +24,7 @@
 )
 LONGEST_DEADLINE_S = max(stream.deadline_s for stream in LOAD)
 PAUSES = 10
-# Shorter than what makes an owner start anew, see `decisions.floor`.
+# Shorter than what makes an owner start anew, see `decisions.tier_floor`.
 PAUSE_S = (0.9, 1.4)
 BETWEEN_S = (0.05, 0.4)
 
--- a/tests/test_conformance.py
+++ b/tests/test_conformance.py
@@ -13,13 +13,13 @@
 
 from bramleybend.clients.log_service import LogRecord
 from bramleybend.decisions.actions import Grant, RunnerInfo
-from bramleybend.decisions.floor import (
+from bramleybend.decisions.shard_policy import ShardPolicy, make_shard_policy
+from bramleybend.decisions.tier_floor import (
+    FloorRound,
     FloorTimes,
-    Round,
-    Settling,
     ShedPermits,
+    TakeoverState,
 )
-from bramleybend.decisions.owner import ShardPolicy, make_shard_policy
 from bramleybend.models import Ask, Service, ServiceKind, Tier
 from bramleybend.state.journal_rules import HomeJournal, JournalView, NotRun
 from bramleybend.state.terms_rules import TermsLog
@@ -121,28 +121,28 @@
     def __init__(self, *, load: bool) -> None:
         self.load = load
         self.now = float(0)
-        self.owners = [Settling(times=TIMES) for _ in range(3)]
+        self.owners = [TakeoverState(times=TIMES) for _ in range(3)]
         self.policies = [make_policy() for _ in range(3)]
         self.permits = ShedPermits(TIMES)
-        self.round: Round | None = None
-        self.old: list[Round] = []
+        self.round: FloorRound | None = None
+        self.old: list[FloorRound] = []
 
     def step(self, label: str, before: Any, after: Any) -> None:
         if label == 'a tick':
             self.now += 1
         elif label == 'B takes shard 1 over':
             # Owners' clocks are fast, by as much as the model lets them be.
-            self.owners[2] = Settling(
+            self.owners[2] = TakeoverState(
                 self.now - floor_state.DRIFT,
-                watches_load=self.load,
+                has_load_reports=self.load,
                 times=TIMES,
             )
             hold_s = TIMES.grace_s - floor_state.DRIFT
             self.policies[2].set_floor(min(Tier), hold_s, self.now)
         elif label == 'the run is registered with B':
-            self.owners[1].lose_run(self.now - floor_state.DRIFT)
+            self.owners[1].record_lost_run(self.now - floor_state.DRIFT)
         elif label == 'a load report shows no surplus':
-            self.owners[2].note_load(0, self.now)
+            self.owners[2].record_load_report(0, self.now)
         elif label == 'the caller opens a round':
             self.open_round(before)
         elif label.startswith('owner'):
@@ -163,16 +163,18 @@
         stale = before.taken and not (before.fresh or before.caller_knows)
         if self.round:
             self.old.append(self.round)
-        self.round = self.permits.begin(
+        self.round = self.permits.open_round(
             POOL.name,
             Tier.HIGH,
             frozenset({0, 1}),
             self.now,
-            view_age=TIMES.fresh_s if stale else 0,
+            view_age=TIMES.max_view_age_s if stale else 0,
         )
 
-    def reply(self, opened: Round, shard: int, *, lower_running: bool) -> None:
-        self.permits.reply(
+    def reply(
+        self, opened: FloorRound, shard: int, *, lower_running: bool
+    ) -> None:
+        self.permits.handle_reply(
             opened,
             shard,
             self.now,
@@ -182,20 +184,20 @@
 
     def compare(self, state: floor_state.State) -> None:
         _, first, second = self.owners
-        permit = self.permits.permit(POOL.name, Tier.HIGH, self.now)
+        permit = self.permits.has_permit(POOL.name, Tier.HIGH, self.now)
         assert permit == bool(state.permit)
         assert self.starts(0) == (not state.floors[0])
         assert self.starts(1) == (not state.floors[1])
-        assert first.settled(self.now) == (not state.lost_run)
+        assert first.is_settled(self.now) == (not state.lost_run)
         if state.taken:
             assert self.starts(2) == (not (state.grace or state.floors[2]))
             known = state.load_clear if self.load else not state.grace
-            assert second.settled(self.now) == known
+            assert second.is_settled(self.now) == known
 
     def starts(self, owner: int) -> bool:
         """Whether the owner would start a request of the lower tier."""
         policy = self.policies[owner]
-        actions = policy.ask(LOWER, self.now)
+        actions = policy.request_slot(LOWER, self.now)
         policy.withdraw(LOWER.request_id, self.now)
         return any(isinstance(action, Grant) for action in actions)
 
@@ -203,7 +205,7 @@
 def make_policy() -> ShardPolicy:
     policy = make_shard_policy(POOL, random.Random(1))
     # Listed long before the first ask, so that slow start is over.
-    policy.runners([RunnerInfo('engine-1')], -100)
+    policy.update_runners([RunnerInfo('engine-1')], -100)
     return policy
 
 
--- a/tests/test_floor_round.py
+++ b/tests/test_floor_round.py
@@ -12,7 +12,7 @@
 import pytest_asyncio
 
 from bramleybend.clock import SystemClock
-from bramleybend.decisions.floor import ShedPermits
+from bramleybend.decisions.tier_floor import ShedPermits
 from bramleybend.gateway import floor_round
 from bramleybend.gateway.floor_round import FloorRounds, FloorRpc
 from bramleybend.models import Tier
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bramleybend.decisions.ownership import owners_of, shard_of
+from bramleybend.decisions.ownership import rank_owners, shard_of
 from bramleybend.state.member import Member
 
 SERVICES = [f'model-{index}' for index in range(18)]
@@ -25,7 +25,7 @@
 
 def _owners(members: list[Member]) -> dict[tuple[str, int], str]:
     return {
-        (service, shard): owners_of(service, shard, members)[0].vm
+        (service, shard): rank_owners(service, shard, members)[0].vm
         for service in SERVICES
         for shard in range(SHARDS)
     }
@@ -81,15 +81,15 @@
     members = _members(50, 3)
 
     for service in SERVICES:
-        owner, fallback, *_ = owners_of(service, 0, members)
+        owner, fallback, *_ = rank_owners(service, 0, members)
         assert owner.domain != fallback.domain
 
 
 def test_one_domain_alone_still_has_fallbacks() -> None:
     members = _members(4, 1)
 
-    assert len(owners_of('model-0', 0, members)) == 4
+    assert len(rank_owners('model-0', 0, members)) == 4
 
 
 def test_nobody_owns_a_shard_while_no_member_is_known() -> None:
-    assert not owners_of('model-0', 0, [])
+    assert not rank_owners('model-0', 0, [])
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,7 +7,7 @@
 from typing import cast
 
 from bramleybend.clock import ManualClock
-from bramleybend.decisions.quarantine import CrashBook
+from bramleybend.decisions.quarantine import CrashRegistry
 from bramleybend.identity import Identity
 from bramleybend.models import RunnerState, Vm
 from bramleybend.scheduler.peer_transport import PeerTransport
@@ -92,7 +92,7 @@
     sources = PeerSources(
         IDENTITY,
         cast(TermsFollower, terms),
-        CrashBook(),
+        CrashRegistry(),
         lambda: vms,
         lambda: (),
     )
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -8,11 +8,11 @@
 from bramleybend.errors import ErrorKind
 from bramleybend.settings import (
     ProcessKind,
-    settings_of,
     parse_settings,
+    settings_of,
 )
-from bramleybend.settings_parsing import env_of, flag_of, parse_program
 from bramleybend.settings_page import settings_page
+from bramleybend.settings_parsing import env_of, flag_of, parse_program
 from bramleybend.settings_types import HostPort
 
 PAGE = Path(__file__).parent.parent / 'docs' / 'operators' / 'SETTINGS.md'
--- a/tests/test_shard_table.py
+++ b/tests/test_shard_table.py
@@ -12,8 +12,8 @@
 import pytest
 
 from bramleybend.clock import ManualClock
-from bramleybend.decisions.floor import DEFAULT_TIMES
-from bramleybend.decisions.quarantine import CrashBook
+from bramleybend.decisions.quarantine import CrashRegistry
+from bramleybend.decisions.tier_floor import DEFAULT_TIMES
 from bramleybend.events import EventLog
 from bramleybend.metrics import NullMetrics
 from bramleybend.models import Ask, Service, ServiceKind, Terms, Tier
@@ -58,7 +58,7 @@
                 self.clock,
                 EventLog('scheduler', 'a1', self.clock),
                 NullMetrics(),
-                CrashBook(),
+                CrashRegistry(),
             ),
             Random(1),
         )
@@ -91,7 +91,7 @@
 
 async def test_new_owner_is_settled_only_after_the_grace() -> None:
     table = ShardTableFixture()
-    table.run_unpaused(DEFAULT_TIMES.fresh_s)
+    table.run_unpaused(DEFAULT_TIMES.max_view_age_s)
     assert not table.is_settled
     table.run_unpaused(DEFAULT_TIMES.hold_s)
 
@@ -100,9 +100,9 @@
 
 async def test_paused_owner_must_settle_again(table: ShardTableFixture) -> None:
     assert table.is_settled
-    table.clock.advance(DEFAULT_TIMES.fresh_s)
+    table.clock.advance(DEFAULT_TIMES.max_view_age_s)
     assert not table.is_settled  # also before the next update
-    table.run_unpaused(DEFAULT_TIMES.fresh_s)
+    table.run_unpaused(DEFAULT_TIMES.max_view_age_s)
     assert not table.is_settled
     table.run_unpaused(DEFAULT_TIMES.hold_s)
 
@@ -119,7 +119,7 @@
     for _ in range(PAUSE_CHECKS_PER_UPDATE - 1):
         table.clock.advance(UPDATE_INTERVAL_S / PAUSE_CHECKS_PER_UPDATE)
         table.shards.mark_running()
-    table.clock.advance(DEFAULT_TIMES.fresh_s - short_by_s)
+    table.clock.advance(DEFAULT_TIMES.max_view_age_s - short_by_s)
     table.shards.mark_running()
     assert table.is_settled is not must_settle_again
 
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -12,7 +12,7 @@
 import pytest_asyncio
 
 from bramleybend.clock import SystemClock
-from bramleybend.decisions.floor import FRESH_S
+from bramleybend.decisions.tier_floor import MAX_VIEW_AGE_S
 from bramleybend.events import EventLog
 from bramleybend.gateway.view import (
     REPLY_GRACE_S,
@@ -133,7 +133,7 @@
     """Guards against dropping valid grants because the view is too old."""
     for scheduler in gateway.schedulers[:paused]:
         scheduler.running.clear()
-    assert await gateway.max_view_age_s() < FRESH_S
+    assert await gateway.max_view_age_s() < MAX_VIEW_AGE_S
 
 
 async def test_the_own_scheduler_is_asked_again_once_it_replies(
--- a/tests/timeline/test_cause.py
+++ b/tests/timeline/test_cause.py
@@ -6,10 +6,10 @@
 import pytest
 
 from bramleybend.cli.event_logs import read_logs
+from bramleybend.status import ExitStatus
 from bramleybend.timeline.cause import findings
 from bramleybend.timeline.merge import merge
 from bramleybend.timeline.read import read_lines
-from bramleybend.status import ExitStatus
 from tests.cli.world import World
 from tests.utils.processes import ROOT
 
--- a/tests/utils/allotment_demand.py
+++ b/tests/utils/allotment_demand.py
@@ -95,7 +95,7 @@
             vm.members.share(now),
             are_runners_idle=self.are_runners_idle,
         )
-        if verdict.is_let_in:
+        if verdict.is_admitted:
             self.let_in.append((now, self.units))
         else:
             self.refused.append((now, vm.name))
--- a/tests/utils/peer_network.py
+++ b/tests/utils/peer_network.py
@@ -12,10 +12,10 @@
 
 from bramleybend.clock import Clock, ManualClock
 from bramleybend.decisions.allotments import (
-    AllotmentBook,
+    AllotmentLedger,
     Allowance,
     Tolerance,
-    make_allotment_book,
+    make_allotment_ledger,
 )
 from bramleybend.direct.book import Book
 from bramleybend.direct.containment import Containment
@@ -46,7 +46,7 @@
     name: str
     address: str
     members: Members
-    allotments: AllotmentBook
+    allotments: AllotmentLedger
     peers: Peers
     next_beat: float
     is_up: bool = True
@@ -62,7 +62,7 @@
 
     def debt(self, workspace: str) -> float:
         """Return what it knows that all VMs have taken of an allotment."""
-        spending = self.allotments.spendings().get(workspace)
+        spending = self.allotments.reports().get(workspace)
         return spending.debt if spending else 0
 
 
@@ -205,7 +205,7 @@
     book = Book(clock, events)
     queues = make_queues(book, members, clock, events, Random(number))
     placer = Placer(book, members, queues, clock, events)
-    allotments = make_allotment_book(
+    allotments = make_allotment_ledger(
         Tolerance(), clock.monotonic(), is_first_start=incarnation == FIRST
     )
     vm: Vm
--- a/tests/utils/queueing_fake.py
+++ b/tests/utils/queueing_fake.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from bramleybend.decisions.prefixes import prefix_tokens
-from bramleybend.decisions.runs import COMPLETION_COST
+from bramleybend.decisions.runs import DECODE_TOKEN_COST
 from bramleybend.models import Repeat, Tier
 
 TINY = 1e-9
@@ -48,7 +48,7 @@
     @property
     def work(self) -> float:
         """Return the work without any cache."""
-        return self.prompt + self.completion * COMPLETION_COST
+        return self.prompt + self.completion * DECODE_TOKEN_COST
 
     def prefixes(self) -> tuple[str, ...]:
         """Name the prefixes as a gateway's hashes would."""
@@ -209,7 +209,7 @@
             run.cached = self.cache.held_tokens(segments)
             run.elsewhere = self.cache.elsewhere(segments)
             run.prefill_left = run.job.prompt - run.cached
-            run.decode_left = run.job.completion * COMPLETION_COST
+            run.decode_left = run.job.completion * DECODE_TOKEN_COST
             run.started = True
             self.running.append(run)
 
