--- a/bramleybend/decisions/admission.py
+++ b/bramleybend/decisions/admission.py
@@ -19,13 +19,13 @@
 
 from bramleybend.decisions.runs import Runner
 from bramleybend.decisions.shard import Shard
-from bramleybend.models import Ask, Tier
+from bramleybend.models import SlotRequest, Tier
 
 MAX_WAIT_RATIO = 1.5  # maximum estimated wait, in times of the time left
 MAX_QUEUED = 10_000
 
 
-def sanitize_ask(ask: Ask) -> Ask:
+def sanitize_ask(ask: SlotRequest) -> SlotRequest:
     """Replace invalid values by the valid ones that harm other requests least."""
     tokens = max(ask.prompt_tokens, 0)
     cost = ask.cost
@@ -43,7 +43,11 @@
 
 
 def refusal_reason(
-    shard: Shard, ask: Ask, now: float, *, has_unassigned_slots: bool = False
+    shard: Shard,
+    ask: SlotRequest,
+    now: float,
+    *,
+    has_unassigned_slots: bool = False,
 ) -> str | None:
     """Return why a request can't be queued, or None if it can.
 
@@ -59,7 +63,7 @@
     return None
 
 
-def _is_unavailable(runner: Runner, ask: Ask) -> bool:
+def _is_unavailable(runner: Runner, ask: SlotRequest) -> bool:
     return (
         runner.leaving
         or runner.name in ask.excluded
@@ -67,7 +71,7 @@
     )
 
 
-def _exceeds_deadline(shard: Shard, ask: Ask, now: float) -> bool:
+def _exceeds_deadline(shard: Shard, ask: SlotRequest, now: float) -> bool:
     if not shard.switches.admission or shard.has_run_below(ask.tier):
         return False
     rate = shard.drain_per_s(now)
--- a/bramleybend/decisions/expiry.py
+++ b/bramleybend/decisions/expiry.py
@@ -20,7 +20,7 @@
 from bramleybend.decisions.tier_floor import FLOOR_HOLD_S
 from bramleybend.decisions.tier_queue import WaitingEntry
 from bramleybend.decisions.waiting_queue import WaitingQueue
-from bramleybend.models import Ask, Tier
+from bramleybend.models import SlotRequest, Tier
 
 
 def expire(shard: Shard, now: float) -> list[Action]:
@@ -33,7 +33,7 @@
 
 
 def refuse(
-    shard: Shard, ask: Ask, reason: str, now: float, *, shed: bool
+    shard: Shard, ask: SlotRequest, reason: str, now: float, *, shed: bool
 ) -> Refuse:
     """Refuse a request and tell its caller when to retry."""
     if shed and shard.switches.floor_at_refusal:
--- a/bramleybend/decisions/placement.py
+++ b/bramleybend/decisions/placement.py
@@ -19,7 +19,7 @@
 from bramleybend.decisions.runner_pace import Pace
 from bramleybend.decisions.runs import Runner
 from bramleybend.decisions.shard import Shard
-from bramleybend.models import Ask
+from bramleybend.models import SlotRequest
 
 MAX_BACKLOG_S = 0.5
 SHORT_PREFILL_TOKENS = 512
@@ -60,7 +60,7 @@
     # Estimates the cached tokens of a prompt; see `CacheView.cached_tokens`.
     cached_tokens: Callable[[Sequence[str], int], int]
 
-    def prefill_tokens(self, ask: Ask) -> int:
+    def prefill_tokens(self, ask: SlotRequest) -> int:
         """Estimate the prompt tokens that are not cached on this runner."""
         prompt = ask.prompt_tokens
         if not ask.prefixes:
@@ -68,11 +68,11 @@
         cached = self.cached_tokens(ask.prefixes, prompt)
         return prompt - cached if prompt > cached else 0
 
-    def estimate_run_s(self, ask: Ask) -> float:
+    def estimate_run_s(self, ask: SlotRequest) -> float:
         """Estimate the seconds that a request runs on this runner."""
         return self._estimate_s(self.prefill_tokens(ask), decode_work(ask))
 
-    def can_start(self, ask: Ask) -> bool:
+    def can_start(self, ask: SlotRequest) -> bool:
         """Tell whether a request may start on this runner."""
         return self._accepts_prefill(self.prefill_tokens(ask))
 
@@ -120,7 +120,7 @@
 
 
 def find_placement(
-    snapshots: Sequence[RunnerSnapshot], ask: Ask, left: TimeLeft
+    snapshots: Sequence[RunnerSnapshot], ask: SlotRequest, left: TimeLeft
 ) -> Placement:
     """Compare the runners for one request with this time left.
 
@@ -140,7 +140,7 @@
 
 def _evaluate_free(
     snapshots: Sequence[RunnerSnapshot],
-    ask: Ask,
+    ask: SlotRequest,
     decode: float,
     left: TimeLeft,
     placement: Placement,
@@ -172,7 +172,7 @@
 
 def _evaluate_busy(
     snapshots: Sequence[RunnerSnapshot],
-    ask: Ask,
+    ask: SlotRequest,
     decode: float,
     placement: Placement,
 ) -> None:
@@ -197,12 +197,12 @@
             placement.min_cost_prefill = prefill
 
 
-def time_left(ask: Ask, now: float) -> TimeLeft:
+def time_left(ask: SlotRequest, now: float) -> TimeLeft:
     """Return the time that remains for a request's answer."""
     return TimeLeft(ask.begin_by - now, ask.deadline - now)
 
 
-def decode_work(ask: Ask) -> float:
+def decode_work(ask: SlotRequest) -> float:
     """Return the work of a request beyond its prompt, at least 1."""
     return max(ask.cost - ask.prompt_tokens, 1)
 
--- a/bramleybend/decisions/pool.py
+++ b/bramleybend/decisions/pool.py
@@ -16,7 +16,7 @@
 from bramleybend.decisions.slow_start import RAMP_S, Ramp
 from bramleybend.decisions.switches import PolicySwitches
 from bramleybend.decisions.waiting_queue import MinRunTime
-from bramleybend.models import Ask
+from bramleybend.models import SlotRequest
 
 
 class RunnerPool:
@@ -83,7 +83,7 @@
         pace = runner.pace_estimator.pace if self._switches.speeds else None
         return pace or mean
 
-    def min_run_time(self, ask: Ask) -> MinRunTime:
+    def min_run_time(self, ask: SlotRequest) -> MinRunTime:
         """Estimate the run time of a request on the best idle runner."""
         if not self._switches.expiry:
             return MinRunTime(0, 0)
@@ -139,7 +139,7 @@
         return runner
 
 
-def _prefill_tokens(ask: Ask, runner: Runner) -> int:
+def _prefill_tokens(ask: SlotRequest, runner: Runner) -> int:
     if not ask.prefixes:
         return max(ask.prompt_tokens, 0)
     cached = runner.cache.cached_tokens(ask.prefixes, ask.prompt_tokens)
--- a/bramleybend/decisions/preemption.py
+++ b/bramleybend/decisions/preemption.py
@@ -19,7 +19,7 @@
 from bramleybend.decisions.runs import Run
 from bramleybend.decisions.shard import Shard
 from bramleybend.decisions.tier_queue import WaitingEntry
-from bramleybend.models import Ask, Tier
+from bramleybend.models import SlotRequest, Tier
 
 MAX_VICTIMS_PER_STEP = 8  # bounds the time of one step
 
@@ -94,7 +94,7 @@
 
 
 def _possible_victims(
-    ask: Ask,
+    ask: SlotRequest,
     candidates: list[Run],
     snapshots: dict[str, RunnerSnapshot],
     now: float,
@@ -118,7 +118,7 @@
     )
 
 
-def _has_slot(ask: Ask, snapshots: dict[str, RunnerSnapshot]) -> bool:
+def _has_slot(ask: SlotRequest, snapshots: dict[str, RunnerSnapshot]) -> bool:
     return any(
         snapshot.is_free
         for name, snapshot in snapshots.items()
@@ -126,7 +126,7 @@
     )
 
 
-def _can_start(ask: Ask, snapshots: dict[str, RunnerSnapshot]) -> bool:
+def _can_start(ask: SlotRequest, snapshots: dict[str, RunnerSnapshot]) -> bool:
     return any(
         snapshot.can_start(ask)
         for name, snapshot in snapshots.items()
@@ -135,7 +135,7 @@
 
 
 def _frees_enough(
-    run: Run, ask: Ask, snapshot: RunnerSnapshot, time_left_s: float
+    run: Run, ask: SlotRequest, snapshot: RunnerSnapshot, time_left_s: float
 ) -> bool:
     # While a slot is free, only a prompt in prefill can block the request.
     if snapshot.is_free and not run.backlog_tokens:
--- a/bramleybend/decisions/random_placement.py
+++ b/bramleybend/decisions/random_placement.py
@@ -22,7 +22,7 @@
     decode_work,
 )
 from bramleybend.decisions.runs import Runner
-from bramleybend.models import Ask
+from bramleybend.models import SlotRequest
 
 MIN_RUN_S = 0.001  # precision of the measured run times
 FAILURE_COST_FACTOR = 20.0  # cost added at a failure share of 1, in run times
@@ -31,7 +31,10 @@
 
 
 def draw_runner(
-    snapshots: Sequence[RunnerSnapshot], ask: Ask, left: TimeLeft, rng: Random
+    snapshots: Sequence[RunnerSnapshot],
+    ask: SlotRequest,
+    left: TimeLeft,
+    rng: Random,
 ) -> Runner | None:
     """Draw a runner that may start a request now, if there is one."""
     eligible = [
@@ -43,14 +46,16 @@
     return rng.choices(eligible, weights)[0].runner
 
 
-def _can_start(snapshot: RunnerSnapshot, ask: Ask, left: TimeLeft) -> bool:
+def _can_start(
+    snapshot: RunnerSnapshot, ask: SlotRequest, left: TimeLeft
+) -> bool:
     seconds = snapshot.estimate_run_s(ask)
     return snapshot.can_start_in_time(
         snapshot.prefill_tokens(ask), seconds, left
     )
 
 
-def _weight(snapshot: RunnerSnapshot, ask: Ask) -> float:
+def _weight(snapshot: RunnerSnapshot, ask: SlotRequest) -> float:
     # Slots are not reduced by a start rate: `can_start_in_time` has already
     # applied it.
     slots = snapshot.runner.limit.value
--- a/bramleybend/decisions/routing.py
+++ b/bramleybend/decisions/routing.py
@@ -19,14 +19,14 @@
 
 from bramleybend.decisions.actions import ShardView
 from bramleybend.decisions.prefixes import routing_key
-from bramleybend.models import Ask
+from bramleybend.models import SlotRequest
 
 MAX_LOAD_RATIO = 1.25  # of the mean; the usual bound of bounded-load hashing
 MAX_VIEW_AGE_S = 5.0  # older loads count as unknown
 
 
 def rank_shards(
-    ask: Ask,
+    ask: SlotRequest,
     shards: Sequence[ShardView],
     rng: Random,
 ) -> list[int]:
@@ -55,6 +55,6 @@
     return (view.running + view.waiting) / max(view.limit, 1)
 
 
-def _score(ask: Ask, view: ShardView) -> int:
+def _score(ask: SlotRequest, view: ShardView) -> int:
     key = routing_key(ask.prefixes, ask.request_id)
     return xxh64_intdigest(f'{key}/{view.service}/{view.shard}'.encode())
--- a/bramleybend/decisions/runs.py
+++ b/bramleybend/decisions/runs.py
@@ -9,7 +9,7 @@
 from bramleybend.decisions.runner_pace import PaceEstimator
 from bramleybend.decisions.slow_start import Ramp
 from bramleybend.decisions.start_rate import StartRate
-from bramleybend.models import Ask, Tier
+from bramleybend.models import SlotRequest, Tier
 
 DECODE_TOKEN_COST = 8  # work of decoding a token, in prompt tokens
 
@@ -18,7 +18,7 @@
 class Run:
     """A granted request until its end is reported."""
 
-    ask: Ask
+    ask: SlotRequest
     runner: str
     started_at: float
     prefill_tokens: int  # not taken from a prefix cache
--- a/bramleybend/decisions/shard.py
+++ b/bramleybend/decisions/shard.py
@@ -12,7 +12,7 @@
 from bramleybend.decisions.switches import PolicySwitches
 from bramleybend.decisions.tier_queue import WaitingEntry
 from bramleybend.decisions.waiting_queue import WaitingQueue
-from bramleybend.models import Ask, Tier
+from bramleybend.models import SlotRequest, Tier
 
 STARTS_HALF_LIFE_S = 2.0
 
@@ -62,7 +62,7 @@
         per_s = self.recent_starts.value(now) * log(2) / STARTS_HALF_LIFE_S
         return per_s * self.overload.min_share
 
-    def queue_for(self, ask: Ask) -> WaitingQueue:
+    def queue_for(self, ask: SlotRequest) -> WaitingQueue:
         """Return the queue that a request belongs to."""
         return self.suspects if ask.suspect else self.queue
 
@@ -74,7 +74,7 @@
         self.victims.pop(request_id, None)
         return entry
 
-    def start(self, ask: Ask, runner: Runner, now: float) -> None:
+    def start(self, ask: SlotRequest, runner: Runner, now: float) -> None:
         """Record that a request runs on a runner."""
         entry = self.dequeue(ask.request_id)
         if entry is not None:
@@ -94,7 +94,7 @@
             runner.reserved_for = ask.request_id
         self.queue.charge(ask, ask.cost)
 
-    def adopt(self, ask: Ask, runner_name: str, now: float) -> None:
+    def adopt(self, ask: SlotRequest, runner_name: str, now: float) -> None:
         """Record a run in progress, on a runner that may not be listed yet.
 
         The run counts as streaming, since its first token may have been sent
--- a/bramleybend/decisions/shard_policy.py
+++ b/bramleybend/decisions/shard_policy.py
@@ -29,7 +29,7 @@
 from bramleybend.decisions.shard import Shard
 from bramleybend.decisions.switches import PolicySwitches
 from bramleybend.decisions.waiting_queue import WaitingQueue
-from bramleybend.models import Ask, Service, ServiceKind, Tier
+from bramleybend.models import Service, ServiceKind, SlotRequest, Tier
 
 
 class ShardPolicy:
@@ -52,7 +52,7 @@
         # Until this time no waiting request can start unless an event occurs.
         self._idle_until = -inf
 
-    def request_slot(self, ask: Ask, now: float) -> list[Action]:
+    def request_slot(self, ask: SlotRequest, now: float) -> list[Action]:
         """Handle a request for a slot; a repeated request changes nothing."""
         moment = self._advance_clock(now)
         run = self._shard.runs.get(ask.request_id)
@@ -72,14 +72,16 @@
         self._shard.queue_for(ask).add(ask, moment, min_time)
         return self._decide_or_defer(moment, new_request_id=ask.request_id)
 
-    def adopt(self, ask: Ask, runner: str, now: float) -> list[Action]:
+    def adopt(self, ask: SlotRequest, runner: str, now: float) -> list[Action]:
         """Take over a run of a previous owner that was lost."""
         moment = self._advance_clock(now)
         if ask.request_id not in self._shard.runs:
             self._shard.adopt(sanitize_ask(ask), runner, moment)
         return self._decide_or_defer(moment)
 
-    def record_run(self, ask: Ask, name: str, now: float) -> list[Action]:
+    def record_run(
+        self, ask: SlotRequest, name: str, now: float
+    ) -> list[Action]:
         """Record a run that starts now under another owner's grant."""
         moment = self._advance_clock(now)
         runner = self._shard.pool.get(name)
@@ -227,7 +229,7 @@
             len(shard.pool.free_runners(moment)),
         )
 
-    def _refusal_reason(self, ask: Ask, now: float) -> str | None:
+    def _refusal_reason(self, ask: SlotRequest, now: float) -> str | None:
         # New requests don't form a queue while a free slot may still take them.
         has_unassigned_slots = (
             self.has_pending_events and self._shard.pool.has_room(now)
@@ -236,7 +238,7 @@
             self._shard, ask, now, has_unassigned_slots=has_unassigned_slots
         )
 
-    def _refuse(self, ask: Ask, reason: str, *, shed: bool) -> Action:
+    def _refuse(self, ask: SlotRequest, reason: str, *, shed: bool) -> Action:
         return refuse(self._shard, ask, reason, self._now, shed=shed)
 
     def _advance_clock(self, now: float) -> float:
--- a/bramleybend/decisions/tier_queue.py
+++ b/bramleybend/decisions/tier_queue.py
@@ -21,7 +21,7 @@
 
 from bramleybend.decisions.overload import LatenessTracker
 from bramleybend.decisions.prefixes import prefix_tokens
-from bramleybend.models import Ask
+from bramleybend.models import SlotRequest
 
 LATE_START_INTERVAL = 6  # starts, one of which goes to a late entry
 LATE_KEY_MIN = (True, -inf, '')  # lower bound of the late entries
@@ -33,7 +33,7 @@
 class WaitingEntry:
     """One queued request."""
 
-    ask: Ask
+    ask: SlotRequest
     arrived_at: float
     latest_start: float  # seconds; it expires then
     urgent_at: float  # seconds; its deadline is at risk from then on
@@ -133,7 +133,7 @@
             self._lanes.pop(name)
             self._lane_order.remove((self._virtual_times[name], name))
 
-    def charge(self, ask: Ask, cost: float) -> None:
+    def charge(self, ask: SlotRequest, cost: float) -> None:
         """Count cost as served to the request's workspace."""
         name = self._lane_of(ask)
         before = self._virtual_times.get(name, self._min_virtual_time)
@@ -184,12 +184,12 @@
         """Tell whether a waiting entry can still be on time."""
         return any(not lane[0].is_late for lane in self._lanes.values())
 
-    def count_ahead(self, ask: Ask) -> int:
+    def count_ahead(self, ask: SlotRequest) -> int:
         """Return the workspace's own entries times the number of workspaces."""
         own = len(self._lanes.get(self._lane_of(ask), ()))
         return min(own * max(len(self._lanes), 1), len(self))
 
-    def cost_ahead(self, ask: Ask) -> float:
+    def cost_ahead(self, ask: SlotRequest) -> float:
         """Return the workspace's own cost times the number of workspaces."""
         name = self._lane_of(ask)
         turns = max(len(self._lanes), 1)
@@ -209,7 +209,7 @@
             if first < len(lane):
                 yield list(lane.islice(first, first + WINDOW_ENTRIES))
 
-    def _lane_of(self, ask: Ask) -> str:
+    def _lane_of(self, ask: SlotRequest) -> str:
         return ask.workspace if self._fair else ''
 
     def _weight(self, name: str) -> float:
--- a/bramleybend/decisions/waiting_queue.py
+++ b/bramleybend/decisions/waiting_queue.py
@@ -28,7 +28,7 @@
     StartShares,
 )
 from bramleybend.decisions.tier_queue import TierQueue, WaitingEntry
-from bramleybend.models import Ask, Tier
+from bramleybend.models import SlotRequest, Tier
 
 AGEING_S_PER_COST = 0.0005
 MAX_AGEING_SHARE = 0.125  # of the time until the latest start
@@ -79,7 +79,7 @@
         """Tell whether a request is queued."""
         return request_id in self._entries
 
-    def add(self, ask: Ask, now: float, min_time: MinRunTime) -> None:
+    def add(self, ask: SlotRequest, now: float, min_time: MinRunTime) -> None:
         """Queue a request with its estimated minimum run time."""
         # Even with a wrong estimate, half of the time remains for a start.
         min_total_s = min(min_time.total_s, max(ask.deadline - now, 0) / 2)
@@ -131,7 +131,7 @@
                 has_moved = True
         return has_moved
 
-    def charge(self, ask: Ask, cost: float) -> None:
+    def charge(self, ask: SlotRequest, cost: float) -> None:
         """Count cost as served to the request's workspace."""
         self._tier_queue(ask.tier).charge(ask, cost)
 
@@ -217,11 +217,11 @@
             (one.arrived_at for one in self._entries.values()), default=inf
         )
 
-    def count_ahead(self, ask: Ask) -> int:
+    def count_ahead(self, ask: SlotRequest) -> int:
         """Estimate the number of entries of its tier ahead of a new one."""
         return self._tier_queue(ask.tier).count_ahead(ask)
 
-    def cost_ahead(self, ask: Ask) -> float:
+    def cost_ahead(self, ask: SlotRequest) -> float:
         """Estimate the cost queued ahead of a new entry, in all tiers."""
         above = sum(
             tier_queue.cost
--- a/bramleybend/direct/admission.py
+++ b/bramleybend/direct/admission.py
@@ -24,8 +24,8 @@
 from bramleybend.direct.members import Members
 from bramleybend.direct.models import (
     Allotment,
-    KeyHolder,
-    RequestFacts,
+    KeyedWorkspace,
+    RequestMetadata,
     Route,
     Target,
 )
@@ -82,7 +82,9 @@
         self._clock = clock
         self._rng = rng
 
-    def admit(self, req: RawRequest, facts: RequestFacts) -> Admission | Reply:
+    def admit(
+        self, req: RawRequest, facts: RequestMetadata
+    ) -> Admission | Reply:
         """Admit a request, or return the answer that rejects it."""
         manifest = self._book.manifest
         if manifest is None or not self._book.is_complete:
@@ -91,11 +93,11 @@
                 'this VM knows no manifest yet; nothing was run',
                 retry_after_s(facts, self._rng),
             )
-        route = manifest.route_of(req.host, req.path)
+        route = manifest.find_route(req.host, req.path)
         if route is None:
             return self._denial(HTTPStatus.NOT_FOUND, 'no route fits')
-        holder = manifest.key_holders.get(facts.key)
-        if holder is None and manifest.keyed and not route.public:
+        holder = manifest.workspaces_by_key.get(facts.key)
+        if holder is None and manifest.requires_key and not route.public:
             return self._denial(HTTPStatus.UNAUTHORIZED, 'the key is unknown')
         return self._check_allotment(route, holder, facts)
 
@@ -109,13 +111,16 @@
             )
 
     def _check_allotment(
-        self, route: Route, holder: KeyHolder | None, facts: RequestFacts
+        self,
+        route: Route,
+        holder: KeyedWorkspace | None,
+        facts: RequestMetadata,
     ) -> Admission | Reply:
         service = choose_service(route.targets, self._rng)
         if holder is None or holder.allotment is None:
             workspace = holder.name if holder else ''
             return Admission(route, service, workspace, route.tier, 0)
-        units = facts.units(holder.allotment)
+        units = facts.allotment_units(holder.allotment)
         verdict = self._verdict(holder.name, holder.allotment, units, service)
         if verdict.is_admitted:
             return Admission(
@@ -151,14 +156,14 @@
             units,
             self._clock.monotonic(),
             self._live_share(),
-            are_runners_idle=self._queues.of(service).is_idle(),
+            are_runners_idle=self._queues.queue_for(service).is_idle(),
         )
 
     def _account_age_s(self) -> float:
         return self._allotments.age_s(self._clock.monotonic())
 
     def _live_share(self) -> float:
-        return self._members.share(self._clock.monotonic())
+        return self._members.alive_fraction(self._clock.monotonic())
 
     def _denial(self, status: HTTPStatus, reason: str) -> Reply:
         inputs = self._manifest_inputs()
@@ -178,12 +183,12 @@
         }
 
 
-def manifest_wait_s(facts: RequestFacts) -> float:
+def manifest_wait_s(facts: RequestMetadata) -> float:
     """Return the seconds for which a request waits for the manifest."""
     return MANIFEST_WAIT_SHARE * _patience_s(facts)
 
 
-def retry_after_s(facts: RequestFacts, rng: Random) -> float:
+def retry_after_s(facts: RequestMetadata, rng: Random) -> float:
     """Return the seconds after which a caller without a manifest retries.
 
     They are random, so that the callers of an outage don't all return at the
@@ -193,8 +198,8 @@
     return remaining_s * rng.uniform(*RETRY_AFTER_SHARES)
 
 
-def _patience_s(facts: RequestFacts) -> float:
-    return facts.patience_s or DEFAULT_PATIENCE_S
+def _patience_s(facts: RequestMetadata) -> float:
+    return facts.timeout_s or DEFAULT_PATIENCE_S
 
 
 def choose_service(targets: Sequence[Target], rng: Random) -> str:
--- a/bramleybend/direct/attempt.py
+++ b/bramleybend/direct/attempt.py
@@ -205,7 +205,7 @@
         facts = self._header_codec.answer_facts(head)
         if facts.attempt_id == self._attempt_id and facts.limit is not None:
             runner = self.runner.incarnation
-            self._limits.answered(runner, facts.limit, sent_at)
+            self._limits.update_from_answer(runner, facts.limit, sent_at)
 
     async def _check_head(self, head: Head) -> Head | Failure:
         facts = self._header_codec.answer_facts(head)
--- a/bramleybend/direct/attempt_dispatcher.py
+++ b/bramleybend/direct/attempt_dispatcher.py
@@ -17,9 +17,9 @@
 from bramleybend.direct.header_codec import ForwardingFacts
 from bramleybend.direct.job import Components, Job
 from bramleybend.direct.models import RunnerEntry
-from bramleybend.direct.placing import NoSlot, Placement
+from bramleybend.direct.placement import NoSlot, Placement
 from bramleybend.direct.replies import Reply, own_reply
-from bramleybend.models import Ask
+from bramleybend.models import SlotRequest
 
 # Refusals of one request by runners after which the caller is told to retry
 # later instead of the request being kept. A refusal takes about a millisecond,
@@ -70,7 +70,7 @@
                 req=job.facts.attempt_id,
                 service=job.admission.service,
                 tokens=job.facts.prompt_tokens,
-                output=job.facts.expected_output,
+                output=job.facts.expected_output_tokens,
                 runner=placement.runner.name,
                 owner=placement.owner.vm if placement.owner else 'own',
                 waited_ms=self.ms_since(job.req.received_at),
@@ -94,7 +94,7 @@
             runner,
             job.admission.workspace,
             max(self.remaining_s(job), 0),
-            job.last_event_id or job.facts.resume_after,
+            job.last_event_id or job.facts.last_event_id,
         )
         headers = self._components.header_codec.runner_headers(
             job.req.headers, forwarding
@@ -134,7 +134,7 @@
             completion_tokens=generated_tokens or 1,
             seconds=self.now() - started_at,
         )
-        self._components.placer.ended(placement, report)
+        self._components.placer.release(placement, report)
 
     def take_retry(self, job: Job, failure: Failure) -> bool:
         """Decide whether a failed job is retried; count the retry if so."""
@@ -144,7 +144,7 @@
         ):
             return False
         if failure.run_status is RunStatus.MAY_HAVE_RUN:
-            return job.admission.route.may_repeat and self.take_rerun(job)
+            return job.admission.route.can_run_again and self.take_rerun(job)
         if failure.cause is not FailureCause.MOVED:
             job.refusal_count += 1
         if job.refusal_count >= MAX_REFUSALS or self.remaining_s(job) <= 0:
@@ -159,7 +159,7 @@
         """Decide whether a job that may have run runs again; count it if so."""
         return (
             not self._components.containment.is_refused(job.fingerprint)
-            and job.possible_runs < job.admission.route.most_runners
+            and job.possible_runs < job.admission.route.max_runners
             and self.remaining_s(job) > ANSWER_MARGIN_S
             and self._spend_resend(job)
         )
@@ -228,10 +228,10 @@
         elapsed = timedelta(seconds=self.now() - moment)
         return elapsed // timedelta(milliseconds=1)
 
-    def _ask(self, job: Job) -> Ask:
+    def _ask(self, job: Job) -> SlotRequest:
         facts = job.facts
-        return Ask(
-            request_id=self._components.placer.next_id(),
+        return SlotRequest(
+            request_id=self._components.placer.next_request_id(),
             service=job.admission.service,
             tier=job.admission.tier,
             workspace=job.admission.workspace,
@@ -243,7 +243,8 @@
             cancellable=False,
             suspect=self._components.containment.runs_alone(job.fingerprint),
             excluded=self._excluded_runners(job),
-            on_time_until=job.req.received_at + job.admission.route.objective_s,
+            on_time_until=job.req.received_at
+            + job.admission.route.target_latency_s,
             connected=self._components.channels.connected_runners(
                 job.admission.service
             ),
--- a/bramleybend/direct/book.py
+++ b/bramleybend/direct/book.py
@@ -93,7 +93,7 @@
             version=manifest.version,
             before=manifest_in_force.version if manifest_in_force else 0,
             routes=sum(len(routes) for routes in manifest.routes.values()),
-            keys=len(manifest.key_holders),
+            keys=len(manifest.workspaces_by_key),
         )
         self._update_used_runners()
         self._notify_listeners()
--- a/bramleybend/direct/containment.py
+++ b/bramleybend/direct/containment.py
@@ -22,8 +22,8 @@
     CrashRecord,
     CrashRegistry,
 )
-from bramleybend.direct.beat_messages import CrashNews
-from bramleybend.direct.models import RequestFacts, RunnerEntry
+from bramleybend.direct.heartbeat_messages import CrashReport
+from bramleybend.direct.models import RequestMetadata, RunnerEntry
 from bramleybend.direct.replies import RawRequest
 from bramleybend.events import EventLog
 
@@ -46,7 +46,7 @@
         self._events = events
         self._crash_book = CrashRegistry()
 
-    def fingerprint(self, req: RawRequest, facts: RequestFacts) -> str:
+    def fingerprint(self, req: RawRequest, facts: RequestMetadata) -> str:
         """Return a hash that is equal for equal caller, target and body."""
         head = b'\n'.join((req.method, req.target, facts.key.encode()))
         return xxh64_hexdigest(b'\n'.join((head, req.body)))
@@ -85,13 +85,13 @@
         """Record a run of this content that completed."""
         self._crash_book.record_finish(fingerprint, self._clock.monotonic())
 
-    def recent_news(self) -> list[CrashNews]:
+    def recent_news(self) -> list[CrashReport]:
         """Return the records that the next heartbeat carries."""
         recent = self._crash_book.changed_records(
             self._clock.monotonic() - BROADCAST_S
         )
         return [
-            CrashNews(
+            CrashReport(
                 record.fingerprint,
                 record.generation,
                 sorted(record.runners),
@@ -100,7 +100,7 @@
             for record in recent[-MAX_BROADCAST_RECORDS:]
         ]
 
-    def merge_news(self, news: Sequence[CrashNews]) -> None:
+    def merge_news(self, news: Sequence[CrashReport]) -> None:
         """Merge the records of another VM's heartbeat."""
         records = [
             CrashRecord(
--- a/bramleybend/direct/digests.py
+++ b/bramleybend/direct/digests.py
@@ -18,21 +18,21 @@
 from math import inf
 from typing import Final
 
-from bramleybend.direct.beat_messages import (
-    Beat,
+from bramleybend.direct.heartbeat_messages import (
     Digest,
+    Heartbeat,
     KnownVms,
     MissingProfiles,
     Profile,
     ProfileRequest,
-    SpendingNews,
-    Spent,
+    RelayedTotals,
     VmLiveness,
+    WorkspaceTotals,
 )
 from bramleybend.direct.members import (
     HEARTBEAT_TIMEOUT_S,
-    HUBS,
-    RELAYED_ALIVE_S,
+    MAX_HUBS_PER_DOMAIN,
+    RELAYED_TIMEOUT_S,
     Member,
     Members,
 )
@@ -54,12 +54,12 @@
     profile: Profile
     heard_at: float  # when that VM sent its heartbeat
     member: Member | None  # none: the state in `Members` is up to date
-    spent: Spent | None  # none: no totals in the digest
+    spent: RelayedTotals | None  # none: no totals in the digest
 
 
 @dataclass(frozen=True)
 class _Total:
-    news: SpendingNews
+    news: WorkspaceTotals
     sent_at: float  # by the VM itself
     changed_at: float  # when this VM received the change
 
@@ -90,9 +90,13 @@
             self._added_at[key] = now
         return key
 
-    def note_spendings(
-        self, vm: str, report: Beat | Spent, sent_at: float, now: float
-    ) -> list[SpendingNews]:
+    def update_totals(
+        self,
+        vm: str,
+        report: Heartbeat | RelayedTotals,
+        sent_at: float,
+        now: float,
+    ) -> list[WorkspaceTotals]:
         """Store a VM's totals; returns those that changed.
 
         `sent_at` is when the VM itself sent them. A total of which only the
@@ -103,7 +107,7 @@
         totals = self._totals[vm]
         changed = [
             news
-            for news in report.spendings
+            for news in report.totals
             if _is_change(totals.get(news.workspace), news, sent_at)
         ]
         for news in changed:
@@ -149,13 +153,13 @@
         spent = [
             self._spent(member, now, since)
             for member in listed
-            if member.key % HUBS != skipped_part
+            if member.key % MAX_HUBS_PER_DOMAIN != skipped_part
             or self._added_at[member.key] > since
         ]
         return Digest(
             [VmLiveness(member.key, _age_ms(member, now)) for member in listed],
             [self._profiles[member.key] for member in fresh],
-            [news for news in spent if news.spendings or news.tells_all],
+            [news for news in spent if news.totals or news.tells_all],
         )
 
     def make_first(
@@ -175,7 +179,7 @@
         since = now
         if before is not None and before.incarnation == profile.incarnation:
             if now - before.last_heard_at > HEARTBEAT_TIMEOUT_S:
-                since = before.last_heard_at - RELAYED_ALIVE_S
+                since = before.last_heard_at - RELAYED_TIMEOUT_S
         return self.make(alive, now, since)
 
     def known_vms(self) -> KnownVms:
@@ -209,7 +213,7 @@
         """Read a digest; returns its news and the profile keys to request."""
         for profile in digest.profiles:
             self.add_profile(profile, now)
-        spent = {news.key: news for news in digest.spent}
+        spent = {news.key: news for news in digest.relayed_totals}
         known = [alive for alive in digest.alive if alive.key in self._profiles]
         entries = (
             self._entry(alive, spent.get(alive.key), now) for alive in known
@@ -223,7 +227,7 @@
         return news, self._keys_to_request(unknown, now)
 
     def _entry(
-        self, alive: VmLiveness, spent: Spent | None, now: float
+        self, alive: VmLiveness, spent: RelayedTotals | None, now: float
     ) -> DigestEntry | None:
         """Return the news of a VM, or `None` if there is none.
 
@@ -237,7 +241,7 @@
         if known is not None and known.refresh(alive.key, at, now):
             return DigestEntry(profile, at, None, spent) if spent else None
         if known is None or known.last_heard_at <= at:
-            member = member_of(profile, alive.key, at, RELAYED_ALIVE_S)
+            member = make_member(profile, alive.key, at, RELAYED_TIMEOUT_S)
             return DigestEntry(profile, at, member, spent)
         if known.incarnation == profile.incarnation and spent:
             return DigestEntry(profile, at, None, spent)
@@ -291,7 +295,7 @@
             member.incarnation == profile.incarnation
         )
 
-    def _spent(self, member: Member, now: float, since: float) -> Spent:
+    def _spent(self, member: Member, now: float, since: float) -> RelayedTotals:
         """Return a VM's changed totals; all totals if its profile is new."""
         is_new = self._added_at[member.key] > since
         totals = self._totals.get(member.vm, {})
@@ -300,7 +304,7 @@
             for total in totals.values()
             if is_new or total.changed_at > since
         ]
-        return Spent(
+        return RelayedTotals(
             member.key,
             spendings,
             is_new and member.vm in self._complete_vms,
@@ -309,7 +313,7 @@
 
 
 def _is_change(
-    known: _Total | None, news: SpendingNews, sent_at: float
+    known: _Total | None, news: WorkspaceTotals, sent_at: float
 ) -> bool:
     if known is None:
         return True
@@ -319,7 +323,7 @@
     return before.used != news.used or before.beyond != news.beyond
 
 
-def member_of(
+def make_member(
     profile: Profile, key: int, heard_at: float, timeout_s: float
 ) -> Member:
     """Make the member that a profile describes; it was heard at `heard_at`."""
@@ -327,7 +331,7 @@
         profile.vm,
         profile.incarnation,
         profile.address,
-        profile.front,
+        profile.caller_endpoint,
         profile.ready,
         profile.leaving,
         heard_at,
--- a/bramleybend/direct/feed.py
+++ b/bramleybend/direct/feed.py
@@ -22,8 +22,8 @@
 from result import Err, Ok, Result
 
 from bramleybend.clock import Clock
-from bramleybend.direct.beat_messages import FeedNews
 from bramleybend.direct.feed_copy import FeedCopy, Page
+from bramleybend.direct.heartbeat_messages import FeedStatus
 from bramleybend.direct.peer_progress import (
     BEFORE_FIRST_OFFSET,
     PeerProgress,
@@ -109,21 +109,22 @@
         self.on_page(page)
         return True
 
-    def make_news(self) -> FeedNews:
+    def make_news(self) -> FeedStatus:
         """Return this VM's progress for a heartbeat."""
         age_s = self._clock.monotonic() - self.confirmed_at
-        return FeedNews(
+        return FeedStatus(
             self.settings.name,
             self._next_offset(),
             min(age_s, MAX_AGE_S),
             self.store_schedule.is_store_answering,
         )
 
-    def handle_news(self, vm: str, address: str, news: FeedNews) -> None:
+    def handle_news(self, vm: str, address: str, news: FeedStatus) -> None:
         """Handle the progress that another VM's heartbeat reports."""
         confirmed_at = self._clock.monotonic() - news.age_s
         self._peers.update(
-            vm, PeerProgress(address, news.end, confirmed_at, news.reads)
+            vm,
+            PeerProgress(address, news.end, confirmed_at, news.can_read_store),
         )
         own_end = self._next_offset()
         if news.end > own_end:
--- a/bramleybend/direct/header_codec.py
+++ b/bramleybend/direct/header_codec.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from bramleybend.clients.channel import Head, HeaderList
-from bramleybend.direct.models import RequestFacts, RunnerEntry
+from bramleybend.direct.models import RequestMetadata, RunnerEntry
 
 
 @dataclass(frozen=True)
@@ -32,7 +32,7 @@
 class HeaderCodec(Protocol):
     """Reads and writes headers in the platform's format."""
 
-    def request_facts(self, headers: HeaderList) -> RequestFacts:
+    def request_facts(self, headers: HeaderList) -> RequestMetadata:
         """Return what the headers of a caller's request state."""
 
     def runner_headers(
--- a/bramleybend/direct/beat_messages.py
+++ b/bramleybend/direct/heartbeat_messages.py
@@ -19,8 +19,8 @@
     incarnation: str
     address: str
     domain: str
-    capacity: int  # level of the work it can carry; see `members.Self`
-    front: str  # ip:port where callers connect
+    capacity: int  # level of the work it can carry; see `members.OwnVm`
+    caller_endpoint: str  # ip:port where callers connect
     ready: bool
     leaving: bool
 
@@ -30,7 +30,7 @@
         return xxh32_intdigest(msgspec.msgpack.encode(self))
 
 
-class RunNews(msgspec.Struct, array_like=True):
+class ReportedRun(msgspec.Struct, array_like=True):
     """A run that the sender has at a runner."""
 
     request_id: str
@@ -42,7 +42,7 @@
     prompt_tokens: int
 
 
-class SpendingNews(msgspec.Struct, array_like=True, frozen=True):
+class WorkspaceTotals(msgspec.Struct, array_like=True, frozen=True):
     """Totals of a workspace's allotment in the accounts of one VM.
 
     Units are tokens or requests. They are rounded to integers, which take
@@ -56,7 +56,7 @@
     beyond_debt: int  # the same for what was admitted over the allotment
 
 
-class CrashNews(msgspec.Struct, array_like=True):
+class CrashReport(msgspec.Struct, array_like=True):
     """Content that was running when runners crashed."""
 
     fingerprint: str  # identifies the content
@@ -65,7 +65,7 @@
     refused: bool  # whether requests with the content are refused
 
 
-class LimitNews(msgspec.Struct, array_like=True):
+class RunnerLimit(msgspec.Struct, array_like=True):
     """The request rate limit in a runner's most recent answer."""
 
     runner: str  # its incarnation
@@ -73,16 +73,16 @@
     age_s: float  # since that answer
 
 
-class FeedNews(msgspec.Struct, array_like=True):
+class FeedStatus(msgspec.Struct, array_like=True):
     """How far a VM has read one of the platform's logs."""
 
     name: str
     end: int  # offset to read on from; -1: nothing read yet
     age_s: float  # since the VM's copy of the log was known to be complete
-    reads: bool  # whether the store answers this VM
+    can_read_store: bool  # whether the store answers this VM
 
 
-class Scope(IntEnum):
+class DigestScope(IntEnum):
     """The VMs about which a heartbeat's sender requests digests."""
 
     NONE = 0
@@ -90,19 +90,21 @@
     ALL = 2  # all VMs that the receiver hears
 
 
-class Beat(msgspec.Struct, tag='beat', array_like=True):
+class Heartbeat(msgspec.Struct, tag='beat', array_like=True):
     """A VM's state, sent to hubs and owners up to five times a second."""
 
     profile: Profile
-    wants: Scope
-    every: int  # heartbeat intervals between two of these to one receiver
-    feeds: list[FeedNews]
-    spendings: list[SpendingNews]  # those that changed recently
-    tells_all: bool  # `spendings` holds the totals of all workspaces
-    runs: list[RunNews] | None  # all runs at engines; none: left out here
-    crashes: list[CrashNews]
+    requested_digests: DigestScope
+    interval_beats: (
+        int  # heartbeat intervals between two of these to one receiver
+    )
+    feeds: list[FeedStatus]
+    totals: list[WorkspaceTotals]  # those that changed recently
+    tells_all: bool  # `totals` holds the totals of all workspaces
+    runs: list[ReportedRun] | None  # all runs at engines; none: left out here
+    crashes: list[CrashReport]
     # Not sent by earlier versions:
-    limits: list[LimitNews] = []
+    limits: list[RunnerLimit] = []
     accounts_s: float = inf  # for how long the sender's accounts are complete
 
 
@@ -113,12 +115,12 @@
     age_ms: int  # since that VM itself sent a heartbeat
 
 
-class Spent(msgspec.Struct, array_like=True):
+class RelayedTotals(msgspec.Struct, array_like=True):
     """The totals of workspaces that another VM sent to a hub."""
 
     key: int  # of that VM's profile
-    spendings: list[SpendingNews]
-    tells_all: bool  # workspaces not in `spendings` have used nothing there
+    totals: list[WorkspaceTotals]
+    tells_all: bool  # workspaces not in `totals` have used nothing there
     accounts_s: float = inf  # as in the VM's heartbeat, plus the time since
 
 
@@ -127,7 +129,7 @@
 
     alive: list[VmLiveness]
     profiles: list[Profile]  # new or changed ones
-    spent: list[Spent]  # with recent changes
+    relayed_totals: list[RelayedTotals]  # with recent changes
 
 
 class KnownVms(msgspec.Struct, tag='roster', array_like=True):
--- a/bramleybend/direct/job.py
+++ b/bramleybend/direct/job.py
@@ -12,8 +12,8 @@
 from bramleybend.direct.containment import Containment
 from bramleybend.direct.header_codec import HeaderCodec
 from bramleybend.direct.meters import Meters
-from bramleybend.direct.models import RequestFacts
-from bramleybend.direct.placing import Placer
+from bramleybend.direct.models import RequestMetadata
+from bramleybend.direct.placement import Placer
 from bramleybend.direct.replies import RawRequest
 from bramleybend.direct.runner_limits import RunnerLimits
 from bramleybend.events import EventLog
@@ -24,7 +24,7 @@
     """An admitted request until it is answered."""
 
     req: RawRequest
-    facts: RequestFacts
+    facts: RequestMetadata
     admission: Admission
     answer_due_at: float  # monotonic; when the caller times out
     fingerprint: str = ''  # hash of the content
@@ -48,7 +48,7 @@
         """When the caller gives up unless an answer or event has arrived."""
         since = self.last_event_at or self.req.received_at
         return min(
-            self.answer_due_at, since + self.admission.route.event_patience_s
+            self.answer_due_at, since + self.admission.route.event_timeout_s
         )
 
     @property
--- a/bramleybend/direct/members.py
+++ b/bramleybend/direct/members.py
@@ -8,11 +8,12 @@
 Without it: every VM sends to every other, and the bytes grow with the cube of
 the number of VMs, beyond the bandwidth of slow links.
 
-The hubs of a failure domain are its `HUBS` VMs with the highest capacity, or
-`LEAST_HUBS` if the third has less capacity than the first. Hubs send each
-other their own heartbeats and news of their domain. Every other VM sends
-heartbeats to the hubs of its domain and receives from them the news of all
-VMs. In a domain of up to `HUBS` VMs, all are hubs and send to each other.
+The hubs of a failure domain are its `MAX_HUBS_PER_DOMAIN` VMs with the highest
+capacity, or `MIN_HUBS_PER_DOMAIN` if the third has less capacity than the
+first. Hubs send each other their own heartbeats and news of their domain. Every
+other VM sends heartbeats to the hubs of its domain and receives from them the
+news of all VMs. In a domain of up to `MAX_HUBS_PER_DOMAIN` VMs, all are hubs
+and send to each other.
 """
 
 from collections import defaultdict
@@ -23,24 +24,24 @@
 
 from bramleybend.direct.ranks import hash_of, rank_of
 
-BEAT_S: Final = 0.2
+HEARTBEAT_INTERVAL_S: Final = 0.2
 # Three heartbeat intervals: a single lost datagram must not count as a
 # failure, and when an owner dies, its callers wait this long for the next.
 HEARTBEAT_TIMEOUT_S: Final = 0.65
 # The hubs of a domain take turns, so each sends its digests in every third
 # heartbeat interval. Heartbeats that a VM sends in every third interval stay
 # valid for as long.
-RELAYED_ALIVE_S: Final = HEARTBEAT_TIMEOUT_S + 2 * BEAT_S
+RELAYED_TIMEOUT_S: Final = HEARTBEAT_TIMEOUT_S + 2 * HEARTBEAT_INTERVAL_S
 # Longer than a suspension of a VM or a network partition is likely to last.
-FORGET_S: Final = 30.0
+MEMBER_TTL_S: Final = 30.0
 # A VM that has just started doesn't know which runs occupy the runners, so it
 # becomes no owner before this time, unless all VMs have just started.
-SETTLE_S: Final = 1.0
+OWNER_MIN_AGE_S: Final = 1.0
 # With one hub down and another frozen, the domain still gets its digests.
-HUBS: Final = 3
+MAX_HUBS_PER_DOMAIN: Final = 3
 # Digests for a whole domain take most of a slow link. A VM with less capacity
 # than the first hub is therefore a hub only if there would be just one else.
-LEAST_HUBS: Final = 2
+MIN_HUBS_PER_DOMAIN: Final = 2
 
 # Not leaving, capacity, hash, VM name.
 _HubRank: TypeAlias = tuple[bool, int, int, str]
@@ -53,7 +54,7 @@
     vm: str
     incarnation: str
     address: str
-    front: str  # ip:port where callers connect
+    caller_endpoint: str  # ip:port where callers connect
     ready: bool
     leaving: bool
     # When it last sent a heartbeat, to this VM or to a hub.
@@ -76,20 +77,23 @@
         """
         if key != self.key or not self.is_alive(now):
             return False
-        if heard_at > self.last_heard_at and now - heard_at <= RELAYED_ALIVE_S:
+        if (
+            heard_at > self.last_heard_at
+            and now - heard_at <= RELAYED_TIMEOUT_S
+        ):
             self.last_heard_at = heard_at
-            self.timeout_s = RELAYED_ALIVE_S
+            self.timeout_s = RELAYED_TIMEOUT_S
         return True
 
 
 @dataclass(frozen=True)
-class Self:
+class OwnVm:
     """This VM's own name, addresses and capacity."""
 
     vm: str
     incarnation: str
     address: str
-    front: str
+    caller_endpoint: str
     domain: str = ''
     # Level of the work that it can carry; each level is twice the one below.
     # Work for all VMs goes to the highest level first, which keeps it off VMs
@@ -100,7 +104,7 @@
 class Members:
     """The other VMs, by name; the hubs and owners among them."""
 
-    def __init__(self, own: Self) -> None:
+    def __init__(self, own: OwnVm) -> None:
         """Start with no other VM."""
         self.own = own
         self._members: dict[str, Member] = {}
@@ -115,7 +119,7 @@
         """Return the VM of this name, or `None` if it is unknown."""
         return self._members.get(vm)
 
-    def heard(self, member: Member) -> Member | None:
+    def update(self, member: Member) -> Member | None:
         """Store a VM's newest state; returns the one stored before.
 
         A state older than the stored one, as a slower hub may relay it, is
@@ -131,11 +135,11 @@
         return before
 
     def remove_expired(self, now: float) -> list[Member]:
-        """Remove and return the VMs that were silent for `FORGET_S`."""
+        """Remove and return the VMs that were silent for `MEMBER_TTL_S`."""
         expired = [
             member
             for member in self._members.values()
-            if now - member.last_heard_at > FORGET_S
+            if now - member.last_heard_at > MEMBER_TTL_S
         ]
         for member in expired:
             self._members.pop(member.vm)
@@ -163,7 +167,7 @@
             if member.ready and not member.leaving
         ]
 
-    def share(self, now: float) -> float:
+    def alive_fraction(self, now: float) -> float:
         """Return the fraction of the VMs that are alive, with this one."""
         return (len(self.alive(now)) + 1) / self.count()
 
@@ -205,7 +209,7 @@
         )
         return [self._members[vm] for vm in names if vm in self._members]
 
-    def ranks_first(
+    def is_among_first(
         self, task: str, capable: Mapping[str, bool], max_vms: int
     ) -> bool:
         """Tell whether this VM is one of the first `max_vms` hubs for a task.
@@ -226,7 +230,9 @@
     ) -> list[Member]:
         """Return the highest-ranked VMs for a service, without this VM."""
         able = [vm for vm in self.alive(now) if self._may_own(vm, now)]
-        settled = [vm for vm in able if now - vm.first_heard_at >= SETTLE_S]
+        settled = [
+            vm for vm in able if now - vm.first_heard_at >= OWNER_MIN_AGE_S
+        ]
         # If no VM has settled, either all VMs or this one have just started.
         # An unsettled owner is still better than none: if every VM decided
         # for itself, all would start their requests at the same runners.
@@ -234,15 +240,15 @@
             max_count, settled or able, key=lambda vm: rank_of(service, vm)
         )
 
-    def owner(self, service: str, now: float, able: bool) -> Member | None:
+    def owner(self, service: str, now: float, can_own: bool) -> Member | None:
         """Return the owner of a service; `None` if it is this VM.
 
         All VMs rank by the same hash, so they agree unless one of them hears
-        fewer VMs than the others. `able` tells whether this VM may be the
+        fewer VMs than the others. `can_own` tells whether this VM may be the
         owner.
         """
         best = next(iter(self.owner_candidates(service, now, 1)), None)
-        if best is None or not able:
+        if best is None or not can_own:
             return best
         own_rank = rank_of(service, self.own)
         return None if own_rank > rank_of(service, best) else best
@@ -263,14 +269,15 @@
 def _hub_names(ranks: list[_HubRank]) -> list[str]:
     """Return the hubs of a domain, the highest rank first.
 
-    Beyond `LEAST_HUBS`, VMs with less capacity than the first are left out.
+    Beyond `MIN_HUBS_PER_DOMAIN`, VMs with less capacity than the first are left
+    out.
     """
-    if len(ranks) <= HUBS:
+    if len(ranks) <= MAX_HUBS_PER_DOMAIN:
         return [rank[-1] for rank in sorted(ranks, reverse=True)]
-    first = nlargest(HUBS, ranks)
+    first = nlargest(MAX_HUBS_PER_DOMAIN, ranks)
     top_level = first[0][:2]
     return [
         rank[-1]
         for place, rank in enumerate(first)
-        if place < LEAST_HUBS or rank[:2] == top_level
+        if place < MIN_HUBS_PER_DOMAIN or rank[:2] == top_level
     ]
--- a/bramleybend/direct/messages.py
+++ b/bramleybend/direct/messages.py
@@ -15,9 +15,9 @@
 
 import msgspec
 
-from bramleybend.direct.beat_messages import (
-    Beat,
+from bramleybend.direct.heartbeat_messages import (
     Digest,
+    Heartbeat,
     KnownVms,
     MissingProfiles,
     ProfileRequest,
@@ -26,7 +26,7 @@
 MAX_PAYLOAD_BYTES: Final = 60_000  # UDP allows 65,507 over IPv4
 
 
-class AskNews(msgspec.Struct, tag='ask', array_like=True):
+class SlotRequestMessage(msgspec.Struct, tag='ask', array_like=True):
     """Asks an owner for a runner slot; repeated while the request waits."""
 
     request_id: str
@@ -99,12 +99,12 @@
 
 
 Message: TypeAlias = (
-    Beat
+    Heartbeat
     | Digest
     | MissingProfiles
     | KnownVms
     | ProfileRequest
-    | AskNews
+    | SlotRequestMessage
     | Queued
     | Granted
     | Refused
--- a/bramleybend/direct/models.py
+++ b/bramleybend/direct/models.py
@@ -28,15 +28,15 @@
     streaming: bool
     resumable: bool  # a broken stream may continue at another runner
     timeout_s: float  # the longest time until an answer is complete
-    objective_s: float  # latency up to which an answer is on time
-    event_patience_s: float  # silence of a stream after which callers leave
+    target_latency_s: float  # latency up to which an answer is on time
+    event_timeout_s: float  # silence of a stream after which callers leave
     tier: Tier
     targets: tuple[Target, ...]
-    most_runners: int  # maximum number of runners that may run one request
+    max_runners: int  # maximum number of runners that may run one request
     public: bool  # callers need no key
 
     @property
-    def may_repeat(self) -> bool:
+    def can_run_again(self) -> bool:
         """Whether a request that may have run may run at another runner."""
         return self.resumable or self.repeat is Repeat.IDEMPOTENT
 
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True)
-class KeyHolder:
+class KeyedWorkspace:
     """The workspace that a caller's key belongs to."""
 
     name: str
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True)
-class ServiceFacts:
+class DeclaredService:
     """A service as the manifest declares it."""
 
     name: str
@@ -89,12 +89,12 @@
 
     version: int
     routes: Mapping[str, tuple[Route, ...]]  # by host, longest prefix first
-    services: Mapping[str, ServiceFacts]
-    key_holders: Mapping[str, KeyHolder]  # by key
-    keyed: bool  # callers need a key except on public routes
+    services: Mapping[str, DeclaredService]
+    workspaces_by_key: Mapping[str, KeyedWorkspace]  # by key
+    requires_key: bool  # callers need a key except on public routes
     limits: IngressLimits = field(default_factory=IngressLimits)
 
-    def route_of(self, host: str, path: str) -> Route | None:
+    def find_route(self, host: str, path: str) -> Route | None:
         """Return the host's route whose prefix matches most of the path."""
         for route in self.routes.get(host, ()):
             if path.startswith(route.prefix):
@@ -131,29 +131,31 @@
 
 
 @dataclass(frozen=True)
-class RequestFacts:
+class RequestMetadata:
     """A request's metadata, from the headers that its caller sent."""
 
     attempt_id: str
     key: str
-    patience_s: float | None  # how long the caller waits for the answer
+    timeout_s: float | None  # how long the caller waits for the answer
     prompt_tokens: int
     max_output_tokens: int
     output_tokens_hint: int | None
-    resume_after: str  # ID of the last event that the caller has received
+    last_event_id: str  # ID of the last event that the caller has received
 
     @property
-    def expected_output(self) -> int:
+    def expected_output_tokens(self) -> int:
         """Return the number of tokens that the answer is likely to have."""
         return self.output_tokens_hint or self.max_output_tokens
 
     @property
     def expected_work(self) -> float:
         """Return the expected work of a run, in prompt-token equivalents."""
-        work = self.prompt_tokens + self.expected_output * DECODE_TOKEN_COST
+        work = (
+            self.prompt_tokens + self.expected_output_tokens * DECODE_TOKEN_COST
+        )
         return float(max(work, 1))
 
-    def units(self, allotment: Allotment) -> float:
+    def allotment_units(self, allotment: Allotment) -> float:
         """Return the units that the request takes from an allotment."""
         if not allotment.counts_tokens:
             return 1
--- a/bramleybend/direct/peer_message_handler.py
+++ b/bramleybend/direct/peer_message_handler.py
@@ -8,20 +8,20 @@
 
 from bramleybend.clock import Clock
 from bramleybend.decisions.allotments import AccountReport, AllotmentLedger
-from bramleybend.direct.audience import Receiver
-from bramleybend.direct.beat_messages import (
-    Beat,
-    Profile,
-    RunNews,
-    SpendingNews,
-    Spent,
-)
 from bramleybend.direct.containment import Containment
 from bramleybend.direct.feed import Feed
+from bramleybend.direct.heartbeat_messages import (
+    Heartbeat,
+    Profile,
+    RelayedTotals,
+    ReportedRun,
+    WorkspaceTotals,
+)
 from bramleybend.direct.members import Member, Members
 from bramleybend.direct.messages import Message
-from bramleybend.direct.placing import Placer
+from bramleybend.direct.placement import Placer
 from bramleybend.direct.queues import Queues
+from bramleybend.direct.recipients import Receiver
 
 Readiness = Callable[[], tuple[bool, bool]]  # is ready, is leaving
 
@@ -62,7 +62,7 @@
         self._spending_reports = SpendingReports()
         self.feeds: list[Feed] = []
 
-    def make_beat(self, receiver: Receiver) -> Beat:
+    def make_heartbeat(self, receiver: Receiver) -> Heartbeat:
         """Return the heartbeat to send to a VM now."""
         now = self._clock.monotonic()
         tells_all = (
@@ -71,20 +71,20 @@
         totals = self._spending_reports.select(
             self._allotments.reports(), now, tells_all=tells_all
         )
-        return Beat(
+        return Heartbeat(
             self._make_profile(),
-            receiver.wants,
-            receiver.every,
+            receiver.requested_digests,
+            receiver.interval_beats,
             [feed.make_news() for feed in self.feeds],
             totals,
             tells_all,
-            self._placer.runs() if receiver.tells_runs else None,
+            self._placer.runs() if receiver.includes_runs else None,
             self._containment.recent_news(),
-            self._runner_limits.news(),
+            self._runner_limits.limits_to_send(),
             self._allotments.age_s(now),
         )
 
-    def take_beat(self, beat: Beat, address: str) -> None:
+    def handle_heartbeat(self, beat: Heartbeat, address: str) -> None:
         """Apply a heartbeat."""
         vm, incarnation = beat.profile.vm, beat.profile.incarnation
         for news in beat.feeds:
@@ -93,43 +93,45 @@
                     feed.handle_news(vm, address, news)
         if beat.tells_all:
             self._allotments.adopt_accounts(
-                _parse_spendings(beat.spendings),
+                _parse_spendings(beat.totals),
                 self._clock.monotonic(),
                 beat.accounts_s,
             )
         self._apply_spendings(_peer_id(vm, incarnation), beat)
         self._containment.merge_news(beat.crashes)
-        self._runner_limits.heard(beat.limits)
+        self._runner_limits.merge(beat.limits)
         if beat.runs is not None:
             self._apply_runs(vm, beat.runs)
 
-    def take_spent(self, profile: Profile, spent: Spent) -> None:
+    def handle_relayed_totals(
+        self, profile: Profile, spent: RelayedTotals
+    ) -> None:
         """Apply the spending of workspaces that a VM reports."""
         self._apply_spendings(_peer_id(profile.vm, profile.incarnation), spent)
 
-    def take(
+    def handle_message(
         self,
         message: Message,
         vm: str,
         reply: Callable[[Message], None],
     ) -> None:
         """Pass any other message to the placer."""
-        self._placer.take(message, vm, reply)
+        self._placer.handle_message(message, vm, reply)
 
-    def unheard(self, vm: str) -> None:
+    def on_direct_timeout(self, vm: str) -> None:
         """Handle that a VM no longer sends heartbeats directly to this one."""
         for feed in self.feeds:
             feed.remove_peer(vm)
 
-    def silent(self, vm: str) -> None:
+    def on_silent(self, vm: str) -> None:
         """Handle that no heartbeat of a VM was received for a while."""
-        self.unheard(vm)
+        self.on_direct_timeout(vm)
         # Its runs end when its connections close. If they still counted as
         # running, their slots would be missing until the VM is back or
         # forgotten.
         self._release_runs(vm)
 
-    def lost(self, member: Member) -> None:
+    def on_lost(self, member: Member) -> None:
         """Release the runs of a VM that is gone or has restarted."""
         self._allotments.remove_peer(_peer_id(member.vm, member.incarnation))
         self._release_runs(member.vm)
@@ -143,32 +145,34 @@
             own.address,
             own.domain,
             own.capacity,
-            own.front,
+            own.caller_endpoint,
             ready,
             leaving,
         )
 
-    def _apply_spendings(self, peer: str, news: Beat | Spent) -> None:
+    def _apply_spendings(
+        self, peer: str, news: Heartbeat | RelayedTotals
+    ) -> None:
         self._allotments.merge_report(
             peer,
-            _parse_spendings(news.spendings),
+            _parse_spendings(news.totals),
             self._clock.monotonic(),
             tells_all=news.tells_all,
             age_s=news.accounts_s,
         )
 
-    def _apply_runs(self, vm: str, runs: Iterable[RunNews]) -> None:
-        by_service: dict[str, list[RunNews]] = defaultdict(list)
+    def _apply_runs(self, vm: str, runs: Iterable[ReportedRun]) -> None:
+        by_service: dict[str, list[ReportedRun]] = defaultdict(list)
         for run in runs:
             by_service[run.service].append(run)
         for service in by_service:
-            self._queues.of(service)
+            self._queues.queue_for(service)
         for service, queue in self._queues:
-            queue.heard_runs(vm, by_service.get(service, ()))
+            queue.update_reported_runs(vm, by_service.get(service, ()))
 
     def _release_runs(self, vm: str) -> None:
         for _, queue in self._queues:
-            queue.heard_runs(vm, ())
+            queue.update_reported_runs(vm, ())
 
 
 class SpendingReports:
@@ -197,7 +201,7 @@
         now: float,
         *,
         tells_all: bool,
-    ) -> list[SpendingNews]:
+    ) -> list[WorkspaceTotals]:
         """Return the totals that a heartbeat carries now."""
         self._note_changes(spendings, now)
         return [
@@ -218,8 +222,8 @@
 
 def _make_spending_news(
     workspace: str, spending: AccountReport
-) -> SpendingNews:
-    return SpendingNews(
+) -> WorkspaceTotals:
+    return WorkspaceTotals(
         workspace,
         int(spending.used),
         int(spending.over_allotment),
@@ -233,7 +237,7 @@
 
 
 def _parse_spendings(
-    spendings: Iterable[SpendingNews],
+    spendings: Iterable[WorkspaceTotals],
 ) -> dict[str, AccountReport]:
     return {
         news.workspace: AccountReport(
--- a/bramleybend/direct/peers.py
+++ b/bramleybend/direct/peers.py
@@ -13,31 +13,31 @@
 import msgspec
 
 from bramleybend.clock import Clock
-from bramleybend.direct.audience import Receiver, Recipients
-from bramleybend.direct.beat_messages import (
-    Beat,
-    Digest,
-    KnownVms,
-    MissingProfiles,
-    Profile,
-    ProfileRequest,
-    Scope,
-    Spent,
-)
 from bramleybend.direct.datagrams import (
     Datagram,
     Endpoint,
     bind_socket,
     pending_datagrams,
 )
-from bramleybend.direct.digests import DigestEntry, Digests, member_of
+from bramleybend.direct.digests import DigestEntry, Digests, make_member
+from bramleybend.direct.heartbeat_messages import (
+    Digest,
+    DigestScope,
+    Heartbeat,
+    KnownVms,
+    MissingProfiles,
+    Profile,
+    ProfileRequest,
+    RelayedTotals,
+)
 from bramleybend.direct.members import (
-    BEAT_S,
+    HEARTBEAT_INTERVAL_S,
     HEARTBEAT_TIMEOUT_S,
     Member,
     Members,
 )
 from bramleybend.direct.messages import Message, decode, encode
+from bramleybend.direct.recipients import Receiver, Recipients
 from bramleybend.direct.traffic import Traffic
 from bramleybend.events import EventLog
 
@@ -47,27 +47,29 @@
 class MessageHandler(Protocol):
     """Makes this VM's heartbeats and handles the messages of other VMs."""
 
-    def make_beat(self, receiver: Receiver) -> Beat:
+    def make_heartbeat(self, receiver: Receiver) -> Heartbeat:
         """Return this VM's heartbeat for a receiver."""
 
-    def take_beat(self, beat: Beat, address: str) -> None:
+    def handle_heartbeat(self, beat: Heartbeat, address: str) -> None:
         """Handle a heartbeat from an address."""
 
-    def take_spent(self, profile: Profile, spent: Spent) -> None:
+    def handle_relayed_totals(
+        self, profile: Profile, spent: RelayedTotals
+    ) -> None:
         """Handle new totals of a VM that a hub relayed."""
 
-    def take(
+    def handle_message(
         self, message: Message, vm: str, reply: Callable[[Message], None]
     ) -> None:
         """Handle any other message; `reply` sends one to the sender."""
 
-    def unheard(self, vm: str) -> None:
+    def on_direct_timeout(self, vm: str) -> None:
         """Handle that a VM sends this VM no more heartbeats itself."""
 
-    def silent(self, vm: str) -> None:
+    def on_silent(self, vm: str) -> None:
         """Handle that a VM is no longer alive, directly or through a hub."""
 
-    def lost(self, member: Member) -> None:
+    def on_lost(self, member: Member) -> None:
         """Handle that a VM was removed after a long silence or a restart."""
 
 
@@ -102,7 +104,7 @@
         self._alive_vms: set[str] = set()  # as last reported to the handler
         # By VM, when its next direct heartbeat is overdue.
         self._direct_until: dict[str, float] = {}
-        self.sent = Traffic(events)
+        self.traffic = Traffic(events)
 
     async def start(self, address: str) -> None:
         """Bind the socket."""
@@ -114,10 +116,10 @@
     async def run(self) -> None:
         """Send heartbeats and digests until cancelled."""
         while True:
-            self.beat()
-            await asyncio.sleep(BEAT_S)
+            self.send_round()
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
-    def beat(self) -> None:
+    def send_round(self) -> None:
         """Send one round of heartbeats and digests."""
         now = self._clock.monotonic()
         for expired in self._members.remove_expired(now):
@@ -130,7 +132,9 @@
         if hub is not None:
             self.send(self._digests.known_vms(), hub.address)
         self._rounds += 1
-        self.sent.log_burst(is_hub=self._members.is_hub(self._members.own.vm))
+        self.traffic.log_burst(
+            is_hub=self._members.is_hub(self._members.own.vm)
+        )
 
     def send(self, message: Message, address: str) -> None:
         """Send one message; it may be lost."""
@@ -173,7 +177,7 @@
         now = self._clock.monotonic()
         vm = self._vm_by_address.get(address, address)
         match message:
-            case Beat():
+            case Heartbeat():
                 self._handle_heartbeat(message, address)
             case Digest():
                 self._handle_digest(message, address)
@@ -184,23 +188,27 @@
                 for profile in self._digests.unknown_profiles(message):
                     self._send_first_heartbeat(profile.address)
             case _:
-                self._handler.take(
+                self._handler.handle_message(
                     message, vm, partial(self.send, address=address)
                 )
 
     def _send_heartbeats(self, now: float) -> None:
         # Receivers with the same options get the same payload.
-        payloads: dict[tuple[Scope, int, bool], bytes] = {}
+        payloads: dict[tuple[DigestScope, int, bool], bytes] = {}
         for receiver in self._recipients.receivers(self._rounds, now):
-            options = (receiver.wants, receiver.every, receiver.tells_runs)
+            options = (
+                receiver.requested_digests,
+                receiver.interval_beats,
+                receiver.includes_runs,
+            )
             payload = payloads.get(options)
             if payload is None:
-                payload = encode(self._handler.make_beat(receiver))
+                payload = encode(self._handler.make_heartbeat(receiver))
                 payloads[options] = payload
             self._send_payload(payload, receiver.address)
 
     def _send_digests(self, now: float) -> None:
-        hubs = self._recipients.subscribers(Scope.DOMAIN, now)
+        hubs = self._recipients.subscribers(DigestScope.DOMAIN, now)
         members = self._recipients.domain_members(now) if hubs else ()
         if members:
             payload = encode(
@@ -214,7 +222,7 @@
         if not self._recipients.is_turn(self._rounds):
             if not self._digests.changed_since(self._digest_at):
                 return
-        addresses = self._recipients.subscribers(Scope.ALL, now)
+        addresses = self._recipients.subscribers(DigestScope.ALL, now)
         if addresses:
             digest = self._digests.make(
                 self._members.alive(now),
@@ -227,20 +235,23 @@
                 self._send_payload(payload, address)
         self._digest_at = now
 
-    def _handle_heartbeat(self, heartbeat: Beat, address: str) -> None:
+    def _handle_heartbeat(self, heartbeat: Heartbeat, address: str) -> None:
         profile = heartbeat.profile
         if profile.vm == self._members.own.vm:
             return
         now = self._clock.monotonic()
         self._vm_by_address[address] = profile.vm
-        timeout_s = HEARTBEAT_TIMEOUT_S + (heartbeat.every - 1) * BEAT_S
+        timeout_s = (
+            HEARTBEAT_TIMEOUT_S
+            + (heartbeat.interval_beats - 1) * HEARTBEAT_INTERVAL_S
+        )
         self._direct_until[profile.vm] = now + timeout_s
         before = self._members.get(profile.vm)
         key = self._digests.add_profile(profile, now)
-        is_new = self._update_member(member_of(profile, key, now, timeout_s))
-        self._digests.note_spendings(profile.vm, heartbeat, now, now)
+        is_new = self._update_member(make_member(profile, key, now, timeout_s))
+        self._digests.update_totals(profile.vm, heartbeat, now, now)
         if self._recipients.subscribe(
-            profile.vm, address, heartbeat.wants, now
+            profile.vm, address, heartbeat.requested_digests, now
         ):
             is_new = True
             self.send(self._digests.make_first(before, profile, now), address)
@@ -248,7 +259,7 @@
             # A VM that has just started gets this VM's heartbeat at once, not
             # one interval later. It holds the debts of all workspaces.
             self._send_first_heartbeat(address)
-        self._handler.take_beat(heartbeat, address)
+        self._handler.handle_heartbeat(heartbeat, address)
 
     def _handle_digest(self, digest: Digest, address: str) -> None:
         now = self._clock.monotonic()
@@ -265,20 +276,22 @@
             return
         profile, spent = entry.profile, entry.spent
         # Several hubs send the same change; the handler gets it once.
-        changed = self._digests.note_spendings(
+        changed = self._digests.update_totals(
             profile.vm, spent, entry.heard_at, now
         )
         if changed or spent.tells_all:
-            fresh = Spent(spent.key, changed, spent.tells_all, spent.accounts_s)
-            self._handler.take_spent(profile, fresh)
+            fresh = RelayedTotals(
+                spent.key, changed, spent.tells_all, spent.accounts_s
+            )
+            self._handler.handle_relayed_totals(profile, fresh)
 
     def _send_first_heartbeat(self, address: str) -> None:
         receiver = Receiver(address, is_new=True)
-        self.send(self._handler.make_beat(receiver), address)
+        self.send(self._handler.make_heartbeat(receiver), address)
 
     def _update_member(self, member: Member) -> bool:
         """Store a VM that is alive; returns whether it wasn't alive before."""
-        before = self._members.heard(member)
+        before = self._members.update(member)
         if before is not None and before.incarnation != member.incarnation:
             self._report_lost(before)
             self._alive_vms.discard(member.vm)
@@ -293,7 +306,7 @@
     def _report_lost(self, member: Member) -> None:
         self._digests.remove(member)
         self._recipients.unsubscribe(member.vm)
-        self._handler.lost(member)
+        self._handler.on_lost(member)
 
     def _report_silent(self, now: float) -> None:
         overdue = [
@@ -301,14 +314,14 @@
         ]
         for vm in overdue:
             self._direct_until.pop(vm)
-            self._handler.unheard(vm)
+            self._handler.on_direct_timeout(vm)
         alive = {member.vm for member in self._members.alive(now)}
         for vm in self._alive_vms - alive:
             self._events.record('peer_silent', peer=vm)
-            self._handler.silent(vm)
+            self._handler.on_silent(vm)
         self._alive_vms &= alive
 
     def _send_payload(self, payload: bytes, address: str) -> None:
         if self._transport is not None:
-            self.sent.count(payload)
+            self.traffic.count(payload)
             self._transport.sendto(payload, (address, self._port))
--- a/bramleybend/direct/placing.py
+++ b/bramleybend/direct/placement.py
@@ -17,31 +17,31 @@
 
 from bramleybend.clock import Clock
 from bramleybend.decisions.actions import Grant, Refuse, RunReport
-from bramleybend.direct.ask_messages import (
-    ask_from,
-    ask_news,
-    decision_message,
-    run_end_message,
-    run_report_from,
-)
-from bramleybend.direct.beat_messages import RunNews
 from bramleybend.direct.book import Book
+from bramleybend.direct.heartbeat_messages import ReportedRun
 from bramleybend.direct.members import Member, Members
 from bramleybend.direct.messages import (
-    AskNews,
     Ended,
     Granted,
     Message,
     PrefillDone,
     Queued,
     Refused,
+    SlotRequestMessage,
     Withdrawn,
 )
 from bramleybend.direct.models import RunnerEntry
-from bramleybend.direct.owner import exclude_runner
 from bramleybend.direct.queues import Queues
+from bramleybend.direct.service_queue import exclude_runner
+from bramleybend.direct.slot_messages import (
+    decision_message,
+    run_end_message,
+    run_report_from,
+    slot_request_from,
+    slot_request_message,
+)
 from bramleybend.events import EventLog
-from bramleybend.models import Ask
+from bramleybend.models import SlotRequest
 
 # For the first attempt; doubled with each further one. A round trip between
 # failure domains takes 1 ms, and a busy owner takes some more time.
@@ -62,7 +62,7 @@
 class Placement:
     """A slot at a runner, held until it is released."""
 
-    ask: Ask
+    ask: SlotRequest
     runner: RunnerEntry
     owner: Member | None  # none: this VM's own queue granted it
 
@@ -95,20 +95,20 @@
         self._request_numbers = count()
         # Answers of owners, and the runs at engines, by request ID.
         self._inboxes: dict[str, asyncio.Queue[Message]] = {}
-        self._engine_runs: dict[str, RunNews] = {}
+        self._engine_runs: dict[str, ReportedRun] = {}
         self.send: Send = _discard
         # Whether this VM may be an owner now.
         self.may_own: Callable[[], bool] = _always
 
-    def next_id(self) -> str:
+    def next_request_id(self) -> str:
         """Return a request ID, unique over all VMs and their restarts."""
         return f'{self._members.own.incarnation}.{next(self._request_numbers)}'
 
-    def runs(self) -> list[RunNews]:
+    def runs(self) -> list[ReportedRun]:
         """Return the runs that this VM has at engines now."""
         return list(self._engine_runs.values())
 
-    async def place(self, ask: Ask) -> Placement | NoSlot:
+    async def place(self, ask: SlotRequest) -> Placement | NoSlot:
         """Wait for a slot until the queue's policy grants or refuses it."""
         result = None
         if self._queues.is_engine(ask.service):
@@ -119,28 +119,28 @@
             self._note_started(result)
         return result
 
-    def filled(self, placement: Placement) -> None:
+    def note_first_token(self, placement: Placement) -> None:
         """Report a run's first token to its queue and its owner."""
         ask = placement.ask
-        queue = self._queues.of(ask.service)
+        queue = self._queues.queue_for(ask.service)
         queue.note_first_token(ask.request_id, ask.prompt_tokens)
         if placement.owner is not None:
             done = PrefillDone(ask.request_id, ask.service, ask.prompt_tokens)
             self.send(done, placement.owner.address)
 
-    def ended(self, placement: Placement, report: RunReport) -> None:
+    def release(self, placement: Placement, report: RunReport) -> None:
         """Release the slot and report how the run ended."""
         ask = placement.ask
         runner = placement.runner.incarnation
         if report.moved:
             self._book.note_moved(runner)
         self._engine_runs.pop(ask.request_id, None)
-        self._queues.of(ask.service).ended(ask.request_id, report)
+        self._queues.queue_for(ask.service).release(ask.request_id, report)
         if placement.owner is not None:
             message = run_end_message(ask, report, runner)
             self.send(message, placement.owner.address)
 
-    def take(
+    def handle_message(
         self, message: Message, vm: str, reply: Callable[[Message], None]
     ) -> None:
         """Handle a message about a slot request of this or another VM.
@@ -148,50 +148,56 @@
         `reply` sends a message to the VM that sent this one.
         """
         match message:
-            case AskNews():
+            case SlotRequestMessage():
                 self._handle_request(message, reply)
             case Withdrawn():
-                self._queues.of(message.service).withdraw(message.request_id)
+                self._queues.queue_for(message.service).withdraw(
+                    message.request_id
+                )
             case PrefillDone():
-                queue = self._queues.of(message.service)
+                queue = self._queues.queue_for(message.service)
                 queue.note_first_token(
                     message.request_id, message.prompt_tokens
                 )
             case Ended():
                 if message.moved_runner:
                     self._book.note_moved(message.moved_runner)
-                queue = self._queues.of(message.service)
-                queue.ended(message.request_id, run_report_from(message))
+                queue = self._queues.queue_for(message.service)
+                queue.release(message.request_id, run_report_from(message))
             case Queued() | Granted() | Refused():
                 inbox = self._inboxes.get(message.request_id)
                 if inbox is not None:
                     inbox.put_nowait(message)
 
     def _handle_request(
-        self, message: AskNews, reply: Callable[[Message], None]
+        self, message: SlotRequestMessage, reply: Callable[[Message], None]
     ) -> None:
-        queue = self._queues.of(message.service)
-        queue.ask(
-            ask_from(message, self._clock.monotonic()),
+        queue = self._queues.queue_for(message.service)
+        queue.request_slot(
+            slot_request_from(message, self._clock.monotonic()),
             lambda action: reply(decision_message(action)),
             lambda: reply(Queued(message.request_id)),
         )
 
-    async def _request_from_own_queue(self, ask: Ask) -> Placement | NoSlot:
+    async def _request_from_own_queue(
+        self, ask: SlotRequest
+    ) -> Placement | NoSlot:
         loop = asyncio.get_running_loop()
         fut: asyncio.Future[Grant | Refuse] = loop.create_future()
-        queue = self._queues.of(ask.service)
+        queue = self._queues.queue_for(ask.service)
         on_decision = partial(_set_result, fut)
         try:
             while not fut.done():
-                queue.ask(ask, on_decision)
+                queue.request_slot(ask, on_decision)
                 await asyncio.wait((fut,), timeout=REFRESH_S)
             return self._result_of(ask, fut.result(), None)
         except asyncio.CancelledError:
             queue.withdraw(ask.request_id)
             raise
 
-    async def _request_from_owners(self, ask: Ask) -> Placement | NoSlot | None:
+    async def _request_from_owners(
+        self, ask: SlotRequest
+    ) -> Placement | NoSlot | None:
         """Ask the owner, then its successor.
 
         Returns `None` if this VM's own queue has to decide. Only the owner and
@@ -204,22 +210,22 @@
                 return None
             # Each owner gets a request ID of its own, so that a late answer
             # of the previous owner isn't taken for one of the next.
-            owner_ask = replace(ask, request_id=self.next_id())
+            owner_ask = replace(ask, request_id=self.next_request_id())
             result = await self._request_from_owner(owner_ask, owner)
             if result is not None:
                 return result
         return None
 
-    def _owner(self, ask: Ask) -> Member | None:
+    def _owner(self, ask: SlotRequest) -> Member | None:
         now = self._clock.monotonic()
         return self._members.owner(ask.service, now, self.may_own())
 
-    def _is_owner(self, ask: Ask, vm: str) -> bool:
+    def _is_owner(self, ask: SlotRequest, vm: str) -> bool:
         owner = self._owner(ask)
         return owner is not None and owner.vm == vm
 
     async def _request_from_owner(
-        self, ask: Ask, owner: Member
+        self, ask: SlotRequest, owner: Member
     ) -> Placement | NoSlot | None:
         """Ask another VM for a slot; `None` if it doesn't answer.
 
@@ -237,7 +243,8 @@
             if isinstance(result, Placement):
                 return result
             ask = replace(
-                exclude_runner(ask, message.runner), request_id=self.next_id()
+                exclude_runner(ask, message.runner),
+                request_id=self.next_request_id(),
             )
         else:
             return None
@@ -249,7 +256,9 @@
             )
         return None
 
-    async def _decision_of(self, ask: Ask, owner: Member) -> Message | None:
+    async def _decision_of(
+        self, ask: SlotRequest, owner: Member
+    ) -> Message | None:
         """Return the owner's decision.
 
         Returns `None` if the owner doesn't answer or is no longer the owner.
@@ -267,13 +276,16 @@
         return message
 
     async def _wait_for_decision(
-        self, ask: Ask, owner: Member, inbox: 'asyncio.Queue[Message]'
+        self, ask: SlotRequest, owner: Member, inbox: 'asyncio.Queue[Message]'
     ) -> Message | None:
         unanswered = 0
         # A request that waits at a former owner would starve: that VM learns
         # of a free slot only after the new owner has granted it again.
         while unanswered < MAX_ATTEMPTS and self._is_owner(ask, owner.vm):
-            self.send(ask_news(ask, self._clock.monotonic()), owner.address)
+            self.send(
+                slot_request_message(ask, self._clock.monotonic()),
+                owner.address,
+            )
             message = await _receive(inbox, ACK_TIMEOUT_S * 2**unanswered)
             unanswered += 1
             while isinstance(message, Queued) and self._is_owner(ask, owner.vm):
@@ -284,7 +296,7 @@
         return None
 
     def _result_of(
-        self, ask: Ask, action: Grant | Refuse, owner: Member | None
+        self, ask: SlotRequest, action: Grant | Refuse, owner: Member | None
     ) -> Placement | NoSlot:
         if isinstance(action, Refuse):
             return NoSlot(action.reason, action.retry_after.total_seconds())
@@ -295,22 +307,22 @@
         return NoSlot('unknown_runner', UNKNOWN_RETRY_S)
 
     def _release_at_owner(
-        self, ask: Ask, report: RunReport, owner: Member | None
+        self, ask: SlotRequest, report: RunReport, owner: Member | None
     ) -> None:
         if owner is None:
-            self._queues.of(ask.service).ended(ask.request_id, report)
+            self._queues.queue_for(ask.service).release(ask.request_id, report)
         else:
             self.send(run_end_message(ask, report), owner.address)
 
     def _note_started(self, placement: Placement) -> None:
         ask = placement.ask
-        queue = self._queues.of(ask.service)
+        queue = self._queues.queue_for(ask.service)
         if placement.owner is None:
-            queue.began(ask.request_id)
+            queue.confirm_started(ask.request_id)
         else:
             queue.note_remote_grant(ask, placement.runner.incarnation)
         if self._queues.is_engine(ask.service):
-            self._engine_runs[ask.request_id] = RunNews(
+            self._engine_runs[ask.request_id] = ReportedRun(
                 ask.request_id,
                 ask.service,
                 placement.runner.incarnation,
--- a/bramleybend/direct/process.py
+++ b/bramleybend/direct/process.py
@@ -19,7 +19,7 @@
 from bramleybend.direct.header_codec import HeaderCodec
 from bramleybend.direct.ingress import Ingress
 from bramleybend.direct.job import Components
-from bramleybend.direct.members import Members, Self
+from bramleybend.direct.members import Members, OwnVm
 from bramleybend.direct.meters import Meters
 from bramleybend.direct.models import IngressLimits, RunnerEntry
 from bramleybend.direct.peer_message_handler import (
@@ -27,7 +27,7 @@
     SharedTables,
 )
 from bramleybend.direct.peers import Peers
-from bramleybend.direct.placing import Placer
+from bramleybend.direct.placement import Placer
 from bramleybend.direct.queues import make_queues
 from bramleybend.direct.request_handler import RequestHandler
 from bramleybend.direct.suspension import WatchedSleep
@@ -72,7 +72,7 @@
         self.book = Book(clock, self.events)
         self.meters = Meters(self._gauges())
         self.members = Members(
-            Self(
+            OwnVm(
                 cfg.vm,
                 self.identity.incarnation,
                 cfg.address,
@@ -115,7 +115,7 @@
         )
         self.peers = Peers(
             self.members,
-            self._queues.engines,
+            self._queues.engine_services,
             self._message_handler,
             cfg.peer_port,
             clock,
@@ -145,9 +145,9 @@
     def front_addresses(self) -> list[str]:
         """Return the addresses of all VMs that accept callers now."""
         others = self.members.serving(self._clock.monotonic())
-        addresses = [member.front for member in others]
+        addresses = [member.caller_endpoint for member in others]
         if self.is_ready():
-            addresses.append(self.members.own.front)
+            addresses.append(self.members.own.caller_endpoint)
         return sorted(addresses)
 
     async def start(self) -> None:
@@ -161,7 +161,7 @@
 
     def follow_feed(self, feed: Feed) -> None:
         """Follow a log of the platform and report progress to other VMs."""
-        feed.store_schedule.ranks_first = self.members.ranks_first
+        feed.store_schedule.ranks_first = self.members.is_among_first
         self._message_handler.feeds.append(feed)
         self.spawn(feed.run())
 
@@ -187,7 +187,7 @@
         self.events.record('stopping', in_flight=self.ingress.busy_count)
         self.is_leaving = True
         self.ingress.is_draining = True
-        self.peers.beat()
+        self.peers.send_round()
         await asyncio.sleep(ACCEPT_CONNECTIONS_S)
         self.ingress.stop_listening()
         await asyncio.sleep(max(ACCEPT_REQUESTS_S - ACCEPT_CONNECTIONS_S, 0))
@@ -258,8 +258,8 @@
                 self.members.alive(self._clock.monotonic())
             ),
             'in_flight': lambda: self.ingress.busy_count,
-            'peer_messages': lambda: self.peers.sent.messages,
-            'peer_bytes': lambda: self.peers.sent.size,
+            'peer_messages': lambda: self.peers.traffic.sent_messages,
+            'peer_bytes': lambda: self.peers.traffic.sent_bytes,
         }
 
     def _ingress_limits(self) -> IngressLimits:
@@ -284,14 +284,14 @@
         return self.is_ready(), self.is_leaving
 
     def _book_changed(self) -> None:
-        self._queues.take_runners()
+        self._queues.update_runners()
         incarnations = {
             entry.incarnation
             for entries in self.book.runners.values()
             for entry in entries
         }
         self._channels.close_all_except(incarnations)
-        self._queues.limits.keep_only(incarnations)
+        self._queues.limits.retain_only(incarnations)
 
     async def _sweep_queues(self) -> None:
         loop = asyncio.get_running_loop()
@@ -301,8 +301,8 @@
                 for feed in self._message_handler.feeds:
                     feed.wake()
             for _, queue in self._queues:
-                queue.sweep()
-            self._queues.take_limits()
+                queue.drop_expired()
+            self._queues.update_rate_limits()
             self.on_sweep()
 
 
--- a/bramleybend/direct/queue_log.py
+++ b/bramleybend/direct/queue_log.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Final
 
-from bramleybend.direct.owner import ServiceQueue
+from bramleybend.direct.service_queue import ServiceQueue
 from bramleybend.events import MILLISECONDS, EventLog
 
 INTERVAL_S: Final = 1.0
--- a/bramleybend/direct/queues.py
+++ b/bramleybend/direct/queues.py
@@ -8,10 +8,10 @@
 from bramleybend.decisions.overload import UNBOUNDED, OverloadBounds
 from bramleybend.direct.book import Book
 from bramleybend.direct.members import Members
-from bramleybend.direct.owner import ServiceQueue, make_queue
 from bramleybend.direct.queue_log import QueueLog
 from bramleybend.direct.ranks import rank_of
 from bramleybend.direct.runner_limits import RunnerLimits
+from bramleybend.direct.service_queue import ServiceQueue, make_queue
 from bramleybend.events import EventLog
 
 # A runner's rate limit is divided among as many VMs as can each send it at
@@ -46,7 +46,7 @@
         """Iterate over the queues with the names of their services."""
         return iter(self._queues.items())
 
-    def of(self, service: str) -> ServiceQueue:
+    def queue_for(self, service: str) -> ServiceQueue:
         """Return a service's queue; creates it if necessary."""
         queue = self._queues.get(service)
         if queue is None:
@@ -59,8 +59,8 @@
             )
             self._queues[service] = queue
             entries = self._book.runners.get(service, ())
-            queue.take_runners(entries, warm=True)
-            self.take_limits()
+            queue.update_runners(entries, warm=True)
+            self.update_rate_limits()
         return queue
 
     def is_engine(self, service: str) -> bool:
@@ -69,7 +69,7 @@
         declared = manifest.services.get(service) if manifest else None
         return declared is not None and declared.is_engine
 
-    def engines(self) -> list[str]:
+    def engine_services(self) -> list[str]:
         """Return the services whose requests are dispatched by one owner."""
         manifest = self._book.manifest
         services = manifest.services if manifest else {}
@@ -77,13 +77,13 @@
             name for name, declared in services.items() if declared.is_engine
         ]
 
-    def take_runners(self) -> None:
+    def update_runners(self) -> None:
         """Pass the current runners to every queue."""
         for service, queue in self._queues.items():
             entries = self._book.runners.get(service, ())
-            queue.take_runners(entries, warm=True)
+            queue.update_runners(entries, warm=True)
 
-    def take_limits(self) -> None:
+    def update_rate_limits(self) -> None:
         """Pass the rate limits of runners to every queue.
 
         The owner of an engine service dispatches all of its requests, so it
@@ -121,6 +121,6 @@
     """Make a VM's queues, with the rate limits of runners and the log."""
     limits = RunnerLimits(clock, events, rng)
     queues = Queues(book, members, limits, clock, rng, overload)
-    limits.changed = queues.take_limits
+    limits.on_change = queues.update_rate_limits
     queues.log = QueueLog(queues, events)
     return queues
--- a/bramleybend/direct/audience.py
+++ b/bramleybend/direct/recipients.py
@@ -8,11 +8,11 @@
 from dataclasses import dataclass
 from typing import Final
 
-from bramleybend.direct.beat_messages import Scope
+from bramleybend.direct.heartbeat_messages import DigestScope
 from bramleybend.direct.members import (
-    HUBS,
-    LEAST_HUBS,
-    RELAYED_ALIVE_S,
+    MAX_HUBS_PER_DOMAIN,
+    MIN_HUBS_PER_DOMAIN,
+    RELAYED_TIMEOUT_S,
     Member,
     Members,
 )
@@ -37,9 +37,11 @@
     """A VM that a heartbeat is sent to, and the options of that heartbeat."""
 
     address: str
-    wants: Scope = Scope.NONE  # digests that this VM requests from it
-    every: int = 1  # heartbeat intervals until the next one
-    tells_runs: bool = True  # whether the heartbeat lists this VM's runs
+    requested_digests: DigestScope = (
+        DigestScope.NONE
+    )  # digests that this VM requests from it
+    interval_beats: int = 1  # heartbeat intervals until the next one
+    includes_runs: bool = True  # whether the heartbeat lists this VM's runs
     is_new: bool = False  # it has no heartbeat of this VM yet
 
 
@@ -48,7 +50,7 @@
     """A VM's request for digests, valid until a point in time."""
 
     address: str
-    scope: Scope
+    scope: DigestScope
     valid_until: float
 
 
@@ -72,17 +74,17 @@
         )
 
     def subscribe(
-        self, vm: str, address: str, scope: Scope, now: float
+        self, vm: str, address: str, scope: DigestScope, now: float
     ) -> bool:
         """Renew a VM's subscription; returns whether it is new or extended."""
-        if scope is Scope.NONE:
+        if scope is DigestScope.NONE:
             return False
         known = self._subscriptions.get(vm)
-        valid_until = now + RELAYED_ALIVE_S
+        valid_until = now + RELAYED_TIMEOUT_S
         self._subscriptions[vm] = Subscription(address, scope, valid_until)
         return known is None or known.valid_until < now or known.scope < scope
 
-    def subscribers(self, scope: Scope, now: float) -> list[str]:
+    def subscribers(self, scope: DigestScope, now: float) -> list[str]:
         """Return the addresses of the VMs that subscribe to this scope."""
         return [
             subscription.address
@@ -133,7 +135,9 @@
         turn = names.index(own.vm) if own.vm in names else 0
         # Two hubs send more often than three: if a datagram of one is lost,
         # that of the other arrives before any VM counts as silent.
-        turns = LEAST_HUBS if len(names) == LEAST_HUBS else TURNS
+        turns = (
+            MIN_HUBS_PER_DOMAIN if len(names) == MIN_HUBS_PER_DOMAIN else TURNS
+        )
         return interval % turns == turn
 
     def skipped_part(self, heard: Container[str]) -> int | None:
@@ -146,7 +150,7 @@
         """
         own = self._members.own.vm
         names = self._members.hub_names(self._members.own.domain)
-        if own not in names or len(names) < HUBS:
+        if own not in names or len(names) < MAX_HUBS_PER_DOMAIN:
             return None
         if all(name in heard for name in names if name != own):
             return names.index(own)
@@ -157,19 +161,19 @@
         if self.is_turn(interval):
             yield from self._receivers_in_turn(now)
         if interval < FIRST_INTERVALS:
-            yield from (Receiver(seed, Scope.ALL) for seed in self._seeds)
+            yield from (Receiver(seed, DigestScope.ALL) for seed in self._seeds)
         if interval % SILENT_RETRY_INTERVALS == 0:
             for address in self._silent_addresses(now):
-                yield Receiver(address, Scope.ALL, SILENT_RETRY_INTERVALS)
+                yield Receiver(address, DigestScope.ALL, SILENT_RETRY_INTERVALS)
 
     def _receivers_in_turn(self, now: float) -> Iterable[Receiver]:
-        for address in self.subscribers(Scope.ALL, now):
-            yield Receiver(address, every=TURNS, tells_runs=False)
+        for address in self.subscribers(DigestScope.ALL, now):
+            yield Receiver(address, interval_beats=TURNS, includes_runs=False)
         for service in self._services():
             for owner in self._members.owner_candidates(
                 service, now, OWNER_CANDIDATES
             ):
-                yield Receiver(owner.address, every=TURNS)
+                yield Receiver(owner.address, interval_beats=TURNS)
 
     def _is_hub(self) -> bool:
         return self._members.is_hub(self._members.own.vm)
@@ -178,10 +182,10 @@
         own = self._members.own
         if self._is_hub():
             for hub in self._members.hubs():
-                yield Receiver(hub.address, Scope.DOMAIN)
+                yield Receiver(hub.address, DigestScope.DOMAIN)
         else:
             for hub in self._members.hubs(own.domain):
-                yield Receiver(hub.address, Scope.ALL)
+                yield Receiver(hub.address, DigestScope.ALL)
 
     def _silent_addresses(self, now: float) -> Iterable[str]:
         """Yield the addresses of seeds and members that aren't heard.
--- a/bramleybend/direct/relay.py
+++ b/bramleybend/direct/relay.py
@@ -15,7 +15,7 @@
 )
 from bramleybend.direct.header_codec import HeaderCodec
 from bramleybend.direct.job import Job
-from bramleybend.direct.placing import Placement, Placer
+from bramleybend.direct.placement import Placement, Placer
 from bramleybend.direct.replies import Reply
 from bramleybend.direct.responder import Responder
 from bramleybend.direct.sse import Event
@@ -84,7 +84,7 @@
 
     async def _relay_event(self, head: Head, event: Event) -> None:
         if not self.event_count:
-            self._placer.filled(self._placement)
+            self._placer.note_first_token(self._placement)
             if self._job.first_event_at is None:
                 self._job.first_event_at = self._clock.monotonic()
         self.event_count += 1
--- a/bramleybend/direct/request_handler.py
+++ b/bramleybend/direct/request_handler.py
@@ -14,8 +14,8 @@
     timeout_failure,
 )
 from bramleybend.direct.job import Components, Job
-from bramleybend.direct.models import RequestFacts
-from bramleybend.direct.placing import NoSlot, Placement
+from bramleybend.direct.models import RequestMetadata
+from bramleybend.direct.placement import NoSlot, Placement
 from bramleybend.direct.relay import StreamRelay
 from bramleybend.direct.replies import RawRequest, Reply, own_reply
 from bramleybend.direct.responder import Responder
@@ -63,7 +63,7 @@
         self._record_denied('', '', reply)
 
     def _make_job(
-        self, req: RawRequest, facts: RequestFacts, admission: Admission
+        self, req: RawRequest, facts: RequestMetadata, admission: Admission
     ) -> Job:
         if admission.is_beyond_allotment:
             self._components.events.record(
@@ -73,8 +73,8 @@
                 units=int(admission.units),
             )
         timeout_s = admission.route.timeout_s
-        if facts.patience_s is not None:
-            timeout_s = min(timeout_s, facts.patience_s)
+        if facts.timeout_s is not None:
+            timeout_s = min(timeout_s, facts.timeout_s)
         self._components.resend_budget.record_request(
             admission.service,
             self._components.vm_count(),
@@ -91,7 +91,7 @@
             await self._serve_buffered(job, responder)
 
     async def _serve_buffered(self, job: Job, responder: Responder) -> None:
-        if job.admission.route.may_repeat:
+        if job.admission.route.can_run_again:
             reply = await self._run_buffered(job)
         else:
             reply = await self._run_uncancelled(job)
@@ -236,7 +236,7 @@
         if status < MIN_SERVER_ERROR_STATUS:
             return False
         job.runner_error_status = status
-        if not job.admission.route.may_repeat:
+        if not job.admission.route.can_run_again:
             return False
         return self._dispatcher.take_rerun(job)
 
--- a/bramleybend/direct/runner_limits.py
+++ b/bramleybend/direct/runner_limits.py
@@ -14,19 +14,19 @@
 from typing import Final
 
 from bramleybend.clock import Clock
-from bramleybend.direct.beat_messages import LimitNews
+from bramleybend.direct.heartbeat_messages import RunnerLimit
 from bramleybend.events import EventLog
 
 # At a rate of 0 a runner would get no request to which it could answer with a
 # higher limit.
-LEAST_PER_S: Final = 0.25
+MIN_PER_S: Final = 0.25
 # The end of a limit is sent for longer than a VM is likely to be cut off from
 # the others.
-END_TOLD_S: Final = 30.0
+END_SENT_S: Final = 30.0
 # Limits in one heartbeat, 50 bytes each. If there are more, half of those sent
 # are the newest and half are drawn at random from the others, so that each is
 # sent sooner or later.
-MOST_TOLD: Final = 32
+MAX_LIMITS_PER_HEARTBEAT: Final = 32
 NEWEST_SENT: Final = 16
 
 
@@ -40,26 +40,28 @@
     """The limits that runners declared, by runner incarnation."""
 
     def __init__(self, clock: Clock, events: EventLog, rng: Random) -> None:
-        """Start without limits; `changed` is called when one changes."""
+        """Start without limits; `on_change` is called when one changes."""
         self._clock = clock
         self._events = events
         self._rng = rng
         self._limits: dict[str, _Limit] = {}
-        self.changed: Callable[[], None] = _ignore
+        self.on_change: Callable[[], None] = _ignore
 
     def now(self) -> float:
-        """Return the time on the clock of `sent_at` in `answered`."""
+        """Return the time on the clock of `sent_at` in `update_from_answer`."""
         return self._clock.monotonic()
 
     def in_force(self) -> dict[str, float]:
         """Return the limits by runner, in requests per second."""
         return {
-            runner: max(limit.per_s, LEAST_PER_S)
+            runner: max(limit.per_s, MIN_PER_S)
             for runner, limit in self._limits.items()
             if limit.per_s is not None
         }
 
-    def answered(self, runner: str, limit: str, sent_at: float) -> None:
+    def update_from_answer(
+        self, runner: str, limit: str, sent_at: float
+    ) -> None:
         """Store the limit in an answer's header; empty if there was none.
 
         `sent_at` is when the request was sent. A value that is no finite
@@ -78,7 +80,7 @@
             return
         self._update(runner, _Limit(per_s, self.now()))
 
-    def heard(self, news: Iterable[LimitNews]) -> None:
+    def merge(self, news: Iterable[RunnerLimit]) -> None:
         """Merge the limits in another VM's heartbeat."""
         now = self.now()
         for report in news:
@@ -87,20 +89,22 @@
             if known is None or known.answered_at < limit.answered_at:
                 self._update(report.runner, limit)
 
-    def news(self) -> list[LimitNews]:
+    def limits_to_send(self) -> list[RunnerLimit]:
         """Return the limits to send in a heartbeat, the newest first."""
         now = self.now()
         current = [
-            LimitNews(runner, limit.per_s, now - limit.answered_at)
+            RunnerLimit(runner, limit.per_s, now - limit.answered_at)
             for runner, limit in sorted(self._limits.items(), key=_newest_first)
-            if limit.per_s is not None or now - limit.answered_at < END_TOLD_S
+            if limit.per_s is not None or now - limit.answered_at < END_SENT_S
         ]
-        if len(current) <= MOST_TOLD:
+        if len(current) <= MAX_LIMITS_PER_HEARTBEAT:
             return current
-        drawn = self._rng.sample(current[NEWEST_SENT:], MOST_TOLD - NEWEST_SENT)
+        drawn = self._rng.sample(
+            current[NEWEST_SENT:], MAX_LIMITS_PER_HEARTBEAT - NEWEST_SENT
+        )
         return current[:NEWEST_SENT] + drawn
 
-    def keep_only(self, runners: Collection[str]) -> None:
+    def retain_only(self, runners: Collection[str]) -> None:
         """Drop the limits of runners that are gone."""
         for runner in self._limits.keys() - runners:
             self._limits.pop(runner)
@@ -115,7 +119,7 @@
             runner=runner,
             per_s='none' if limit.per_s is None else limit.per_s,
         )
-        self.changed()
+        self.on_change()
 
 
 def _newest_first(item: tuple[str, _Limit]) -> float:
@@ -131,4 +135,4 @@
 
 
 def _ignore() -> None:
-    """Stand in for `RunnerLimits.changed` until that is set."""
+    """Stand in for `RunnerLimits.on_change` until that is set."""
--- a/bramleybend/direct/runner_list.py
+++ b/bramleybend/direct/runner_list.py
@@ -44,13 +44,13 @@
         self._confirmed_at = book.now()
         self._grace_until = float(0)
 
-    def confirmed(self, at: float) -> None:
+    def note_confirmed(self, at: float) -> None:
         """Note that the list was up to date at a point in time."""
         if at - self._confirmed_at > OUTAGE_S:
             self._grace_until = self._book.now() + EXPIRY_GRACE_S
         self._confirmed_at = max(at, self._confirmed_at)
 
-    def take(self, page: Page) -> None:
+    def apply_page(self, page: Page) -> None:
         """Apply a page of entries."""
         if self._book.now() - self._confirmed_at > OUTAGE_S:
             self._grace_until = self._book.now() + EXPIRY_GRACE_S
--- a/bramleybend/direct/owner.py
+++ b/bramleybend/direct/service_queue.py
@@ -25,9 +25,9 @@
 from bramleybend.decisions.overload import UNBOUNDED, OverloadBounds
 from bramleybend.decisions.shard_policy import ShardPolicy, make_shard_policy
 from bramleybend.decisions.switches import PolicySwitches
-from bramleybend.direct.beat_messages import RunNews
+from bramleybend.direct.heartbeat_messages import ReportedRun
 from bramleybend.direct.models import RunnerEntry, RunnerState
-from bramleybend.models import Ask, Service, ServiceKind, Tier
+from bramleybend.models import Service, ServiceKind, SlotRequest, Tier
 
 OnDecision: TypeAlias = Callable[[Grant | Refuse], None]
 OnQueued: TypeAlias = Callable[[], None]
@@ -35,7 +35,7 @@
 # A granted run that no heartbeat of its VM has reported after this time has
 # ended, and the message about its end was lost. VMs report their runs to
 # owners at least in every third heartbeat (0.6 s); one of these may be lost.
-UNCONFIRMED_S: Final = 1.3
+UNCONFIRMED_RUN_TTL_S: Final = 1.3
 # A VM stops reporting its runs to this VM when it no longer regards this VM
 # as an owner or the successor of one. If its last report stayed in force,
 # runs that ended long ago would occupy slots once this VM becomes the owner.
@@ -95,9 +95,9 @@
         # Slot requests and decisions; `QueueLog` clears them every second.
         self.counts: Counter[str] = Counter()
 
-    def ask(
+    def request_slot(
         self,
-        ask: Ask,
+        ask: SlotRequest,
         on_decision: OnDecision,
         on_queued: OnQueued | None = None,
     ) -> None:
@@ -136,12 +136,12 @@
         self._clear_times(request_id)
         self._apply(self._policy.withdraw(request_id, self._clock.monotonic()))
 
-    def note_remote_grant(self, ask: Ask, runner: str) -> None:
+    def note_remote_grant(self, ask: SlotRequest, runner: str) -> None:
         """Add a run of this VM that another VM's queue granted."""
         now = self._clock.monotonic()
         self._apply(self._policy.record_run(ask, runner, now))
 
-    def began(self, request_id: str) -> None:
+    def confirm_started(self, request_id: str) -> None:
         """Confirm that a request of this VM uses its grant.
 
         VMs send no heartbeats to themselves, so nothing else confirms the
@@ -157,13 +157,13 @@
             self._policy.record_first_token(request_id, prompt_tokens, 0, now)
         )
 
-    def ended(self, request_id: str, report: RunReport) -> None:
+    def release(self, request_id: str, report: RunReport) -> None:
         """Free the run's slot."""
         self._clear_times(request_id)
         now = self._clock.monotonic()
         self._apply(self._policy.end_run(request_id, report, now))
 
-    def take_runners(
+    def update_runners(
         self, entries: Sequence[RunnerEntry], *, warm: bool
     ) -> None:
         """Replace the list of the service's runners.
@@ -191,7 +191,9 @@
             self._policy.update_start_rates(per_s, self._clock.monotonic())
         )
 
-    def heard_runs(self, vm: str, runs: Iterable[RunNews]) -> None:
+    def update_reported_runs(
+        self, vm: str, runs: Iterable[ReportedRun]
+    ) -> None:
         """Replace the runs that a VM reports for this service."""
         now = self._clock.monotonic()
         current = {run.request_id: run for run in runs}
@@ -213,7 +215,7 @@
         self._reported_runs[vm] = frozenset(current)
         self._reported_at[vm] = now
 
-    def sweep(self) -> None:
+    def drop_expired(self) -> None:
         """Drop requests, grants and runs that their VM stopped confirming."""
         now = self._clock.monotonic()
         expired = [
@@ -224,13 +226,13 @@
         expired.extend(
             request_id
             for request_id, at in self._granted_at.items()
-            if now - at > UNCONFIRMED_S
+            if now - at > UNCONFIRMED_RUN_TTL_S
         )
         for request_id in expired:
             self.withdraw(request_id)
         for vm, at in tuple(self._reported_at.items()):
             if now - at > REPORTED_RUNS_TTL_S and self._reported_runs[vm]:
-                self.heard_runs(vm, ())
+                self.update_reported_runs(vm, ())
 
     def _clear_times(self, request_id: str) -> None:
         self._requested_at.pop(request_id, None)
@@ -287,9 +289,9 @@
             )
 
 
-def slot_request_of(run: RunNews, now: float) -> Ask:
+def slot_request_of(run: ReportedRun, now: float) -> SlotRequest:
     """Rebuild the slot request of a run that another VM reported."""
-    return Ask(
+    return SlotRequest(
         run.request_id,
         run.service,
         Tier(run.tier),
@@ -315,6 +317,6 @@
     return ServiceQueue(Service(name, kind, slots=1), clock, rng, overload)
 
 
-def exclude_runner(ask: Ask, runner: str) -> Ask:
+def exclude_runner(ask: SlotRequest, runner: str) -> SlotRequest:
     """Return a copy of a slot request that this runner can't be granted."""
     return replace(ask, excluded=ask.excluded | {runner})
--- a/bramleybend/direct/ask_messages.py
+++ b/bramleybend/direct/slot_messages.py
@@ -2,13 +2,13 @@
 
 from bramleybend.decisions.actions import Grant, Refuse, RunReport
 from bramleybend.direct.messages import (
-    AskNews,
     Ended,
     Granted,
     Message,
     Refused,
+    SlotRequestMessage,
 )
-from bramleybend.models import Ask, Tier
+from bramleybend.models import SlotRequest, Tier
 
 
 def decision_message(action: Grant | Refuse) -> Message:
@@ -19,13 +19,13 @@
     return Refused(action.request_id, action.reason, wait_s)
 
 
-def ask_news(ask: Ask, now: float) -> AskNews:
+def slot_request_message(ask: SlotRequest, now: float) -> SlotRequestMessage:
     """Make a slot request message.
 
     Points in time are sent as the time left, since the monotonic clocks of two
     VMs differ.
     """
-    return AskNews(
+    return SlotRequestMessage(
         ask.request_id,
         ask.service,
         int(ask.tier),
@@ -41,9 +41,9 @@
     )
 
 
-def ask_from(message: AskNews, now: float) -> Ask:
+def slot_request_from(message: SlotRequestMessage, now: float) -> SlotRequest:
     """Rebuild a slot request that another VM sent."""
-    return Ask(
+    return SlotRequest(
         message.request_id,
         message.service,
         Tier(message.tier),
@@ -61,7 +61,9 @@
     )
 
 
-def run_end_message(ask: Ask, report: RunReport, runner: str = '') -> Ended:
+def run_end_message(
+    ask: SlotRequest, report: RunReport, runner: str = ''
+) -> Ended:
     """Make the message that tells an owner of a run's end.
 
     `runner` is the incarnation of the runner that had the run. It is sent only
--- a/bramleybend/direct/suspension.py
+++ b/bramleybend/direct/suspension.py
@@ -29,7 +29,7 @@
         self._unsuspended_clock = unsuspended_clock
         self._difference_s = clock.monotonic() - unsuspended_clock()
 
-    def slept_s(self) -> float:
+    def suspended_s(self) -> float:
         """Return the seconds for which the VM was suspended since last asked.
 
         Differences below `MIN_SUSPENSION_S` count as 0.
@@ -59,7 +59,7 @@
     async def sleep(self, seconds: float) -> bool:
         """Sleep; returns whether the VM was suspended meanwhile."""
         await self._loop_watch.sleep(seconds)
-        suspended_s = self._suspensions.slept_s()
+        suspended_s = self._suspensions.suspended_s()
         if suspended_s:
             self._events.record('suspended', seconds=f'{suspended_s:.1f}')
         return bool(suspended_s)
--- a/bramleybend/gateway/ask.py
+++ b/bramleybend/gateway/ask.py
@@ -6,7 +6,7 @@
 
 from bramleybend.decisions.prefixes import prefix_hashes
 from bramleybend.gateway.run import CallerRequest
-from bramleybend.models import Ask, Profile, ServiceKind
+from bramleybend.models import Profile, ServiceKind, SlotRequest
 from bramleybend.wire.bramleybend_pb2 import AskMessage
 
 CHARS_PER_TOKEN: Final = 4
@@ -17,7 +17,9 @@
 DEFAULT_MAX_TOKENS: Final = 128
 
 
-def make_ask(req: CallerRequest, profile: Profile, kind: ServiceKind) -> Ask:
+def make_ask(
+    req: CallerRequest, profile: Profile, kind: ServiceKind
+) -> SlotRequest:
     """Build the slot request, with prompt length and cost estimated."""
     if kind is ServiceKind.ENGINE:
         prompt, max_tokens = _parse_prompt(req.body)
@@ -26,7 +28,7 @@
         # their short calls would look costly enough to be shed for overload.
         prompt, max_tokens = req.body.decode(errors='replace'), 0
     prompt_tokens = max(len(prompt) // CHARS_PER_TOKEN, 1)
-    return Ask(
+    return SlotRequest(
         request_id=req.request_id,
         service=req.service,
         tier=profile.tier,
@@ -41,7 +43,7 @@
 
 
 def make_ask_message(
-    ask: Ask,
+    ask: SlotRequest,
     excluded: Sequence[str],
     timeout_s: float,
 ) -> AskMessage:
--- a/bramleybend/gateway/job.py
+++ b/bramleybend/gateway/job.py
@@ -12,7 +12,7 @@
 from bramleybend.gateway.slot_client import SlotClient
 from bramleybend.gateway.view import ViewFollower
 from bramleybend.metrics import Metrics
-from bramleybend.models import Ask, Profile, Service, Tier
+from bramleybend.models import Profile, Service, SlotRequest, Tier
 
 # A caller stops waiting at its deadline, so the answer is sent a little before:
 # by this share of the time left, at most by this many seconds.
@@ -71,6 +71,6 @@
         """The tier of the profile."""
         return self.profile.tier
 
-    def make_ask(self) -> Ask:
+    def make_ask(self) -> SlotRequest:
         """Build the slot request for the owner."""
         return make_ask(self.run.req, self.profile, self.service.kind)
--- a/bramleybend/gateway/slot_search.py
+++ b/bramleybend/gateway/slot_search.py
@@ -18,7 +18,7 @@
 from bramleybend.gateway.shard_race import AskResult, ShardRace
 from bramleybend.gateway.slot import Slot
 from bramleybend.metrics import Metric
-from bramleybend.models import Ask, Tier
+from bramleybend.models import SlotRequest, Tier
 from bramleybend.wire.bramleybend_pb2 import AskMessage, Ended, Refused
 
 RETRY_AFTER: Final = timedelta(seconds=1)
@@ -122,7 +122,7 @@
 
     async def _ask_shards(
         self,
-        ask: Ask,
+        ask: SlotRequest,
         excluded: list[str],
         answer_by: float,
         *,
@@ -172,7 +172,7 @@
         self._background_tasks.add(task)
         task.add_done_callback(self._background_tasks.discard)
 
-    def _remaining_s(self, ask: Ask) -> float:
+    def _remaining_s(self, ask: SlotRequest) -> float:
         return max(ask.deadline - self._deps.clock.monotonic(), 0)
 
     def _record_shed(
--- a/bramleybend/models.py
+++ b/bramleybend/models.py
@@ -139,7 +139,7 @@
 
 
 @dataclass(frozen=True)
-class Ask:
+class SlotRequest:
     """What a gateway asks an owner for: a slot for one request."""
 
     request_id: str
--- a/bramleybend/platform/headers.py
+++ b/bramleybend/platform/headers.py
@@ -10,7 +10,7 @@
     first_header,
     hop_by_hop_names,
 )
-from bramleybend.direct.models import RequestFacts
+from bramleybend.direct.models import RequestMetadata
 from bramleybend.platform.names import (
     ATTEMPT_ID,
     AUTHORIZATION,
@@ -36,25 +36,23 @@
 class PlatformHeaderCodec:
     """Headers as the platform's documentation defines them."""
 
-    def request_facts(self, headers: HeaderList) -> RequestFacts:
+    def request_facts(self, headers: HeaderList) -> RequestMetadata:
         """Return what the headers state about a caller's request."""
         prompt_count, most_output = _parse_token_counts(
             _header_text(headers, TOKEN_COUNTS)
         )
         timeout_ms = _parse_number(_header_text(headers, TIMEOUT_MS))
         length_hint = _parse_number(_header_text(headers, LENGTH_HINT))
-        return RequestFacts(
+        return RequestMetadata(
             attempt_id=_header_text(headers, ATTEMPT_ID),
             key=_api_key(_header_text(headers, AUTHORIZATION)),
-            patience_s=None
-            if timeout_ms is None
-            else timeout_ms / MILLISECONDS,
+            timeout_s=None if timeout_ms is None else timeout_ms / MILLISECONDS,
             prompt_tokens=prompt_count,
             max_output_tokens=most_output,
             output_tokens_hint=None
             if length_hint is None
             else int(length_hint),
-            resume_after=_header_text(headers, LAST_EVENT_ID),
+            last_event_id=_header_text(headers, LAST_EVENT_ID),
         )
 
     def runner_headers(
--- a/bramleybend/platform/manifest.py
+++ b/bramleybend/platform/manifest.py
@@ -11,11 +11,11 @@
 
 from bramleybend.direct.models import (
     Allotment,
+    DeclaredService,
     IngressLimits,
-    KeyHolder,
+    KeyedWorkspace,
     Manifest,
     Route,
-    ServiceFacts,
     Target,
 )
 from bramleybend.errors import ErrorKind, Problem
@@ -87,7 +87,7 @@
         },
         {service.name: _convert_service(service) for service in wire.services},
         _convert_key_holders(wire.tenants or []),
-        keyed=wire.tenants is not None,
+        requires_key=wire.tenants is not None,
         limits=_convert_limits(wire.limits),
     )
 
@@ -107,11 +107,11 @@
         streaming=wire.kind == 'streaming',
         resumable=wire.resumable,
         timeout_s=timeout_s,
-        objective_s=wire.target_latency_ms / MILLISECONDS or timeout_s,
-        event_patience_s=_event_timeout_s(wire),
+        target_latency_s=wire.target_latency_ms / MILLISECONDS or timeout_s,
+        event_timeout_s=_event_timeout_s(wire),
         tier=tier_from_priority(wire.priority),
         targets=tuple(targets) or (Target(wire.service, 1),),
-        most_runners=max(wire.max_attempts, 1),
+        max_runners=max(wire.max_attempts, 1),
         public=wire.public,
     )
 
@@ -134,8 +134,8 @@
     )
 
 
-def _convert_service(wire: WireService) -> ServiceFacts:
-    return ServiceFacts(
+def _convert_service(wire: WireService) -> DeclaredService:
+    return DeclaredService(
         wire.name,
         wire.max_conns or UNLIMITED_CONNECTIONS,
         wire.engine is not None,
@@ -143,9 +143,11 @@
     )
 
 
-def _convert_key_holders(tenants: list[WireTenant]) -> Mapping[str, KeyHolder]:
+def _convert_key_holders(
+    tenants: list[WireTenant],
+) -> Mapping[str, KeyedWorkspace]:
     return {
-        key: KeyHolder(
+        key: KeyedWorkspace(
             tenant.name,
             None
             if tenant.priority is None
--- a/bramleybend/platform/program.py
+++ b/bramleybend/platform/program.py
@@ -87,8 +87,8 @@
     def _make_runner_feed(self) -> Feed:
         feed = self._make_feed(RUNNER_FEED)
         runners = RunnerList(self.entry.book, decode_runner, self.entry.events)
-        feed.on_page = runners.take
-        feed.on_confirmed = runners.confirmed
+        feed.on_page = runners.apply_page
+        feed.on_confirmed = runners.note_confirmed
         self.entry.on_sweep = runners.drop_expired
         return feed
 
--- a/bramleybend/scheduler/owner_service.py
+++ b/bramleybend/scheduler/owner_service.py
@@ -9,7 +9,7 @@
 from bramleybend.clock import Clock
 from bramleybend.decisions.actions import RunReport
 from bramleybend.decisions.quarantine import ContentStatus
-from bramleybend.models import Ask, Tier
+from bramleybend.models import SlotRequest, Tier
 from bramleybend.scheduler.shard_messages import (
     FirstTokenSeen,
     FloorRequested,
@@ -158,8 +158,8 @@
 
 def _parse_ask(
     message: AskMessage, now: float, *, is_suspect: bool = False
-) -> Ask:
-    return Ask(
+) -> SlotRequest:
+    return SlotRequest(
         request_id=message.request_id,
         service=message.service,
         tier=Tier(message.tier),
--- a/bramleybend/scheduler/shard_messages.py
+++ b/bramleybend/scheduler/shard_messages.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from bramleybend.decisions.actions import RunReport
-from bramleybend.models import Ask, Tier, Vm
+from bramleybend.models import SlotRequest, Tier, Vm
 from bramleybend.wire.bramleybend_pb2 import HoldReply
 
 
@@ -32,7 +32,7 @@
     """
 
     hold: HoldChannel
-    ask: Ask
+    ask: SlotRequest
     urgent: bool
 
 
@@ -41,7 +41,7 @@
     """A gateway registers a run that a previous owner granted."""
 
     hold: HoldChannel
-    ask: Ask
+    ask: SlotRequest
     runner: str
 
 
--- a/tests/benchmarks/capacity_control.py
+++ b/tests/benchmarks/capacity_control.py
@@ -24,10 +24,10 @@
 from bramleybend.identity import Identity
 from bramleybend.metrics import make_metrics
 from bramleybend.models import (
-    Ask,
     RunnerState,
     Service,
     ServiceKind,
+    SlotRequest,
     Tier,
     Vm,
 )
@@ -331,7 +331,7 @@
 
 
 def _asked(shard: ShardPolicy, idx: int, now: float) -> list[str]:
-    ask = Ask(
+    ask = SlotRequest(
         request_id=f'request-{idx}',
         service='model-1',
         tier=Tier(idx % 4 + 1),
--- a/tests/benchmarks/capacity_peers.py
+++ b/tests/benchmarks/capacity_peers.py
@@ -39,11 +39,11 @@
     until_heard_s = network.until_all_hear_all()
     network.run(6)  # the heartbeats of a start are over
     network.reset_counts()
-    before = {vm.name: vm.peers.sent.messages for vm in network.up()}
+    before = {vm.name: vm.peers.traffic.sent_messages for vm in network.up()}
     _admit_for(network, seconds)
     total = count * seconds
     busiest = max(
-        vm.peers.sent.messages - before[vm.name] for vm in network.up()
+        vm.peers.traffic.sent_messages - before[vm.name] for vm in network.up()
     )
     return PeerCost(
         count,
--- a/tests/benchmarks/fleet.py
+++ b/tests/benchmarks/fleet.py
@@ -5,7 +5,7 @@
 from functools import partial
 from typing import Protocol
 
-from bramleybend.models import Ask
+from bramleybend.models import SlotRequest
 from tests.benchmarks.patterns import FLEET, Fault, Pattern
 from tests.utils.queueing_fake import (
     EngineRun,
@@ -62,7 +62,7 @@
     """One job under way."""
 
     job: Job
-    ask: Ask | None = None
+    ask: SlotRequest | None = None
     tried: set[str] = field(default_factory=set)
     shards: set[int] = field(default_factory=set)
     run: EngineRun | None = None
--- a/tests/benchmarks/gateways.py
+++ b/tests/benchmarks/gateways.py
@@ -16,7 +16,7 @@
 from bramleybend.decisions.routing import rank_shards
 from bramleybend.decisions.shard_policy import ShardPolicy, make_shard_policy
 from bramleybend.decisions.switches import PolicySwitches
-from bramleybend.models import Ask, Repeat, Service, ServiceKind
+from bramleybend.models import Repeat, Service, ServiceKind, SlotRequest
 from tests.benchmarks.fleet import Fleet, Try
 from tests.benchmarks.measures import Scores
 from tests.benchmarks.patterns import ENTRY_VMS, Kind, expected_cost
@@ -65,7 +65,7 @@
 
     def submit(self, attempt: Try) -> None:
         job = attempt.job
-        attempt.ask = Ask(
+        attempt.ask = SlotRequest(
             request_id=job.job_id,
             service='lm',
             tier=job.tier,
--- a/tests/decisions/engine_simulation.py
+++ b/tests/decisions/engine_simulation.py
@@ -23,7 +23,7 @@
 )
 from bramleybend.decisions.shard_policy import make_shard_policy
 from bramleybend.decisions.switches import PolicySwitches
-from bramleybend.models import Ask, Service, ServiceKind, Tier
+from bramleybend.models import Service, ServiceKind, SlotRequest, Tier
 
 ENGINES: Final = 30
 SLOTS: Final = 8
@@ -94,7 +94,7 @@
     """One simulated request."""
 
     kind: RequestKind
-    ask: Ask
+    ask: SlotRequest
     prefill_left: int
     answer_tokens: int
     decoded_tokens: int = 0
@@ -171,7 +171,7 @@
         prompt = kind.prompt.sample(self._rng)
         answer = kind.events.sample(self._rng) * EVENT_TOKENS
         hint = max(answer * exp(self._rng.gauss(0, 0.5)), 1)
-        ask = Ask(
+        ask = SlotRequest(
             request_id=f'q{next(self._ids)}',
             service='lm',
             tier=kind.tier,
--- a/tests/decisions/test_choice.py
+++ b/tests/decisions/test_choice.py
@@ -33,7 +33,7 @@
 from bramleybend.decisions.switches import PolicySwitches
 from bramleybend.decisions.tier_queue import WINDOW_ENTRIES, WaitingEntry
 from bramleybend.decisions.waiting_queue import MinRunTime, WaitingQueue
-from bramleybend.models import Ask, Tier
+from bramleybend.models import SlotRequest, Tier
 
 NOW = 1000.0
 STATES = 400
@@ -41,7 +41,7 @@
 PREFIXES = [f'prefix-{number}' for number in range(12)]
 
 
-def expected_cost(snapshot: RunnerSnapshot, ask: Ask) -> float:
+def expected_cost(snapshot: RunnerSnapshot, ask: SlotRequest) -> float:
     """Compute the cost of a run on a runner, with its cached prefixes."""
     prefill = snapshot.prefill_tokens(ask)
     decode = max(ask.cost - ask.prompt_tokens, 1)
@@ -54,7 +54,9 @@
     )
 
 
-def is_startable(snapshot: RunnerSnapshot, ask: Ask, left: TimeLeft) -> bool:
+def is_startable(
+    snapshot: RunnerSnapshot, ask: SlotRequest, left: TimeLeft
+) -> bool:
     """Tell whether a request may start on a runner and ends in time there."""
     if not snapshot.is_free:
         return False
@@ -134,10 +136,10 @@
     return None
 
 
-def random_ask(rng: Random, number: int) -> Ask:
+def random_ask(rng: Random, number: int) -> SlotRequest:
     """Return a request that may share its first prefixes with others."""
     prompt = rng.choice([40, 500, 3000, 12_000])
-    return Ask(
+    return SlotRequest(
         request_id=f'req-{number}',
         service='model-1',
         tier=Tier(rng.randint(1, 4)),
--- a/tests/decisions/test_connected.py
+++ b/tests/decisions/test_connected.py
@@ -6,8 +6,8 @@
 
 from bramleybend.decisions.actions import Grant, RunnerInfo, RunReport
 from bramleybend.decisions.shard_policy import ShardPolicy, make_shard_policy
-from bramleybend.direct.owner import SWITCHES
-from bramleybend.models import Ask, Service, ServiceKind, Tier
+from bramleybend.direct.service_queue import SWITCHES
+from bramleybend.models import Service, ServiceKind, SlotRequest, Tier
 
 TOKENS = 1000
 NO_RUNNERS: frozenset[str] = frozenset()
@@ -17,9 +17,9 @@
     name: str,
     connected: frozenset[str] = NO_RUNNERS,
     excluded: frozenset[str] = NO_RUNNERS,
-) -> Ask:
+) -> SlotRequest:
     """Return a request for a slot."""
-    return Ask(
+    return SlotRequest(
         name,
         'lm',
         Tier.HIGH,
--- a/tests/decisions/test_failure_share.py
+++ b/tests/decisions/test_failure_share.py
@@ -6,15 +6,15 @@
 from bramleybend.decisions.failure_share import FailureShare
 from bramleybend.decisions.shard_policy import make_shard_policy
 from bramleybend.decisions.switches import PolicySwitches
-from bramleybend.models import Ask, Service, ServiceKind, Tier
+from bramleybend.models import Service, ServiceKind, SlotRequest, Tier
 
 RUN_S = 0.3
 STEP_S = 0.01
 
 
-def make_ask(number: int, now: float) -> Ask:
+def make_ask(number: int, now: float) -> SlotRequest:
     """Return a request of typical size."""
-    return Ask(
+    return SlotRequest(
         f'a{number}',
         's',
         Tier.CRITICAL,
--- a/tests/decisions/test_free_slots.py
+++ b/tests/decisions/test_free_slots.py
@@ -14,8 +14,8 @@
 )
 from bramleybend.decisions.shard_policy import ShardPolicy, make_shard_policy
 from bramleybend.decisions.switches import PolicySwitches
-from bramleybend.direct.owner import SWITCHES
-from bramleybend.models import Ask, Service, ServiceKind, Tier
+from bramleybend.direct.service_queue import SWITCHES
+from bramleybend.models import Service, ServiceKind, SlotRequest, Tier
 from tests.decisions.engine_simulation import (
     COMPLETION_COST,
     EngineSimulation,
@@ -80,9 +80,9 @@
 
 def make_ask(
     name: str, tier: Tier, tokens: int = 400, answer: int = 100
-) -> Ask:
+) -> SlotRequest:
     """Return a request of a workspace of its own."""
-    return Ask(
+    return SlotRequest(
         request_id=name,
         service='lm',
         tier=tier,
--- a/tests/decisions/test_incremental_decisions.py
+++ b/tests/decisions/test_incremental_decisions.py
@@ -15,7 +15,7 @@
 )
 from bramleybend.decisions.shard_policy import ShardPolicy, make_shard_policy
 from bramleybend.decisions.switches import PolicySwitches
-from bramleybend.models import Ask, Service, ServiceKind, Tier
+from bramleybend.models import Service, ServiceKind, SlotRequest, Tier
 
 SERVICE = Service('lm', ServiceKind.ENGINE, slots=1)
 EVENT_COUNT = 1500
@@ -34,10 +34,10 @@
     return policy
 
 
-def random_ask(rng: Random, number: int, now: float) -> Ask:
+def random_ask(rng: Random, number: int, now: float) -> SlotRequest:
     """Return a request of random size and patience."""
     prompt = rng.choice([40, 500, 3000, 12_000])
-    return Ask(
+    return SlotRequest(
         request_id=f'req-{number}',
         service='lm',
         tier=Tier(rng.randint(1, 3)),
@@ -59,8 +59,8 @@
         """Start both policies in the same state."""
         self._rng = rng
         self._policy, self._exhaustive = make_policy(), make_policy()
-        self._running: dict[str, tuple[Ask, str, float]] = {}
-        self._asks: dict[str, Ask] = {}
+        self._running: dict[str, tuple[SlotRequest, str, float]] = {}
+        self._asks: dict[str, SlotRequest] = {}
         self.started = 0
 
     def step(self, number: int, now: float) -> None:
--- a/tests/decisions/test_invariants.py
+++ b/tests/decisions/test_invariants.py
@@ -13,7 +13,7 @@
     RunReport,
 )
 from bramleybend.decisions.shard_policy import make_shard_policy
-from bramleybend.models import Ask, Tier
+from bramleybend.models import SlotRequest, Tier
 from tests.decisions.test_owner import SERVICE, make_ask
 
 STEPS = 600
@@ -27,7 +27,7 @@
         self.rng = Random(seed)
         self.policy = make_shard_policy(SERVICE, Random(seed))
         self.now = float(0)
-        self.asks: dict[str, Ask] = {}
+        self.asks: dict[str, SlotRequest] = {}
         self.running: dict[str, str] = {}
         self.finished: set[str] = set()
         self.leaving: set[str] = set()
@@ -49,7 +49,7 @@
                 assert ask.tier > action.for_tier
                 assert ask.request_id in self.running
 
-    def handle_grant(self, ask: Ask, runner: str) -> None:
+    def handle_grant(self, ask: SlotRequest, runner: str) -> None:
         if self.running.get(ask.request_id) == runner:
             return  # a repeated slot request gets the same grant
         assert ask.request_id not in self.running
--- a/tests/decisions/test_on_time_first.py
+++ b/tests/decisions/test_on_time_first.py
@@ -11,7 +11,7 @@
 )
 from bramleybend.decisions.shard_policy import make_shard_policy
 from bramleybend.decisions.switches import PolicySwitches
-from bramleybend.models import Ask, Service, ServiceKind, Tier
+from bramleybend.models import Service, ServiceKind, SlotRequest, Tier
 
 RUN_S = 0.1
 ARRIVAL_INTERVAL_S = 0.06  # 1.7 times the capacity of the runner
@@ -64,8 +64,8 @@
     return on_time, len(waits), max(waits.values())
 
 
-def make_ask(name: str, now: float) -> Ask:
-    return Ask(
+def make_ask(name: str, now: float) -> SlotRequest:
+    return SlotRequest(
         name,
         'lm',
         Tier.NORMAL,
--- a/tests/decisions/test_overload.py
+++ b/tests/decisions/test_overload.py
@@ -20,9 +20,9 @@
 )
 from bramleybend.decisions.overload import MAX_OWED_STARTS, OverloadBounds
 from bramleybend.decisions.shard_policy import make_shard_policy
-from bramleybend.direct.owner import SWITCHES
+from bramleybend.direct.service_queue import SWITCHES
 from bramleybend.entry_settings import MIN_TIER_SHARE, STANDING_QUEUE_S
-from bramleybend.models import Ask, Service, ServiceKind, Tier
+from bramleybend.models import Service, ServiceKind, SlotRequest, Tier
 
 RUN_S: Final = 0.1
 STEP_S: Final = 0.01
@@ -105,8 +105,8 @@
                 waits[tier].append(now - at)
 
 
-def _make_ask(name: str, tier: Tier, now: float) -> Ask:
-    return Ask(
+def _make_ask(name: str, tier: Tier, now: float) -> SlotRequest:
+    return SlotRequest(
         name,
         'lm',
         tier,
--- a/tests/decisions/test_owner.py
+++ b/tests/decisions/test_owner.py
@@ -16,14 +16,14 @@
 )
 from bramleybend.decisions.shard_policy import ShardPolicy, make_shard_policy
 from bramleybend.decisions.tier_floor import FLOOR_HOLD_S
-from bramleybend.models import Ask, Service, ServiceKind, Tier
+from bramleybend.models import Service, ServiceKind, SlotRequest, Tier
 
 SERVICE = Service('briefing-llm', ServiceKind.ENGINE, slots=2)
 DONE = RunReport('done', prompt_tokens=100, completion_tokens=10, seconds=0.1)
 
 
-def make_ask(request_id: str, **changes: object) -> Ask:
-    ask = Ask(
+def make_ask(request_id: str, **changes: object) -> SlotRequest:
+    ask = SlotRequest(
         request_id=request_id,
         service='briefing-llm',
         tier=Tier.NORMAL,
--- a/tests/decisions/test_random_placement.py
+++ b/tests/decisions/test_random_placement.py
@@ -11,8 +11,8 @@
 
 from bramleybend.decisions.actions import Grant, RunnerInfo, RunReport
 from bramleybend.decisions.shard_policy import ShardPolicy, make_shard_policy
-from bramleybend.direct.owner import PLAIN_SWITCHES
-from bramleybend.models import Ask, Service, ServiceKind, Tier
+from bramleybend.direct.service_queue import PLAIN_SWITCHES
+from bramleybend.models import Service, ServiceKind, SlotRequest, Tier
 
 SLOTS: Final = 6
 RUN_S: Final = 0.045
@@ -96,7 +96,7 @@
             policy.update_runners(infos, now)
 
     def _ask(self, vm: int, now: float) -> None:
-        ask = Ask(
+        ask = SlotRequest(
             f'{vm}-{next(self._numbers)}',
             'app',
             Tier.NORMAL,
@@ -238,7 +238,7 @@
     now: float,
     connected: frozenset[str] = frozenset(),
 ) -> Grant:
-    ask = Ask(
+    ask = SlotRequest(
         name,
         'app',
         Tier.NORMAL,
--- a/tests/decisions/test_standing_queue.py
+++ b/tests/decisions/test_standing_queue.py
@@ -7,8 +7,8 @@
 
 from bramleybend.decisions.tier_queue import LATE_START_INTERVAL
 from bramleybend.decisions.waiting_queue import MinRunTime, WaitingQueue
-from bramleybend.direct.owner import SWITCHES
-from bramleybend.models import Ask, Tier
+from bramleybend.direct.service_queue import SWITCHES
+from bramleybend.models import SlotRequest, Tier
 from tests.decisions.engine_simulation import (
     PATIENCE_S,
     EngineSimulation,
@@ -54,7 +54,9 @@
     return queue
 
 
-def make_objective_ask(name: str, workspace: str, on_time_until: float) -> Ask:
+def make_objective_ask(
+    name: str, workspace: str, on_time_until: float
+) -> SlotRequest:
     """Return a request that is late after a time."""
     return make_ask(
         name, workspace=workspace, deadline=60, on_time_until=on_time_until
--- a/tests/direct/test_allotments_after_restart.py
+++ b/tests/direct/test_allotments_after_restart.py
@@ -7,7 +7,7 @@
     Allowance,
     Tolerance,
 )
-from bramleybend.direct.members import BEAT_S
+from bramleybend.direct.members import HEARTBEAT_INTERVAL_S
 from tests.utils.allotment_demand import Demand
 from tests.utils.peer_network import Network
 
@@ -90,7 +90,7 @@
     demand = demand_on(count, burst_s=6, times=0.5)
     demand.run(2)
     demand.restart([count - 1], down_s=0.5, within_s=0)
-    demand.run(2 * BEAT_S)
+    demand.run(2 * HEARTBEAT_INTERVAL_S)
     demand.refused.clear()
     starter = demand.network.up()[-1]
     assert starter.name == f'entry-{count - 1}'
@@ -106,7 +106,10 @@
     added = [demand.network.add(number, 'added') for number in range(30, 42)]
     began = demand.network.clock.monotonic()
     demand.run(3)
-    assert all(moment - began <= 2 * BEAT_S for moment, _ in demand.refused)
+    assert all(
+        moment - began <= 2 * HEARTBEAT_INTERVAL_S
+        for moment, _ in demand.refused
+    )
     assert {name for _, name in demand.refused} <= {vm.name for vm in added}
 
 
@@ -131,7 +134,7 @@
         started = demand.network.clock.monotonic()
         demand.run(1)
         late = [moment - started for moment, _ in demand.refused[before:]]
-        assert all(since <= 2 * BEAT_S for since in late)
+        assert all(since <= 2 * HEARTBEAT_INTERVAL_S for since in late)
 
 
 @pytest.mark.parametrize('count', [9, 69])
@@ -162,7 +165,7 @@
     assert {name for _, name in demand.refused} <= starters
     demand.network.cut = set()
     demand.network.until_all_hear_all()
-    demand.run(2 * BEAT_S)
+    demand.run(2 * HEARTBEAT_INTERVAL_S)
     demand.refused.clear()
     assert all(demand.is_let_in_by(vm) for vm in demand.network.up())
     demand.run(3)
@@ -180,7 +183,7 @@
     restarted = range(15)
     demand.restart(restarted, down_s=1, within_s=0.3)
     demand.network.until_all_hear_all(2)
-    demand.run(2 * BEAT_S)
+    demand.run(2 * HEARTBEAT_INTERVAL_S)
     names = {f'entry-{number}' for number in restarted}
     assert {name for _, name in demand.refused} <= names
     demand.refused.clear()
--- a/tests/direct/test_ask_messages.py
+++ b/tests/direct/test_ask_messages.py
@@ -6,12 +6,19 @@
 import msgspec
 import pytest
 
-from bramleybend.direct.ask_messages import ask_from, ask_news
-from bramleybend.direct.beat_messages import Beat, Profile, Scope
-from bramleybend.direct.messages import AskNews, decode, encode
-from bramleybend.models import Ask, Tier
+from bramleybend.direct.heartbeat_messages import (
+    DigestScope,
+    Heartbeat,
+    Profile,
+)
+from bramleybend.direct.messages import SlotRequestMessage, decode, encode
+from bramleybend.direct.slot_messages import (
+    slot_request_from,
+    slot_request_message,
+)
+from bramleybend.models import SlotRequest, Tier
 
-ASK = Ask(
+ASK = SlotRequest(
     'i.1',
     'lm',
     Tier.HIGH,
@@ -34,9 +41,9 @@
     Everything that the owner decides by is preserved: the tier, the time until
     which a start is punctual, the excluded runners, and whether it runs alone.
     """
-    told = decode(encode(ask_news(ASK, 100.0)))
-    assert isinstance(told, AskNews)
-    received = ask_from(told, 7.0)
+    told = decode(encode(slot_request_message(ASK, 100.0)))
+    assert isinstance(told, SlotRequestMessage)
+    received = slot_request_from(told, 7.0)
     assert received == replace(
         ASK, deadline=15.0, on_time_until=7.5, begin_by=9.0
     )
@@ -46,10 +53,10 @@
 def test_an_ask_of_an_earlier_version_is_read(missing: int) -> None:
     """During an update, VMs of both versions serve callers."""
     ask = replace(ASK, connected=frozenset({'r1'}))
-    fields = msgspec.msgpack.decode(encode(ask_news(ask, 100.0)))
+    fields = msgspec.msgpack.decode(encode(slot_request_message(ask, 100.0)))
     told = decode(msgspec.msgpack.encode(fields[:-missing]))
-    assert isinstance(told, AskNews)
-    read = ask_from(told, 7.0)
+    assert isinstance(told, SlotRequestMessage)
+    read = slot_request_from(told, 7.0)
     expected = replace(ASK, deadline=15.0, on_time_until=7.5, begin_by=inf)
     if missing == 1:
         expected = replace(expected, begin_by=read.begin_by)
@@ -60,7 +67,7 @@
 def test_a_heartbeat_of_an_earlier_version_is_read() -> None:
     """If it could not be read, VMs of the two versions would seem dead."""
     profile = Profile('vm', 'i', 'a', 'd', 1, 'f', ready=True, leaving=False)
-    beat = Beat(profile, Scope.NONE, 1, [], [], True, None, [])
+    beat = Heartbeat(profile, DigestScope.NONE, 1, [], [], True, None, [])
     fields = msgspec.msgpack.decode(encode(beat))
     told = decode(msgspec.msgpack.encode(fields[:-1]))
     assert told == beat
--- a/tests/direct/test_asking_owners.py
+++ b/tests/direct/test_asking_owners.py
@@ -8,18 +8,23 @@
 
 from bramleybend.clock import SystemClock
 from bramleybend.direct.book import Book
-from bramleybend.direct.members import Member, Members, Self
-from bramleybend.direct.messages import AskNews, Granted, Message, Queued
+from bramleybend.direct.members import Member, Members, OwnVm
+from bramleybend.direct.messages import (
+    Granted,
+    Message,
+    Queued,
+    SlotRequestMessage,
+)
 from bramleybend.direct.models import (
+    DeclaredService,
     Manifest,
     RunnerEntry,
     RunnerState,
-    ServiceFacts,
 )
-from bramleybend.direct.placing import Placement, Placer
+from bramleybend.direct.placement import Placement, Placer
 from bramleybend.direct.queues import make_queues
 from bramleybend.events import EventLog
-from bramleybend.models import Ask, Tier
+from bramleybend.models import SlotRequest, Tier
 from tests.utils.waiting import wait_until
 
 SERVICE: Final = 'lm'
@@ -36,30 +41,30 @@
         """Register members that were heard long enough to be asked."""
         clock = SystemClock()
         events = EventLog('vm', 'i', clock, kept=0)
-        members = Members(Self('vm', 'i', 'vm', 'vm:80'))
+        members = Members(OwnVm('vm', 'i', 'vm', 'vm:80'))
         now = clock.monotonic() + 60
         for vm, capacity in CAPACITIES.items():
             member = Member(vm, 'i', vm, f'{vm}:80', True, False, now, 0)
             member.capacity = capacity
-            members.heard(member)
+            members.update(member)
         book = Book(clock, events)
-        services = {SERVICE: ServiceFacts(SERVICE, 10, True, 7)}
-        book.apply_manifest(Manifest(1, {}, services, {}, keyed=False))
+        services = {SERVICE: DeclaredService(SERVICE, 10, True, 7)}
+        book.apply_manifest(Manifest(1, {}, services, {}, requires_key=False))
         book.take_runners({'r1': RUNNER})
         queues = make_queues(book, members, clock, events, Random(1))
         self.placer = Placer(book, members, queues, clock, events)
         self.placer.send = self.record_ask
-        self.asks: list[tuple[AskNews, str]] = []
+        self.asks: list[tuple[SlotRequestMessage, str]] = []
 
     def record_ask(self, message: Message, address: str) -> None:
         """Record the receiver of a slot request."""
-        if isinstance(message, AskNews):
+        if isinstance(message, SlotRequestMessage):
             self.asks.append((message, address))
 
     def place(self) -> 'asyncio.Task[object]':
         """Start to ask for a slot."""
         later = SystemClock().monotonic() + 60
-        ask = Ask(
+        ask = SlotRequest(
             'a', SERVICE, Tier.HIGH, 'w', 9, 5, (), later, cancellable=False
         )
         return asyncio.create_task(self.placer.place(ask))
@@ -70,7 +75,7 @@
 
     def answer(self, message: Message) -> None:
         """Deliver a message about a slot request."""
-        self.placer.take(message, '', lambda reply: None)
+        self.placer.handle_message(message, '', lambda reply: None)
 
     def count_asks(self, vm: str) -> int:
         """Return the number of slot requests sent to one VM."""
--- a/tests/direct/test_cluster.py
+++ b/tests/direct/test_cluster.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections import Counter
 
-from bramleybend.direct.owner import UNCONFIRMED_S
+from bramleybend.direct.service_queue import UNCONFIRMED_RUN_TTL_S
 from bramleybend.platform.program import PlatformProcess
 from tests.direct.cluster import (
     ENGINE,
@@ -29,7 +29,7 @@
     found = [
         vm
         for vm in cluster.vms
-        if vm.entry.members.owner(service, now, able=True) is None
+        if vm.entry.members.owner(service, now, can_own=True) is None
     ]
     assert len(found) == 1
     return found[0]
@@ -97,7 +97,7 @@
             )
             for number in range(6)
         ]
-        await asyncio.sleep(UNCONFIRMED_S * 2)
+        await asyncio.sleep(UNCONFIRMED_RUN_TTL_S * 2)
         assert len(runner.seen) == 4
         gate.set()
         assert [(await call).status for call in calls] == [200] * 6
--- a/tests/direct/test_containment.py
+++ b/tests/direct/test_containment.py
@@ -8,7 +8,7 @@
 from bramleybend.decisions.quarantine import REFUSAL_CRASHES
 from bramleybend.direct.containment import BROADCAST_S, Containment
 from bramleybend.direct.models import (
-    RequestFacts,
+    RequestMetadata,
     RunnerEntry,
     RunnerState,
 )
@@ -188,7 +188,7 @@
 
     def name(key: str, target: bytes, body: bytes) -> str:
         req = RawRequest(b'POST', target, (), body, 0)
-        facts = RequestFacts('a', key, None, 0, 0, None, '')
+        facts = RequestMetadata('a', key, None, 0, 0, None, '')
         return containment.fingerprint(req, facts)
 
     first = name('k1', b'/a', POISON)
--- a/tests/direct/test_feeds.py
+++ b/tests/direct/test_feeds.py
@@ -11,7 +11,7 @@
 from bramleybend.direct.book import Book
 from bramleybend.direct.feed import Feed, FeedSettings
 from bramleybend.direct.feed_copy import FeedCopy, KeyedRecord, Page
-from bramleybend.direct.members import Member, Members, Self
+from bramleybend.direct.members import Member, Members, OwnVm
 from bramleybend.direct.models import RunnerState
 from bramleybend.direct.runner_list import RunnerList
 from bramleybend.errors import Problem
@@ -54,8 +54,8 @@
         ]
     )
     found = decode_manifest(json.dumps(declared).encode()).unwrap()
-    long_route = found.route_of(HOST, '/a/b/c')
-    short_route = found.route_of(HOST, '/a/bc')
+    long_route = found.find_route(HOST, '/a/b/c')
+    short_route = found.find_route(HOST, '/a/bc')
     assert long_route is not None
     assert short_route is not None
     assert (long_route.repeat, short_route.repeat) == (
@@ -63,8 +63,8 @@
         Repeat.IDEMPOTENT,
     )
     assert long_route.tier is Tier.HIGH
-    assert found.route_of('other.example', '/a/b/c') is None
-    assert found.route_of(HOST, '/ab') is None
+    assert found.find_route('other.example', '/a/b/c') is None
+    assert found.find_route(HOST, '/ab') is None
 
 
 @pytest.mark.parametrize(
@@ -144,7 +144,7 @@
     reading = [
         name
         for name in names
-        if Members(Self(name, 'i', '10.0.0.1', '')).ranks_first(
+        if Members(OwnVm(name, 'i', '10.0.0.1', '')).is_among_first(
             'feed', {other: True for other in names if other != name}, 2
         )
     ]
@@ -153,13 +153,13 @@
 
 def test_a_silent_vm_owns_nothing() -> None:
     """Another VM becomes owner once a heartbeat was missed."""
-    members = Members(Self('entry-1', 'i', '10.0.0.1', ''))
+    members = Members(OwnVm('entry-1', 'i', '10.0.0.1', ''))
     for number in range(2, 7):
         name = f'entry-{number}'
-        members.heard(Member(name, 'i', '10.0.0.2', '', True, False, 100, 0))
-    owner = members.owner('service', 100.1, able=False)
+        members.update(Member(name, 'i', '10.0.0.2', '', True, False, 100, 0))
+    owner = members.owner('service', 100.1, can_own=False)
     assert owner is not None
-    assert members.owner('service', 102, able=True) is None
+    assert members.owner('service', 102, can_own=True) is None
 
 
 async def test_a_lapse_without_an_outage_counts_at_once() -> None:
@@ -167,12 +167,12 @@
     clock = ManualClock(START)
     book = Book(clock, EventLog('vm', 'i', clock, kept=0))
     runners = RunnerList(book, decode_runner, EventLog('vm', 'i', clock, 0))
-    runners.take(page(record(0, 'r1', ENTRY), whole=True))
+    runners.apply_page(page(record(0, 'r1', ENTRY), whole=True))
     assert [one.name for one in book.runners['app']] == ['r1']
     clock.advance(0.7)
-    runners.confirmed(book.now())
+    runners.note_confirmed(book.now())
     clock.advance(0.7)
-    runners.take(page(record(1, 'r1')))
+    runners.apply_page(page(record(1, 'r1')))
     assert not book.runners.get('app')
 
 
--- a/tests/direct/test_gone_vms.py
+++ b/tests/direct/test_gone_vms.py
@@ -4,7 +4,11 @@
 
 import pytest
 
-from bramleybend.direct.members import BEAT_S, FORGET_S, RELAYED_ALIVE_S
+from bramleybend.direct.members import (
+    HEARTBEAT_INTERVAL_S,
+    MEMBER_TTL_S,
+    RELAYED_TIMEOUT_S,
+)
 from tests.direct.test_hubs import hubs_of, spend
 from tests.utils.peer_network import ALLOWANCE, Network, started
 
@@ -77,8 +81,8 @@
     beyond = {'0': '1', '1': '0'}
     network = started(count)
     network.cut = {frozenset('01')}
-    network.run(RELAYED_ALIVE_S + BEAT_S)
-    for _ in range(int(2 * FORGET_S / 0.1)):
+    network.run(RELAYED_TIMEOUT_S + HEARTBEAT_INTERVAL_S)
+    for _ in range(int(2 * MEMBER_TTL_S / 0.1)):
         network.run(0.1)
         now = network.clock.monotonic()
         for vm in network.up():
@@ -124,7 +128,7 @@
         seed.is_up = False
     network.run(2)
     network.cut = {frozenset('01'), frozenset('02')}
-    network.run(FORGET_S + 5)
+    network.run(MEMBER_TTL_S + 5)
     network.cut = set()
     network.run(60)
     assert network.all_hear_all()
--- a/tests/direct/test_hub_traffic.py
+++ b/tests/direct/test_hub_traffic.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from bramleybend.direct.members import HUBS
+from bramleybend.direct.members import MAX_HUBS_PER_DOMAIN
 from tests.utils.peer_network import DOMAINS, Network, Vm
 
 VMS: Final = 84
@@ -66,7 +66,9 @@
 def _hubs(network: Network) -> list[Vm]:
     vms = network.up()
     first = vms[0].members
-    return [vm for vm in vms if vm is vms[0] or first.is_hub(vm.name)][:HUBS]
+    return [vm for vm in vms if vm is vms[0] or first.is_hub(vm.name)][
+        :MAX_HUBS_PER_DOMAIN
+    ]
 
 
 def test_a_vm_that_becomes_a_hub_keeps_its_link_free() -> None:
@@ -75,7 +77,7 @@
     _hubs(network)[-1].is_up = False
     network.run(3)
     longest = sorted(network.waits.values(), reverse=True)
-    assert longest[0] <= MAX_WAIT_S, longest[:HUBS]
+    assert longest[0] <= MAX_WAIT_S, longest[:MAX_HUBS_PER_DOMAIN]
 
 
 @pytest.mark.parametrize('starting', [4, 12, 25])
@@ -87,7 +89,7 @@
         network.add(number, '2')
     network.run(4)
     longest = sorted(network.waits.values(), reverse=True)
-    assert longest[0] <= MAX_WAIT_S, longest[:HUBS]
+    assert longest[0] <= MAX_WAIT_S, longest[:MAX_HUBS_PER_DOMAIN]
 
 
 def _first_of_domain(count: int, hubs: set[str]) -> list[int]:
--- a/tests/direct/test_hubs.py
+++ b/tests/direct/test_hubs.py
@@ -5,16 +5,16 @@
 import pytest
 
 from bramleybend.direct.members import (
-    BEAT_S,
-    LEAST_HUBS,
-    RELAYED_ALIVE_S,
-    SETTLE_S,
+    HEARTBEAT_INTERVAL_S,
+    MIN_HUBS_PER_DOMAIN,
+    OWNER_MIN_AGE_S,
+    RELAYED_TIMEOUT_S,
 )
 from tests.utils.peer_network import STEP_S, Network, Vm, started
 
 # A VM reports to its hub, the hub to the other hubs, and those to their VMs.
 # Each step waits for a heartbeat, and one of them may be lost.
-NEWS_S = 4 * BEAT_S
+NEWS_S = 4 * HEARTBEAT_INTERVAL_S
 # Hubs compare members each second, and VMs ask again after 0.7 s.
 HEALED_S = 3.0
 
@@ -94,7 +94,9 @@
     assert len(hubs_of(network)) == 9
     network.reset_counts()
     network.run(1)
-    assert network.messages == pytest.approx(9 * 8 / BEAT_S, rel=0.05)
+    assert network.messages == pytest.approx(
+        9 * 8 / HEARTBEAT_INTERVAL_S, rel=0.05
+    )
 
 
 def test_hubs_are_the_vms_that_can_carry_most() -> None:
@@ -106,8 +108,8 @@
     network.run(1)
     strong = {f'entry-{number}' for number in range(24, 30)}
     assert {vm.name for vm in hubs_of(network)} == strong
-    now = network.clock.monotonic() + SETTLE_S
-    owner = network.vms['10.0.0.0'].members.owner('work', now - 1, able=True)
+    now = network.clock.monotonic() + OWNER_MIN_AGE_S
+    owner = network.vms['10.0.0.0'].members.owner('work', now - 1, can_own=True)
     assert owner is None or owner.vm in strong
 
 
@@ -121,7 +123,7 @@
     network.vms['10.0.0.24'].is_up = False
     network.run(3)
     hubs = [vm for vm in hubs_of(network) if vm.address.startswith('10.0.')]
-    assert len(hubs) == LEAST_HUBS
+    assert len(hubs) == MIN_HUBS_PER_DOMAIN
     assert network.all_hear_all()
 
 
@@ -139,7 +141,9 @@
         (vm for vm in network.up() if vm.name not in hubs), network.up()[0]
     )
     victim.is_up = False
-    assert network.until_all_hear_all() <= RELAYED_ALIVE_S + BEAT_S
+    assert (
+        network.until_all_hear_all() <= RELAYED_TIMEOUT_S + HEARTBEAT_INTERVAL_S
+    )
 
 
 def test_the_loss_of_all_hubs_of_a_domain_is_bridged() -> None:
@@ -177,7 +181,7 @@
     unreachable = {'0': '1', '1': '0'}
     network = started(count)
     network.cut = {frozenset('01')}
-    network.run(RELAYED_ALIVE_S + BEAT_S)
+    network.run(RELAYED_TIMEOUT_S + HEARTBEAT_INTERVAL_S)
     for _ in range(100):
         network.run(0.1)
         now = network.clock.monotonic()
--- a/tests/direct/test_left_callers.py
+++ b/tests/direct/test_left_callers.py
@@ -182,7 +182,7 @@
         components = entry._request_handler._components
         components.channels.acquire = acquire  # type: ignore[method-assign,assignment]
         ended = Mock()
-        entry.placer.ended = ended  # type: ignore[method-assign]
+        entry.placer.release = ended  # type: ignore[method-assign]
         caller = await cluster.connect()
         await caller.send('/book/x', attempt='a')
         await opening.wait()
--- a/tests/direct/test_limit_news.py
+++ b/tests/direct/test_limit_news.py
@@ -5,12 +5,12 @@
 import pytest
 
 from bramleybend.clock import ManualClock
-from bramleybend.direct.beat_messages import LimitNews
-from bramleybend.direct.members import BEAT_S
+from bramleybend.direct.heartbeat_messages import RunnerLimit
+from bramleybend.direct.members import HEARTBEAT_INTERVAL_S
 from bramleybend.direct.runner_limits import (
-    END_TOLD_S,
-    LEAST_PER_S,
-    MOST_TOLD,
+    END_SENT_S,
+    MAX_LIMITS_PER_HEARTBEAT,
+    MIN_PER_S,
     RunnerLimits,
 )
 from bramleybend.events import EventLog
@@ -33,9 +33,9 @@
     limits: RunnerLimits, clock: ManualClock
 ) -> None:
     """A runner may change its limit; each answer replaces the last limit."""
-    limits.answered('r', '4', clock.monotonic())
+    limits.update_from_answer('r', '4', clock.monotonic())
     clock.advance(1)
-    limits.answered('r', '1.5', clock.monotonic())
+    limits.update_from_answer('r', '1.5', clock.monotonic())
     assert limits.in_force() == {'r': 1.5}
 
 
@@ -45,13 +45,13 @@
     """A request sent before the limit was known may be answered after it."""
     sent_at = clock.monotonic()
     clock.advance(1)
-    limits.answered('r', '2', clock.monotonic())
+    limits.update_from_answer('r', '2', clock.monotonic())
     clock.advance(1)
-    limits.answered('r', '', sent_at)
+    limits.update_from_answer('r', '', sent_at)
     assert limits.in_force() == {'r': 2}
     sent_at = clock.monotonic()
     clock.advance(1)
-    limits.answered('r', '', sent_at)
+    limits.update_from_answer('r', '', sent_at)
     assert not limits.in_force()
 
 
@@ -60,9 +60,9 @@
     limits: RunnerLimits, clock: ManualClock, text: str
 ) -> None:
     """If it counted as no limit, an overloaded runner would be flooded."""
-    limits.answered('r', '3', clock.monotonic())
+    limits.update_from_answer('r', '3', clock.monotonic())
     clock.advance(1)
-    limits.answered('r', text, clock.monotonic())
+    limits.update_from_answer('r', text, clock.monotonic())
     assert limits.in_force() == {'r': 3}
 
 
@@ -70,19 +70,19 @@
     limits: RunnerLimits, clock: ManualClock
 ) -> None:
     """Without any request it could never state a higher limit."""
-    limits.answered('r', '0', clock.monotonic())
-    assert limits.in_force() == {'r': LEAST_PER_S}
+    limits.update_from_answer('r', '0', clock.monotonic())
+    assert limits.in_force() == {'r': MIN_PER_S}
 
 
 def test_other_vms_learn_the_newest_limit(
     limits: RunnerLimits, clock: ManualClock
 ) -> None:
     """Delayed news doesn't replace a newer limit."""
-    limits.answered('r', '3', clock.monotonic())
-    limits.heard([LimitNews('r', 1, 2.0), LimitNews('other', 5, 0.1)])
+    limits.update_from_answer('r', '3', clock.monotonic())
+    limits.merge([RunnerLimit('r', 1, 2.0), RunnerLimit('other', 5, 0.1)])
     assert limits.in_force() == {'r': 3, 'other': 5}
     clock.advance(1)
-    limits.heard([LimitNews('r', None, 0.5)])
+    limits.merge([RunnerLimit('r', None, 0.5)])
     assert limits.in_force() == {'other': 5}
 
 
@@ -90,20 +90,20 @@
     limits: RunnerLimits, clock: ManualClock
 ) -> None:
     """A VM that missed the end would keep sending the runner too little."""
-    limits.answered('r', '3', clock.monotonic())
+    limits.update_from_answer('r', '3', clock.monotonic())
     clock.advance(1)
-    limits.answered('r', '', clock.monotonic())
-    assert [one.per_s for one in limits.news()] == [None]
-    clock.advance(END_TOLD_S)
-    assert not limits.news()
+    limits.update_from_answer('r', '', clock.monotonic())
+    assert [one.per_s for one in limits.limits_to_send()] == [None]
+    clock.advance(END_SENT_S)
+    assert not limits.limits_to_send()
 
 
 def test_a_limit_ends_with_its_runner(
     limits: RunnerLimits, clock: ManualClock
 ) -> None:
     """Its successor at the same address has stated no limit."""
-    limits.answered('r', '3', clock.monotonic())
-    limits.keep_only({'successor'})
+    limits.update_from_answer('r', '3', clock.monotonic())
+    limits.retain_only({'successor'})
     assert not limits.in_force()
 
 
@@ -112,10 +112,10 @@
 ) -> None:
     """Limits that are not among the newest are sent, too."""
     other = RunnerLimits(clock, EventLog('other', 'i', clock), Random(2))
-    for number in range(MOST_TOLD + 8):
+    for number in range(MAX_LIMITS_PER_HEARTBEAT + 8):
         clock.advance(0.01)
-        limits.answered(f'runner-{number}', '2', 0)
+        limits.update_from_answer(f'runner-{number}', '2', 0)
     for _ in range(25):
-        clock.advance(BEAT_S)
-        other.heard(limits.news())
-    assert len(other.in_force()) == MOST_TOLD + 8
+        clock.advance(HEARTBEAT_INTERVAL_S)
+        other.merge(limits.limits_to_send())
+    assert len(other.in_force()) == MAX_LIMITS_PER_HEARTBEAT + 8
--- a/tests/direct/test_moved_runners.py
+++ b/tests/direct/test_moved_runners.py
@@ -9,7 +9,7 @@
 from bramleybend.clock import SystemClock
 from bramleybend.direct.book import Book
 from bramleybend.direct.feed_copy import KeyedRecord, Page
-from bramleybend.direct.models import Manifest, ServiceFacts
+from bramleybend.direct.models import DeclaredService, Manifest
 from bramleybend.direct.runner_list import RunnerList
 from bramleybend.events import EventLog
 from bramleybend.platform.runner_entry import decode_runner
@@ -19,7 +19,7 @@
 CALLS = 20
 ATTEMPT_TIMEOUT_S = 10
 SERVICES = {
-    name: ServiceFacts(name, 96, is_engine=False, event_tokens=1)
+    name: DeclaredService(name, 96, is_engine=False, event_tokens=1)
     for name in ('app', 'other')
 }
 
@@ -91,7 +91,7 @@
     """Return a book whose manifest declares the services."""
     clock = SystemClock()
     book = Book(clock, EventLog('vm', 'i', clock, 0))
-    book.apply_manifest(Manifest(1, {}, SERVICES, {}, keyed=False))
+    book.apply_manifest(Manifest(1, {}, SERVICES, {}, requires_key=False))
     return book
 
 
@@ -100,8 +100,8 @@
     book = make_book()
     clock = SystemClock()
     runners = RunnerList(book, decode_runner, EventLog('vm', 'i', clock, 0))
-    runners.confirmed(clock.monotonic())
-    runners.take(Page(records, 2, whole=True))
+    runners.note_confirmed(clock.monotonic())
+    runners.apply_page(Page(records, 2, whole=True))
     return {one.name for entries in book.runners.values() for one in entries}
 
 
--- a/tests/direct/test_owner_after_start.py
+++ b/tests/direct/test_owner_after_start.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import Final
 
-from bramleybend.direct.members import SETTLE_S, Member, Members, Self
+from bramleybend.direct.members import OWNER_MIN_AGE_S, Member, Members, OwnVm
 
 SERVICE: Final = 'lm'
 VMS: Final = tuple(f'vm-{number}' for number in range(20))
@@ -17,15 +17,15 @@
 
 def make_members(own: str, others: Iterable[Member]) -> Members:
     """Return the members that one VM knows."""
-    members = Members(Self(own, 'i', own, f'{own}:80'))
+    members = Members(OwnVm(own, 'i', own, f'{own}:80'))
     for other in others:
-        members.heard(other)
+        members.update(other)
     return members
 
 
 def owner_seen_by(members: Members) -> str:
     """Return the VM that a ready VM considers the owner."""
-    owner = members.owner(SERVICE, NOW, able=True)
+    owner = members.owner(SERVICE, NOW, can_own=True)
     return owner.vm if owner else members.own.vm
 
 
@@ -52,7 +52,7 @@
     known = [make_member(vm, NOW - 60) for vm in VMS]
     first = owner_seen_by(make_members('vm-x', known))
     restarted = [
-        make_member(vm, NOW - SETTLE_S / 2 if vm == first else NOW - 60)
+        make_member(vm, NOW - OWNER_MIN_AGE_S / 2 if vm == first else NOW - 60)
         for vm in VMS
     ]
     assert owner_seen_by(make_members('vm-x', restarted)) not in {first, 'vm-x'}
--- a/tests/direct/test_owner_batches.py
+++ b/tests/direct/test_owner_batches.py
@@ -15,10 +15,10 @@
     RunReport,
 )
 from bramleybend.decisions.shard_policy import ShardPolicy, make_shard_policy
-from bramleybend.direct.beat_messages import RunNews
+from bramleybend.direct.heartbeat_messages import ReportedRun
 from bramleybend.direct.models import RunnerEntry, RunnerState
-from bramleybend.direct.owner import SWITCHES, ServiceQueue, make_queue
-from bramleybend.models import Ask, Service, ServiceKind, Tier
+from bramleybend.direct.service_queue import SWITCHES, ServiceQueue, make_queue
+from bramleybend.models import Service, ServiceKind, SlotRequest, Tier
 from tests.utils.instants import START
 
 SERVICE = 'lm'
@@ -35,14 +35,16 @@
     entry = RunnerEntry(
         'r1', 0, SERVICE, '127.0.0.1', 90, 'd', slots, RunnerState.READY
     )
-    queue.take_runners([entry], warm=True)
+    queue.update_runners([entry], warm=True)
     return queue
 
 
-def ask(name: str, tier: Tier = Tier.HIGH) -> Ask:
+def ask(name: str, tier: Tier = Tier.HIGH) -> SlotRequest:
     """Return a slot request with a late deadline."""
     later = SystemClock().monotonic() + 60
-    return Ask(name, SERVICE, tier, 'w', 100, 50, (), later, cancellable=False)
+    return SlotRequest(
+        name, SERVICE, tier, 'w', 100, 50, (), later, cancellable=False
+    )
 
 
 async def test_a_burst_costs_one_decision(
@@ -60,7 +62,7 @@
 
     monkeypatch.setattr(ShardPolicy, 'tick', count_tick)
     for number in range(50):
-        queue.ask(ask(f'a{number}'), lambda action: None)
+        queue.request_slot(ask(f'a{number}'), lambda action: None)
     await asyncio.sleep(0)
     assert len(ticks) == 1
 
@@ -75,9 +77,9 @@
         granted.append(action.request_id)
 
     for number in range(SLOTS):
-        queue.ask(ask(f'low{number}', Tier.BULK), reply)
+        queue.request_slot(ask(f'low{number}', Tier.BULK), reply)
     for number in range(SLOTS):
-        queue.ask(ask(f'high{number}', Tier.CRITICAL), reply)
+        queue.request_slot(ask(f'high{number}', Tier.CRITICAL), reply)
     await asyncio.sleep(0)
     assert sorted(granted) == ['high0', 'high1']
 
@@ -88,7 +90,7 @@
     await asyncio.sleep(0)
     acknowledged: list[str] = []
     for name in ('a', 'b', 'c'):
-        queue.ask(
+        queue.request_slot(
             ask(name), lambda action: None, partial(acknowledged.append, name)
         )
     await asyncio.sleep(0)
@@ -120,9 +122,9 @@
     assert [type(action) for action in actions] == [Grant] * 64
 
 
-def ask_of_cost(name: str, cost: float, now: float) -> Ask:
+def ask_of_cost(name: str, cost: float, now: float) -> SlotRequest:
     """Return a slot request that has to start within two seconds."""
-    return Ask(
+    return SlotRequest(
         name,
         's',
         Tier.NORMAL,
@@ -140,10 +142,10 @@
     """A delayed slot request must not free the slot of its own run."""
     clock = ManualClock(START)
     queue = make_service_queue(clock, slots=1)
-    queue.ask(ask('a'), lambda action: None)
+    queue.request_slot(ask('a'), lambda action: None)
     await asyncio.sleep(0)
     await confirm_run_a(queue, clock)
-    queue.ask(ask('a'), lambda action: None)
+    queue.request_slot(ask('a'), lambda action: None)
     await confirm_run_a(queue, clock)
     assert not await is_granted(queue)
 
@@ -152,28 +154,28 @@
     """A slot request that expires must not end the run that it was granted."""
     clock = ManualClock(START)
     queue = make_service_queue(clock, slots=1)
-    queue.ask(ask('other'), lambda action: None)
-    queue.ask(ask('a'), lambda action: None)
+    queue.request_slot(ask('other'), lambda action: None)
+    queue.request_slot(ask('a'), lambda action: None)
     await asyncio.sleep(0)
-    queue.began('other')
+    queue.confirm_started('other')
     await confirm_run_a(queue, clock)
-    queue.ended('other', RunReport('done'))
+    queue.release('other', RunReport('done'))
     assert not await is_granted(queue)
 
 
 async def confirm_run_a(queue: ServiceQueue, clock: ManualClock) -> None:
     """Let heartbeats confirm a run for longer than a slot request is kept."""
-    news = RunNews('a', SERVICE, 'r1', 2, 'w', 100, 50)
+    news = ReportedRun('a', SERVICE, 'r1', 2, 'w', 100, 50)
     for _ in range(6):
         clock.advance(0.3)
-        queue.heard_runs('vm', [news])
-        queue.sweep()
+        queue.update_reported_runs('vm', [news])
+        queue.drop_expired()
         await asyncio.sleep(0)
 
 
 async def is_granted(queue: ServiceQueue) -> bool:
     """Return whether one more slot is granted."""
     granted: list[Grant | Refuse] = []
-    queue.ask(ask('next'), granted.append)
+    queue.request_slot(ask('next'), granted.append)
     await asyncio.sleep(0)
     return bool(granted)
--- a/tests/direct/test_spending_reports.py
+++ b/tests/direct/test_spending_reports.py
@@ -8,9 +8,13 @@
 import pytest
 
 from bramleybend.decisions.allotments import AccountReport
-from bramleybend.direct.beat_messages import Digest, SpendingNews, Spent
 from bramleybend.direct.digests import Digests
-from bramleybend.direct.members import HUBS, Members, Self
+from bramleybend.direct.heartbeat_messages import (
+    Digest,
+    RelayedTotals,
+    WorkspaceTotals,
+)
+from bramleybend.direct.members import MAX_HUBS_PER_DOMAIN, Members, OwnVm
 from bramleybend.direct.messages import decode
 from tests.utils.peer_network import DOMAINS, Network, Vm
 
@@ -30,7 +34,7 @@
         """Count and deliver a datagram."""
         message = decode(payload)
         if isinstance(message, Digest):
-            totals = sum(len(spent.spendings) for spent in message.spent)
+            totals = sum(len(spent.totals) for spent in message.relayed_totals)
             self.reported[sender, receiver] += totals
         if sender not in self.muted or not isinstance(message, Digest):
             super().send(payload, sender, receiver)
@@ -49,9 +53,11 @@
     return network
 
 
-def spent(used: int) -> Spent:
+def spent(used: int) -> RelayedTotals:
     """Return a hub's report on one workspace of a VM."""
-    return Spent(7, [SpendingNews('first', used, 0, 0, 0)], tells_all=False)
+    return RelayedTotals(
+        7, [WorkspaceTotals('first', used, 0, 0, 0)], tells_all=False
+    )
 
 
 def non_hubs(network: Network) -> Iterator[Vm]:
@@ -91,11 +97,11 @@
 
 def test_an_older_total_of_a_slower_hub_changes_nothing() -> None:
     """If an older total were applied, spending since would be lost."""
-    digests = Digests(Members(Self('vm-1', '1', '10.0.0.1', '')))
+    digests = Digests(Members(OwnVm('vm-1', '1', '10.0.0.1', '')))
     for used, said_at in ((100, 1.0), (300, 3.0)):
-        assert digests.note_spendings('vm-2', spent(used), said_at, 4.0)
-    assert not digests.note_spendings('vm-2', spent(200), 2.0, 5.0)
-    assert digests.note_spendings('vm-2', spent(250), 4.0, 5.0)
+        assert digests.update_totals('vm-2', spent(used), said_at, 4.0)
+    assert not digests.update_totals('vm-2', spent(200), 2.0, 5.0)
+    assert digests.update_totals('vm-2', spent(250), 4.0, 5.0)
 
 
 def test_two_of_three_hubs_report_a_change(network: WatchedNetwork) -> None:
@@ -112,7 +118,7 @@
         assert sorted(report_counts) == [0, 1, 1]
 
 
-@pytest.mark.parametrize('muted', range(HUBS))
+@pytest.mark.parametrize('muted', range(MAX_HUBS_PER_DOMAIN))
 def test_a_change_is_heard_though_one_hub_is_not(
     network: WatchedNetwork, muted: int
 ) -> None:
--- a/tests/direct/test_suspension.py
+++ b/tests/direct/test_suspension.py
@@ -34,10 +34,10 @@
     """A suspension shows once, as a jump against a clock that stood still."""
     clock = SuspendableClock()
     watch = SuspensionWatch(clock, time.monotonic)
-    assert not watch.slept_s()
+    assert not watch.suspended_s()
     clock.slept_s = SUSPENDED_S
-    assert SUSPENDED_S - 0.1 < watch.slept_s() < SUSPENDED_S + 0.1
-    assert not watch.slept_s()
+    assert SUSPENDED_S - 0.1 < watch.suspended_s() < SUSPENDED_S + 0.1
+    assert not watch.suspended_s()
 
 
 async def test_a_vm_that_resumes_denies_nothing_by_an_old_manifest() -> None:
--- a/tests/direct/test_vms_without_owner.py
+++ b/tests/direct/test_vms_without_owner.py
@@ -8,8 +8,8 @@
 from bramleybend.clock import SystemClock
 from bramleybend.decisions.actions import Grant, Refuse
 from bramleybend.direct.models import RunnerEntry, RunnerState
-from bramleybend.direct.owner import make_queue
-from bramleybend.models import Ask, Tier
+from bramleybend.direct.service_queue import make_queue
+from bramleybend.models import SlotRequest, Tier
 
 VMS: Final = 100
 RUNNERS: Final = 20
@@ -36,10 +36,10 @@
     clock = SystemClock()
     for vm in range(VMS):
         queue = make_queue('lm', is_engine=True, clock=clock, rng=Random(vm))
-        queue.take_runners(entries, warm=True)
+        queue.update_runners(entries, warm=True)
         later = clock.monotonic() + 9
-        ask = Ask('a', 'lm', Tier.HIGH, 'w', 90, 50, (), later, False)
-        queue.ask(ask, record_grant)
+        ask = SlotRequest('a', 'lm', Tier.HIGH, 'w', 90, 50, (), later, False)
+        queue.request_slot(ask, record_grant)
     await asyncio.sleep(0.01)
     assert chosen.total() == VMS
     assert max(chosen.values()) <= MAX_FIRST_REQUESTS
--- a/tests/failures/test_large_manifest.py
+++ b/tests/failures/test_large_manifest.py
@@ -11,12 +11,12 @@
 from typing import Final
 
 from bramleybend.clock import Clock, SystemClock
-from bramleybend.direct.beat_messages import FeedNews
 from bramleybend.direct.book import Book
 from bramleybend.direct.feed import Feed
 from bramleybend.direct.feed_copy import FeedCopy, KeyedRecord, Page
+from bramleybend.direct.heartbeat_messages import FeedStatus
 from bramleybend.direct.ingress import Ingress
-from bramleybend.direct.members import BEAT_S
+from bramleybend.direct.members import HEARTBEAT_INTERVAL_S
 from bramleybend.direct.models import IngressLimits
 from bramleybend.events import EventLog
 from bramleybend.platform.feeds import MANIFEST_FEED, ManifestApplier
@@ -68,7 +68,9 @@
     def serves_added(self) -> bool:
         """Tell whether callers of an added route get no 404."""
         current = self.book.manifest
-        return current is not None and current.route_of(HOST, ADDED) is not None
+        return (
+            current is not None and current.find_route(HOST, ADDED) is not None
+        )
 
 
 def make_follower(
@@ -144,10 +146,10 @@
     """Send heartbeats that tell of the version, until cancelled."""
     while True:
         for number, relay in enumerate(relays):
-            news = FeedNews(MANIFEST_TOPIC, 2, 0, reads=True)
+            news = FeedStatus(MANIFEST_TOPIC, 2, 0, can_read_store=True)
             for one in followers:
                 one.feed.handle_news(f'hub-{number}', relay.host, news)
-        await asyncio.sleep(BEAT_S)
+        await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
 
 async def late_ones(
@@ -291,7 +293,9 @@
             client = StoreClient(way.host, way.port, clock)
             follower = make_follower(client, port, clock, 'vm')
             follower.feed.confirmed_at -= 2 * MANIFEST_FEED.max_age_s
-            late = await late_ones([follower], relays, clock, BEAT_S)
+            late = await late_ones(
+                [follower], relays, clock, HEARTBEAT_INTERVAL_S
+            )
     assert not late
 
 
@@ -314,6 +318,6 @@
             follower = make_follower(client, port, clock, 'vm')
             follower.feed.confirmed_at -= 2 * MANIFEST_FEED.max_age_s
             late = await late_ones(
-                [follower], relays, clock, BEAT_S, IN_FORCE_S / 2
+                [follower], relays, clock, HEARTBEAT_INTERVAL_S, IN_FORCE_S / 2
             )
     assert not late
--- a/tests/test_conformance.py
+++ b/tests/test_conformance.py
@@ -20,7 +20,7 @@
     ShedPermits,
     TakeoverState,
 )
-from bramleybend.models import Ask, Service, ServiceKind, Tier
+from bramleybend.models import Service, ServiceKind, SlotRequest, Tier
 from bramleybend.state.journal_rules import HomeJournal, JournalView, NotRun
 from bramleybend.state.terms_rules import TermsLog
 from spec import dispatch, floor, floor_state, terms
@@ -32,7 +32,7 @@
 STEPS = 40
 TIMES = FloorTimes(floor_state.HOLD, floor_state.MARGIN, floor_state.FRESH)
 POOL = Service('bend-lm', ServiceKind.ENGINE, slots=2, shards=2)
-LOWER = Ask(
+LOWER = SlotRequest(
     request_id='draft',
     service=POOL.name,
     tier=Tier.NORMAL,
--- a/tests/test_shard_table.py
+++ b/tests/test_shard_table.py
@@ -16,7 +16,7 @@
 from bramleybend.decisions.tier_floor import DEFAULT_TIMES
 from bramleybend.events import EventLog
 from bramleybend.metrics import NullMetrics
-from bramleybend.models import Ask, Service, ServiceKind, Terms, Tier
+from bramleybend.models import Service, ServiceKind, SlotRequest, Terms, Tier
 from bramleybend.scheduler.shard_messages import (
     HoldChannel,
     HoldLost,
@@ -34,7 +34,7 @@
 POOL = Service('bend-lm', ServiceKind.ENGINE, slots=2)
 TERMS = Terms(1, 'zvukopat', {POOL.name: POOL}, {}, {})
 OWN_MEMBER = Member('entry-1', '10.0.0.1', 'sof-a', 'a1')
-BULK_ASK = Ask(
+BULK_ASK = SlotRequest(
     request_id='draft#1',
     service=POOL.name,
     tier=Tier.BULK,
--- a/tests/test_slot_search.py
+++ b/tests/test_slot_search.py
@@ -17,7 +17,7 @@
 from bramleybend.gateway.slot import Slot
 from bramleybend.gateway.slot_search import SlotSearch
 from bramleybend.metrics import make_metrics
-from bramleybend.models import Ask, Tier
+from bramleybend.models import SlotRequest, Tier
 from bramleybend.wire.bramleybend_pb2 import AskMessage, Refused
 
 CLOCK = SystemClock()
@@ -54,7 +54,7 @@
 
 
 def _job(deadline: float) -> Job:
-    ask = Ask(
+    ask = SlotRequest(
         request_id='a',
         service='booking-app',
         tier=Tier.HIGH,
@@ -65,7 +65,7 @@
         deadline=deadline,
         cancellable=True,
     )
-    make_ask: Callable[[], Ask] = lambda: ask  # noqa: E731
+    make_ask: Callable[[], SlotRequest] = lambda: ask  # noqa: E731
     job = SimpleNamespace(
         make_ask=make_ask,
         tier=ask.tier,
--- a/tests/utils/allotment_demand.py
+++ b/tests/utils/allotment_demand.py
@@ -92,7 +92,7 @@
             self.allowance,
             self.units,
             now,
-            vm.members.share(now),
+            vm.members.alive_fraction(now),
             are_runners_idle=self.are_runners_idle,
         )
         if verdict.is_admitted:
--- a/tests/utils/peer_network.py
+++ b/tests/utils/peer_network.py
@@ -19,13 +19,13 @@
 )
 from bramleybend.direct.book import Book
 from bramleybend.direct.containment import Containment
-from bramleybend.direct.members import BEAT_S, Members, Self
+from bramleybend.direct.members import HEARTBEAT_INTERVAL_S, Members, OwnVm
 from bramleybend.direct.peer_message_handler import (
     PeerMessageHandler,
     SharedTables,
 )
 from bramleybend.direct.peers import Peers
-from bramleybend.direct.placing import Placer
+from bramleybend.direct.placement import Placer
 from bramleybend.direct.queues import make_queues
 from bramleybend.events import EventLog
 from tests.utils.instants import START
@@ -150,8 +150,8 @@
         now = self.clock.monotonic()
         for vm in self.up():
             if vm.next_beat <= now:
-                vm.next_beat += BEAT_S
-                vm.peers.beat()
+                vm.next_beat += HEARTBEAT_INTERVAL_S
+                vm.peers.send_round()
         self.seconds += process_time() - began
 
 
@@ -193,7 +193,7 @@
     name, address = f'entry-{number}', address_of(number)
     events = EventLog(name, incarnation, clock, kept=0)
     members = Members(
-        Self(
+        OwnVm(
             name,
             f'{name}/{incarnation}',
             address,
@@ -215,9 +215,11 @@
         lambda: vm.state(),  # noqa: PLW0108
         clock,
     )
-    peers = Peers(members, queues.engines, listener, PORT, clock, events)
+    peers = Peers(
+        members, queues.engine_services, listener, PORT, clock, events
+    )
     peers.add_seeds(address_of(seed) for seed in range(SEEDS))
     peers.connection_made(_Socket(network, address))
-    first = clock.monotonic() + Random(number).uniform(0, BEAT_S)
+    first = clock.monotonic() + Random(number).uniform(0, HEARTBEAT_INTERVAL_S)
     vm = Vm(name, address, members, allotments, peers, first)
     return vm
