--- a/bramleybend/direct/admission.py
+++ b/bramleybend/direct/admission.py
@@ -20,7 +20,7 @@
     AllotmentLedger,
     Allowance,
 )
-from bramleybend.direct.book import Book
+from bramleybend.direct.catalog import Catalog
 from bramleybend.direct.members import Members
 from bramleybend.direct.models import (
     Allotment,
@@ -67,7 +67,7 @@
 
     def __init__(
         self,
-        book: Book,
+        catalog: Catalog,
         members: Members,
         allotments: AllotmentLedger,
         queues: Queues,
@@ -75,7 +75,7 @@
         rng: Random,
     ) -> None:
         """Create admission control over the current manifest and runners."""
-        self._book = book
+        self._catalog = catalog
         self._members = members
         self._allotments = allotments
         self._queues = queues
@@ -86,8 +86,8 @@
         self, req: RawRequest, facts: RequestMetadata
     ) -> Admission | Reply:
         """Admit a request, or return the answer that rejects it."""
-        manifest = self._book.manifest
-        if manifest is None or not self._book.is_complete:
+        manifest = self._catalog.manifest
+        if manifest is None or not self._catalog.is_complete:
             return own_reply(
                 HTTPStatus.SERVICE_UNAVAILABLE,
                 'this VM knows no manifest yet; nothing was run',
@@ -167,7 +167,7 @@
 
     def _denial(self, status: HTTPStatus, reason: str) -> Reply:
         inputs = self._manifest_inputs()
-        if self._book.manifest_age_s() <= MAX_CONFIRMED_AGE_S:
+        if self._catalog.manifest_age_s() <= MAX_CONFIRMED_AGE_S:
             return own_reply(status, reason, inputs=inputs)
         return own_reply(
             HTTPStatus.SERVICE_UNAVAILABLE,
@@ -178,8 +178,8 @@
 
     def _manifest_inputs(self) -> dict[str, str]:
         return {
-            'manifest': str(self._book.manifest_version()),
-            'manifest_age_s': f'{self._book.manifest_age_s():.2f}',
+            'manifest': str(self._catalog.manifest_version()),
+            'manifest_age_s': f'{self._catalog.manifest_age_s():.2f}',
         }
 
 
--- a/bramleybend/direct/attempt_dispatcher.py
+++ b/bramleybend/direct/attempt_dispatcher.py
@@ -265,7 +265,9 @@
         there, because the caller would otherwise get the failure.
         """
         crashed = self._components.containment.crashed_runners(job.fingerprint)
-        entries = self._components.book.runners.get(job.admission.service, ())
+        entries = self._components.catalog.runners_by_service.get(
+            job.admission.service, ()
+        )
         known = {entry.incarnation for entry in entries}
         if not known <= job.excluded | crashed:
             return job.excluded | crashed
--- a/bramleybend/direct/book.py
+++ b/bramleybend/direct/catalog.py
@@ -20,11 +20,11 @@
 MOVED_EXCLUSION_S: Final = 5.0
 
 
-class Book:
+class Catalog:
     """The manifest and runners in use; listeners are called on changes."""
 
     def __init__(self, clock: Clock, events: EventLog) -> None:
-        """Create a book without a manifest or runners."""
+        """Create a catalog without a manifest or runners."""
         self._clock = clock
         self._events = events
         self._listeners: list[Listener] = []
@@ -35,7 +35,7 @@
         # By incarnation.
         self._used_runners: dict[str, RunnerEntry] = {}
         self.manifest: Manifest | None = None
-        self.runners: Runners = {}
+        self.runners_by_service: Runners = {}
         self.has_runner_list = False
         self._completed = asyncio.Event()
 
@@ -56,7 +56,7 @@
         """Return the seconds since the manifest was confirmed as current."""
         return self._clock.monotonic() - self._manifest_confirmed_at
 
-    def entry(self, incarnation: str) -> RunnerEntry | None:
+    def used_runner(self, incarnation: str) -> RunnerEntry | None:
         """Return a runner in use by its incarnation."""
         return self._used_runners.get(incarnation)
 
@@ -65,7 +65,7 @@
         self._listeners.append(listener)
 
     async def wait_until_complete(self, timeout_s: float) -> bool:
-        """Wait until the book is complete; return whether it is."""
+        """Wait until the catalog is complete; return whether it is."""
         if self.is_complete:
             return True
         try:
@@ -98,7 +98,7 @@
         self._update_used_runners()
         self._notify_listeners()
 
-    def take_runners(self, known: Mapping[str, RunnerEntry]) -> None:
+    def replace_runner_list(self, known: Mapping[str, RunnerEntry]) -> None:
         """Replace the list of runners."""
         self._listed_runners = {
             entry.incarnation: entry for entry in known.values()
@@ -108,7 +108,7 @@
         if self._update_used_runners() or is_first_list:
             self._notify_listeners()
 
-    def note_moved(self, incarnation: str) -> None:
+    def exclude_moved_runner(self, incarnation: str) -> None:
         """Stop using a runner at whose address another process answers.
 
         Its entry stays listed until it expires. A runner that refuses at once
@@ -143,7 +143,7 @@
         by_service: dict[str, list[RunnerEntry]] = defaultdict(list)
         for entry in used_runners.values():
             by_service[entry.service].append(entry)
-        self.runners = by_service
+        self.runners_by_service = by_service
         return True
 
     def _services(self) -> Container[str]:
--- a/bramleybend/direct/feed_copy.py
+++ b/bramleybend/direct/feed_copy.py
@@ -18,7 +18,7 @@
     content: bytes
 
     @property
-    def gone(self) -> bool:
+    def is_deleted(self) -> bool:
         """Whether the record deletes its key."""
         return not self.content
 
@@ -29,7 +29,7 @@
 
     records: tuple[KeyedRecord, ...]
     end: int
-    whole: bool  # newest record of every key, not only changes
+    is_snapshot: bool  # newest record of every key, not only changes
 
     @property
     def size(self) -> int:
@@ -48,12 +48,12 @@
 
     def apply(self, page: Page) -> None:
         """Add a page that was read."""
-        if page.whole:
+        if page.is_snapshot:
             self._newest.clear()
             self._recent.clear()
         for record in page.records:
             self._newest[record.key] = record
-            if not page.whole:
+            if not page.is_snapshot:
                 self._recent.append(record)
         # The record of a deleted key is kept, to tell others of the deletion.
         self.end = page.end
@@ -71,7 +71,7 @@
         records = tuple(
             record for record in self._recent if record.offset >= start
         )
-        return Page(records, self.end, whole=False)
+        return Page(records, self.end, is_snapshot=False)
 
     def newest(self) -> Page | None:
         """Return the newest record of each existing key.
@@ -81,6 +81,6 @@
         if self.end is None:
             return None
         records = tuple(
-            record for record in self._newest.values() if not record.gone
+            record for record in self._newest.values() if not record.is_deleted
         )
-        return Page(records, self.end, whole=True)
+        return Page(records, self.end, is_snapshot=True)
--- a/bramleybend/direct/job.py
+++ b/bramleybend/direct/job.py
@@ -7,7 +7,7 @@
 from bramleybend.decisions.resends import ResendBudget
 from bramleybend.direct.admission import Admission, AdmissionControl
 from bramleybend.direct.attempt import Attempt, Failure
-from bramleybend.direct.book import Book
+from bramleybend.direct.catalog import Catalog
 from bramleybend.direct.channels import RunnerChannels
 from bramleybend.direct.containment import Containment
 from bramleybend.direct.header_codec import HeaderCodec
@@ -61,7 +61,7 @@
 class Components:
     """The components that serve requests."""
 
-    book: Book
+    catalog: Catalog
     admission_control: AdmissionControl
     placer: Placer
     containment: Containment
--- a/bramleybend/direct/log_backup.py
+++ b/bramleybend/direct/log_backup.py
@@ -19,7 +19,7 @@
 
 from result import Err, Ok, Result
 
-from bramleybend.direct.book import Book
+from bramleybend.direct.catalog import Catalog
 from bramleybend.direct.feed import Feed
 from bramleybend.direct.feed_copy import Page
 from bramleybend.errors import Problem
@@ -61,13 +61,13 @@
         self,
         logs: Sequence[BackedUpLog],
         page_store: PageStore,
-        book: Book,
+        catalog: Catalog,
         events: EventLog,
     ) -> None:
-        """Create a backup of logs; `book` tells when a start is complete."""
+        """Create a backup of logs; `catalog` tells when a start is complete."""
         self._logs = logs
         self._page_store = page_store
-        self._book = book
+        self._catalog = catalog
         self._events = events
 
     async def run(self) -> None:
@@ -80,7 +80,7 @@
 
     async def _load_until_complete(self) -> None:
         pause_s = LOAD_AFTER_S
-        while not await self._book.wait_until_complete(pause_s):
+        while not await self._catalog.wait_until_complete(pause_s):
             for log in self._logs:
                 if log.feed.copy.end is None:
                     await self._load(log.feed)
--- a/bramleybend/direct/placement.py
+++ b/bramleybend/direct/placement.py
@@ -17,7 +17,7 @@
 
 from bramleybend.clock import Clock
 from bramleybend.decisions.actions import Grant, Refuse, RunReport
-from bramleybend.direct.book import Book
+from bramleybend.direct.catalog import Catalog
 from bramleybend.direct.heartbeat_messages import ReportedRun
 from bramleybend.direct.members import Member, Members
 from bramleybend.direct.messages import (
@@ -80,14 +80,14 @@
 
     def __init__(
         self,
-        book: Book,
+        catalog: Catalog,
         members: Members,
         queues: Queues,
         clock: Clock,
         events: EventLog,
     ) -> None:
         """Start without requests; `send` and `may_own` are set later."""
-        self._book = book
+        self._catalog = catalog
         self._members = members
         self._queues = queues
         self._clock = clock
@@ -133,7 +133,7 @@
         ask = placement.ask
         runner = placement.runner.incarnation
         if report.moved:
-            self._book.note_moved(runner)
+            self._catalog.exclude_moved_runner(runner)
         self._engine_runs.pop(ask.request_id, None)
         self._queues.queue_for(ask.service).release(ask.request_id, report)
         if placement.owner is not None:
@@ -161,7 +161,7 @@
                 )
             case Ended():
                 if message.moved_runner:
-                    self._book.note_moved(message.moved_runner)
+                    self._catalog.exclude_moved_runner(message.moved_runner)
                 queue = self._queues.queue_for(message.service)
                 queue.release(message.request_id, run_report_from(message))
             case Queued() | Granted() | Refused():
@@ -300,7 +300,7 @@
     ) -> Placement | NoSlot:
         if isinstance(action, Refuse):
             return NoSlot(action.reason, action.retry_after.total_seconds())
-        entry = self._book.entry(action.runner)
+        entry = self._catalog.used_runner(action.runner)
         if entry is not None:
             return Placement(ask, entry, owner)
         self._release_at_owner(ask, RunReport('unknown_runner'), owner)
--- a/bramleybend/direct/process.py
+++ b/bramleybend/direct/process.py
@@ -12,7 +12,7 @@
 from bramleybend.decisions.allotments import make_allotment_ledger
 from bramleybend.decisions.resends import ResendBudget, ResendLimits
 from bramleybend.direct.admission import AdmissionControl
-from bramleybend.direct.book import Book
+from bramleybend.direct.catalog import Catalog
 from bramleybend.direct.channels import RunnerChannels
 from bramleybend.direct.containment import Containment
 from bramleybend.direct.feed import Feed
@@ -69,7 +69,7 @@
         self._clock = clock
         self.identity = make_identity(cfg.vm, cfg.domain, cfg.address)
         self.events = EventLog(cfg.vm, self.identity.incarnation, clock, kept=0)
-        self.book = Book(clock, self.events)
+        self.catalog = Catalog(clock, self.events)
         self.meters = Meters(self._gauges())
         self.members = Members(
             OwnVm(
@@ -88,7 +88,7 @@
         )
         self._containment = Containment(clock, self.events)
         self._queues = make_queues(
-            self.book,
+            self.catalog,
             self.members,
             clock,
             self.events,
@@ -96,7 +96,7 @@
             cfg.overload(),
         )
         self.placer = Placer(
-            self.book, self.members, self._queues, clock, self.events
+            self.catalog, self.members, self._queues, clock, self.events
         )
         self.placer.may_own = self._may_own
         self._channels = RunnerChannels(
@@ -136,11 +136,11 @@
         self.stop_requested = asyncio.Event()
         self.is_leaving = False
         self.on_sweep: Callable[[], None] = _ignore_sweep
-        self.book.add_listener(self._book_changed)
+        self.catalog.add_listener(self._catalog_changed)
 
     def is_ready(self) -> bool:
         """Return whether this VM accepts callers."""
-        return self.book.is_complete and not self.is_leaving
+        return self.catalog.is_complete and not self.is_leaving
 
     def front_addresses(self) -> list[str]:
         """Return the addresses of all VMs that accept callers now."""
@@ -161,7 +161,7 @@
 
     def follow_feed(self, feed: Feed) -> None:
         """Follow a log of the platform and report progress to other VMs."""
-        feed.store_schedule.ranks_first = self.members.is_among_first
+        feed.store_schedule.is_among_first = self.members.is_among_first
         self._message_handler.feeds.append(feed)
         self.spawn(feed.run())
 
@@ -221,9 +221,9 @@
         self, header_codec: HeaderCodec, rng: Random
     ) -> Components:
         return Components(
-            self.book,
+            self.catalog,
             AdmissionControl(
-                self.book,
+                self.catalog,
                 self.members,
                 self._allotments,
                 self._queues,
@@ -251,9 +251,11 @@
 
     def _gauges(self) -> dict[str, Callable[[], float]]:
         return {
-            'manifest_age_seconds': self.book.manifest_age_s,
-            'manifest_version': self.book.manifest_version,
-            'runners': lambda: sum(map(len, self.book.runners.values())),
+            'manifest_age_seconds': self.catalog.manifest_age_s,
+            'manifest_version': self.catalog.manifest_version,
+            'runners': lambda: sum(
+                map(len, self.catalog.runners_by_service.values())
+            ),
             'peers_alive': lambda: len(
                 self.members.alive(self._clock.monotonic())
             ),
@@ -263,16 +265,16 @@
         }
 
     def _ingress_limits(self) -> IngressLimits:
-        manifest = self.book.manifest
+        manifest = self.catalog.manifest
         return manifest.limits if manifest else IngressLimits()
 
     def _tokens_per_event(self, service: str) -> int:
-        manifest = self.book.manifest
+        manifest = self.catalog.manifest
         facts = manifest.services.get(service) if manifest else None
         return facts.event_tokens if facts else 1
 
     def _max_connections(self, runner: RunnerEntry) -> float:
-        manifest = self.book.manifest
+        manifest = self.catalog.manifest
         facts = manifest.services.get(runner.service) if manifest else None
         max_total = facts.max_connections if facts else 1
         return max(max_total * CONNECTION_SHARE / self.members.count(), 1)
@@ -283,11 +285,11 @@
     def _readiness(self) -> tuple[bool, bool]:
         return self.is_ready(), self.is_leaving
 
-    def _book_changed(self) -> None:
+    def _catalog_changed(self) -> None:
         self._queues.update_runners()
         incarnations = {
             entry.incarnation
-            for entries in self.book.runners.values()
+            for entries in self.catalog.runners_by_service.values()
             for entry in entries
         }
         self._channels.close_all_except(incarnations)
--- a/bramleybend/direct/queues.py
+++ b/bramleybend/direct/queues.py
@@ -6,7 +6,7 @@
 
 from bramleybend.clock import Clock
 from bramleybend.decisions.overload import UNBOUNDED, OverloadBounds
-from bramleybend.direct.book import Book
+from bramleybend.direct.catalog import Catalog
 from bramleybend.direct.members import Members
 from bramleybend.direct.queue_log import QueueLog
 from bramleybend.direct.ranks import rank_of
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        book: Book,
+        catalog: Catalog,
         members: Members,
         limits: RunnerLimits,
         clock: Clock,
@@ -35,7 +35,7 @@
     ) -> None:
         """Start without queues; each is created when first used."""
         self._overload = overload
-        self._book = book
+        self._catalog = catalog
         self._members = members
         self.limits = limits
         self._clock = clock
@@ -58,20 +58,20 @@
                 overload=self._overload,
             )
             self._queues[service] = queue
-            entries = self._book.runners.get(service, ())
+            entries = self._catalog.runners_by_service.get(service, ())
             queue.update_runners(entries, warm=True)
             self.update_rate_limits()
         return queue
 
     def is_engine(self, service: str) -> bool:
         """Tell whether one owner dispatches all requests of a service."""
-        manifest = self._book.manifest
+        manifest = self._catalog.manifest
         declared = manifest.services.get(service) if manifest else None
         return declared is not None and declared.is_engine
 
     def engine_services(self) -> list[str]:
         """Return the services whose requests are dispatched by one owner."""
-        manifest = self._book.manifest
+        manifest = self._catalog.manifest
         services = manifest.services if manifest else {}
         return [
             name for name, declared in services.items() if declared.is_engine
@@ -80,7 +80,7 @@
     def update_runners(self) -> None:
         """Pass the current runners to every queue."""
         for service, queue in self._queues.items():
-            entries = self._book.runners.get(service, ())
+            entries = self._catalog.runners_by_service.get(service, ())
             queue.update_runners(entries, warm=True)
 
     def update_rate_limits(self) -> None:
@@ -111,7 +111,7 @@
 
 
 def make_queues(
-    book: Book,
+    catalog: Catalog,
     members: Members,
     clock: Clock,
     events: EventLog,
@@ -120,7 +120,7 @@
 ) -> Queues:
     """Make a VM's queues, with the rate limits of runners and the log."""
     limits = RunnerLimits(clock, events, rng)
-    queues = Queues(book, members, limits, clock, rng, overload)
+    queues = Queues(catalog, members, limits, clock, rng, overload)
     limits.on_change = queues.update_rate_limits
     queues.log = QueueLog(queues, events)
     return queues
--- a/bramleybend/direct/request_handler.py
+++ b/bramleybend/direct/request_handler.py
@@ -40,7 +40,9 @@
             await responder.send_reply(_shutdown_reply())
             return
         facts = self._components.header_codec.request_facts(req.headers)
-        await self._components.book.wait_until_complete(manifest_wait_s(facts))
+        await self._components.catalog.wait_until_complete(
+            manifest_wait_s(facts)
+        )
         admission = self._components.admission_control.admit(req, facts)
         if isinstance(admission, Reply):
             self._record_denied(facts.attempt_id, req.path, admission)
--- a/bramleybend/direct/runner_list.py
+++ b/bramleybend/direct/runner_list.py
@@ -12,7 +12,7 @@
 
 from result import Err, Ok, Result
 
-from bramleybend.direct.book import Book
+from bramleybend.direct.catalog import Catalog
 from bramleybend.direct.feed_copy import KeyedRecord, Page
 from bramleybend.direct.models import RunnerEntry
 from bramleybend.errors import Problem
@@ -30,51 +30,51 @@
 
 
 class RunnerList:
-    """Applies pages of runner entries to the `Book`."""
+    """Applies pages of runner entries to the `Catalog`."""
 
     def __init__(
-        self, book: Book, decode_entry: DecodeEntry, events: EventLog
+        self, catalog: Catalog, decode_entry: DecodeEntry, events: EventLog
     ) -> None:
         """Start without runners."""
-        self._book = book
+        self._catalog = catalog
         self._decode_entry = decode_entry
         self._events = events
         self._entries: dict[str, RunnerEntry] = {}  # by key
         self._drop_at: dict[str, float] = {}  # by key of an expired entry
-        self._confirmed_at = book.now()
+        self._confirmed_at = catalog.now()
         self._grace_until = float(0)
 
     def note_confirmed(self, at: float) -> None:
         """Note that the list was up to date at a point in time."""
         if at - self._confirmed_at > OUTAGE_S:
-            self._grace_until = self._book.now() + EXPIRY_GRACE_S
+            self._grace_until = self._catalog.now() + EXPIRY_GRACE_S
         self._confirmed_at = max(at, self._confirmed_at)
 
     def apply_page(self, page: Page) -> None:
         """Apply a page of entries."""
-        if self._book.now() - self._confirmed_at > OUTAGE_S:
-            self._grace_until = self._book.now() + EXPIRY_GRACE_S
-        if page.whole:
+        if self._catalog.now() - self._confirmed_at > OUTAGE_S:
+            self._grace_until = self._catalog.now() + EXPIRY_GRACE_S
+        if page.is_snapshot:
             listed = {record.key for record in page.records}
             for key in self._entries.keys() - listed:
                 self._mark_expired(key)
         for record in page.records:
             self._apply(record)
         self.drop_expired()
-        self._book.take_runners(self._entries)
+        self._catalog.replace_runner_list(self._entries)
 
     def drop_expired(self) -> None:
         """Drop the expired entries whose grace period is over."""
-        now = self._book.now()
+        now = self._catalog.now()
         due = [key for key, at in self._drop_at.items() if at <= now]
         for key in due:
             self._drop_at.pop(key)
             self._entries.pop(key, None)
         if due:
-            self._book.take_runners(self._entries)
+            self._catalog.replace_runner_list(self._entries)
 
     def _apply(self, record: KeyedRecord) -> None:
-        if record.gone:
+        if record.is_deleted:
             self._mark_expired(record.key)
             return
         match self._decode_entry(record.key, record.content):
@@ -89,5 +89,5 @@
 
     def _mark_expired(self, key: str) -> None:
         if key in self._entries:
-            now = self._book.now()
+            now = self._catalog.now()
             self._drop_at.setdefault(key, max(self._grace_until, now))
--- a/bramleybend/direct/store_read_schedule.py
+++ b/bramleybend/direct/store_read_schedule.py
@@ -36,7 +36,7 @@
         self.is_store_answering = True
         # Whether a peer failed to send a page that it had announced.
         self.is_peer_page_missing = False
-        self.ranks_first: IsRankedFirst = _always
+        self.is_among_first: IsRankedFirst = _always
         self._log = log
         self._every_s = every_s
         self._peers = peers
@@ -58,7 +58,7 @@
 
     def ranks_among(self, max_rank: int) -> bool:
         """Return whether this VM ranks among the first that read the store."""
-        return self.is_store_answering and self.ranks_first(
+        return self.is_store_answering and self.is_among_first(
             self._log, self._peers.store_access(), max_rank
         )
 
--- a/bramleybend/platform/feeds.py
+++ b/bramleybend/platform/feeds.py
@@ -4,7 +4,7 @@
 
 from result import Err, Ok
 
-from bramleybend.direct.book import Book
+from bramleybend.direct.catalog import Catalog
 from bramleybend.direct.feed import FeedSettings
 from bramleybend.direct.feed_copy import KeyedRecord, Page
 from bramleybend.events import EventLog
@@ -40,21 +40,21 @@
 class ManifestApplier:
     """Applies each new manifest on this VM."""
 
-    def __init__(self, book: Book, events: EventLog) -> None:
-        """Apply manifests to this book."""
-        self._book = book
+    def __init__(self, catalog: Catalog, events: EventLog) -> None:
+        """Apply manifests to this catalog."""
+        self._catalog = catalog
         self._events = events
 
     def take(self, page: Page) -> None:
         """Apply the manifests among a page's records."""
         for record in page.records:
-            if record.key == MANIFEST_KEY and not record.gone:
+            if record.key == MANIFEST_KEY and not record.is_deleted:
                 self._apply(record)
 
     def _apply(self, record: KeyedRecord) -> None:
         match decode_manifest(record.content):
             case Ok(manifest):
-                self._book.apply_manifest(manifest)
+                self._catalog.apply_manifest(manifest)
             case Err(problem):
                 self._events.record(
                     'manifest_refused', offset=record.offset, why=str(problem)
--- a/bramleybend/platform/kept_pages.py
+++ b/bramleybend/platform/kept_pages.py
@@ -79,4 +79,4 @@
             'it is written again with the next change',
         )
         return Err(problem)
-    return Ok(Page(page.records, page.end, whole=True))
+    return Ok(Page(page.records, page.end, is_snapshot=True))
--- a/bramleybend/platform/program.py
+++ b/bramleybend/platform/program.py
@@ -63,14 +63,14 @@
             client.close()
 
     def _make_last_known(self) -> LogBackup:
-        book = self.entry.book
+        catalog = self.entry.catalog
         manifests, runners = self.feeds
         logs = (
-            BackedUpLog(manifests, book.manifest_version),
-            BackedUpLog(runners, lambda: book.runners),
+            BackedUpLog(manifests, catalog.manifest_version),
+            BackedUpLog(runners, lambda: catalog.runners_by_service),
         )
         kept_pages = KeptPages(self.store)
-        return LogBackup(logs, kept_pages, book, self.entry.events)
+        return LogBackup(logs, kept_pages, catalog, self.entry.events)
 
     def _render_metrics(self) -> bytes:
         # Imported at the first scrape only; see `bramleybend.direct.meters`.
@@ -79,14 +79,16 @@
 
     def _make_manifest_feed(self) -> Feed:
         feed = self._make_feed(MANIFEST_FEED)
-        book = self.entry.book
-        feed.on_page = ManifestApplier(book, self.entry.events).take
-        feed.on_confirmed = book.confirm_manifest
+        catalog = self.entry.catalog
+        feed.on_page = ManifestApplier(catalog, self.entry.events).take
+        feed.on_confirmed = catalog.confirm_manifest
         return feed
 
     def _make_runner_feed(self) -> Feed:
         feed = self._make_feed(RUNNER_FEED)
-        runners = RunnerList(self.entry.book, decode_runner, self.entry.events)
+        runners = RunnerList(
+            self.entry.catalog, decode_runner, self.entry.events
+        )
         feed.on_page = runners.apply_page
         feed.on_confirmed = runners.note_confirmed
         self.entry.on_sweep = runners.drop_expired
--- a/bramleybend/platform/records.py
+++ b/bramleybend/platform/records.py
@@ -29,7 +29,7 @@
     # A response may hold only a part of the records; the next read continues
     # behind the last one received.
     next_offset = offset if records else max(end, start)
-    return Page(tuple(records), next_offset, whole=False)
+    return Page(tuple(records), next_offset, is_snapshot=False)
 
 
 def pack_page(page: Page) -> bytes:
--- a/bramleybend/platform/store.py
+++ b/bramleybend/platform/store.py
@@ -117,7 +117,7 @@
             page = next_result.ok_value
             items.extend(page.items)
         records = tuple(_make_record(item) for item in items)
-        return Ok(Page(records, first_result.ok_value.end, whole=True))
+        return Ok(Page(records, first_result.ok_value.end, is_snapshot=True))
 
     async def changes(
         self,
--- a/tests/direct/cluster.py
+++ b/tests/direct/cluster.py
@@ -121,7 +121,8 @@
         """Wait until each VM knows `count` runners of a service."""
         await wait_until(
             lambda: all(
-                len(vm.entry.book.runners.get(service, ())) == count
+                len(vm.entry.catalog.runners_by_service.get(service, ()))
+                == count
                 for vm in self.vms
             ),
             f'{count} runners of {service}',
@@ -213,7 +214,7 @@
         await self.writer.drain()
 
     async def answer(self, timeout_s: float = 8) -> RawAnswer:
-        """Read one answer; an incomplete one has `whole` unset."""
+        """Read one answer; an incomplete one has `is_whole` unset."""
         async with asyncio.timeout(timeout_s):
             head = (await self.reader.readuntil(b'\r\n\r\n')).decode()
             first, *lines = head.strip().split('\r\n')
--- a/tests/direct/test_asking_owners.py
+++ b/tests/direct/test_asking_owners.py
@@ -7,7 +7,7 @@
 import pytest
 
 from bramleybend.clock import SystemClock
-from bramleybend.direct.book import Book
+from bramleybend.direct.catalog import Catalog
 from bramleybend.direct.members import Member, Members, OwnVm
 from bramleybend.direct.messages import (
     Granted,
@@ -47,12 +47,14 @@
             member = Member(vm, 'i', vm, f'{vm}:80', True, False, now, 0)
             member.capacity = capacity
             members.update(member)
-        book = Book(clock, events)
+        catalog = Catalog(clock, events)
         services = {SERVICE: DeclaredService(SERVICE, 10, True, 7)}
-        book.apply_manifest(Manifest(1, {}, services, {}, requires_key=False))
-        book.take_runners({'r1': RUNNER})
-        queues = make_queues(book, members, clock, events, Random(1))
-        self.placer = Placer(book, members, queues, clock, events)
+        catalog.apply_manifest(
+            Manifest(1, {}, services, {}, requires_key=False)
+        )
+        catalog.replace_runner_list({'r1': RUNNER})
+        queues = make_queues(catalog, members, clock, events, Random(1))
+        self.placer = Placer(catalog, members, queues, clock, events)
         self.placer.send = self.record_ask
         self.asks: list[tuple[SlotRequestMessage, str]] = []
 
--- a/tests/direct/test_callers.py
+++ b/tests/direct/test_callers.py
@@ -289,9 +289,11 @@
 
 
 async def _in_force(cluster: Cluster, version: int) -> None:
-    book = cluster.vms[0].entry.book
+    catalog = cluster.vms[0].entry.catalog
     await wait_until(
-        lambda: book.manifest is not None and book.manifest.version == version,
+        lambda: (
+            catalog.manifest is not None and catalog.manifest.version == version
+        ),
         f'version {version}',
     )
 
--- a/tests/direct/test_cluster.py
+++ b/tests/direct/test_cluster.py
@@ -25,7 +25,7 @@
 
 def owner_of(cluster: Cluster, service: str) -> PlatformProcess:
     """Return the VM that owns a service's queue."""
-    now = cluster.vms[0].entry.book.now()
+    now = cluster.vms[0].entry.catalog.now()
     found = [
         vm
         for vm in cluster.vms
@@ -175,12 +175,12 @@
             'keyed.servers', 'r1', runner.entry(PLAIN, 'draining')
         )
         cluster.publish(manifest(5))
-        book = cut.entry.book
+        catalog = cut.entry.catalog
         await wait_until(
             lambda: (
-                book.manifest is not None
-                and book.manifest.version == 5
-                and book.runners[PLAIN][0].state == 'leaving'
+                catalog.manifest is not None
+                and catalog.manifest.version == 5
+                and catalog.runners_by_service[PLAIN][0].state == 'leaving'
             ),
             'the news',
             limit_s=2,
@@ -227,7 +227,9 @@
         await cluster.wait_for_runners(PLAIN)
         cluster.store.topic('keyed.servers').put('r1', b'')
         await wait_until(
-            lambda: not cluster.vms[0].entry.book.runners.get(PLAIN),
+            lambda: (
+                not cluster.vms[0].entry.catalog.runners_by_service.get(PLAIN)
+            ),
             'the runner gone',
             limit_s=2,
         )
--- a/tests/direct/test_endless_answers.py
+++ b/tests/direct/test_endless_answers.py
@@ -175,7 +175,7 @@
         one['timeoutMs'] = timeout_ms
     cluster.publish(declared)
     await wait_until(
-        lambda: cluster.vms[0].entry.book.manifest_version() == 2,
+        lambda: cluster.vms[0].entry.catalog.manifest_version() == 2,
         'the manifest',
     )
 
--- a/tests/direct/test_feeds.py
+++ b/tests/direct/test_feeds.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from bramleybend.clock import ManualClock, SystemClock
-from bramleybend.direct.book import Book
+from bramleybend.direct.catalog import Catalog
 from bramleybend.direct.feed import Feed, FeedSettings
 from bramleybend.direct.feed_copy import FeedCopy, KeyedRecord, Page
 from bramleybend.direct.members import Member, Members, OwnVm
@@ -119,7 +119,7 @@
     written = page(record(7, 'a', 'x'), record(8, 'b'))
     read = unpack_page(pack_page(written), 7)
     assert read == written
-    assert read.records[1].gone
+    assert read.records[1].is_deleted
 
 
 def test_a_copy_tells_what_came_since_an_offset() -> None:
@@ -165,15 +165,15 @@
 async def test_a_lapse_without_an_outage_counts_at_once() -> None:
     """A runner whose entry ends without an outage is gone at once."""
     clock = ManualClock(START)
-    book = Book(clock, EventLog('vm', 'i', clock, kept=0))
-    runners = RunnerList(book, decode_runner, EventLog('vm', 'i', clock, 0))
+    catalog = Catalog(clock, EventLog('vm', 'i', clock, kept=0))
+    runners = RunnerList(catalog, decode_runner, EventLog('vm', 'i', clock, 0))
     runners.apply_page(page(record(0, 'r1', ENTRY), whole=True))
-    assert [one.name for one in book.runners['app']] == ['r1']
+    assert [one.name for one in catalog.runners_by_service['app']] == ['r1']
     clock.advance(0.7)
-    runners.note_confirmed(book.now())
+    runners.note_confirmed(catalog.now())
     clock.advance(0.7)
     runners.apply_page(page(record(1, 'r1')))
-    assert not book.runners.get('app')
+    assert not catalog.runners_by_service.get('app')
 
 
 async def test_pages_are_put_together_and_read_on_from_the_first() -> None:
@@ -190,7 +190,7 @@
     ]
     assert whole.end == 5
     store.topic('t').first = 3
-    assert (await client.changes('t', 1, 0)).unwrap().whole
+    assert (await client.changes('t', 1, 0)).unwrap().is_snapshot
     client.close()
     await store.server.stop()
 
@@ -239,7 +239,7 @@
     ) -> Result[Page, Problem]:
         """Return no records after the wait."""
         await asyncio.sleep(wait_s)
-        return Ok(Page((), start, whole=False))
+        return Ok(Page((), start, is_snapshot=False))
 
 
 async def test_a_copy_is_no_older_than_its_long_poll() -> None:
--- a/tests/direct/test_log_backup.py
+++ b/tests/direct/test_log_backup.py
@@ -89,8 +89,8 @@
             for number in range(1400)
         ]
         cluster.publish(manifest(2, routes=[*manifest()['routes'], *added]))
-        book = cluster.vms[0].entry.book
-        await wait_until(lambda: book.manifest_version() == 2, 'the change')
+        catalog = cluster.vms[0].entry.catalog
+        await wait_until(lambda: catalog.manifest_version() == 2, 'the change')
         await asyncio.sleep(SOON_S * 2)
         cluster.store.silent_topics.add(MANIFEST_TOPIC)
         await lose_power(cluster)
@@ -112,14 +112,16 @@
     await store.server.start()
     client = StoreClient('127.0.0.1', store.server.port, SystemClock())
     pages = KeptPages(client)
-    small = Page((KeyedRecord(0, 'k', b'old'),), 1, whole=True)
+    small = Page((KeyedRecord(0, 'k', b'old'),), 1, is_snapshot=True)
     (await pages.save('log', small)).unwrap()
     loaded = (await pages.load('log')).unwrap()
     assert loaded is not None
     assert loaded.records[0].content == b'old'
     large_record = KeyedRecord(1, 'k', Random(1).randbytes(300_000))
     for _ in range(3):
-        refused = await pages.save('log', Page((large_record,), 2, whole=True))
+        refused = await pages.save(
+            'log', Page((large_record,), 2, is_snapshot=True)
+        )
         assert refused.is_err()
     assert (await pages.load('log')).unwrap() is None
     assert store.calls.count('/log-append') == 2
--- a/tests/direct/test_long_answers.py
+++ b/tests/direct/test_long_answers.py
@@ -23,8 +23,8 @@
     """An answer may last longer than callers wait for its first event."""
     async with running_cluster() as cluster:
         cluster.publish(manifest(2, routes=[ROUTE]))
-        book = cluster.vms[0].entry.book
-        await wait_until(lambda: book.manifest_version() == 2, 'the route')
+        catalog = cluster.vms[0].entry.catalog
+        await wait_until(lambda: catalog.manifest_version() == 2, 'the route')
         await cluster.add_runner('r1', ENGINE, begins)
         await cluster.wait_for_runners(ENGINE)
         other, caller = await cluster.connect(), await cluster.connect()
--- a/tests/direct/test_moved_runners.py
+++ b/tests/direct/test_moved_runners.py
@@ -7,7 +7,7 @@
 import pytest
 
 from bramleybend.clock import SystemClock
-from bramleybend.direct.book import Book
+from bramleybend.direct.catalog import Catalog
 from bramleybend.direct.feed_copy import KeyedRecord, Page
 from bramleybend.direct.models import DeclaredService, Manifest
 from bramleybend.direct.runner_list import RunnerList
@@ -87,22 +87,26 @@
     return KeyedRecord(1, key, content)
 
 
-def make_book() -> Book:
-    """Return a book whose manifest declares the services."""
+def make_catalog() -> Catalog:
+    """Return a catalog whose manifest declares the services."""
     clock = SystemClock()
-    book = Book(clock, EventLog('vm', 'i', clock, 0))
-    book.apply_manifest(Manifest(1, {}, SERVICES, {}, requires_key=False))
-    return book
+    catalog = Catalog(clock, EventLog('vm', 'i', clock, 0))
+    catalog.apply_manifest(Manifest(1, {}, SERVICES, {}, requires_key=False))
+    return catalog
 
 
 def used_runners(*records: KeyedRecord) -> set[str]:
     """Return the names of the runners that are used after a page."""
-    book = make_book()
+    catalog = make_catalog()
     clock = SystemClock()
-    runners = RunnerList(book, decode_runner, EventLog('vm', 'i', clock, 0))
+    runners = RunnerList(catalog, decode_runner, EventLog('vm', 'i', clock, 0))
     runners.note_confirmed(clock.monotonic())
-    runners.apply_page(Page(records, 2, whole=True))
-    return {one.name for entries in book.runners.values() for one in entries}
+    runners.apply_page(Page(records, 2, is_snapshot=True))
+    return {
+        one.name
+        for entries in catalog.runners_by_service.values()
+        for one in entries
+    }
 
 
 @pytest.mark.parametrize('service', ['app', 'other'])
--- a/tests/direct/test_queue_log.py
+++ b/tests/direct/test_queue_log.py
@@ -7,7 +7,7 @@
 
 from bramleybend.clock import SystemClock
 from bramleybend.decisions.actions import RunReport
-from bramleybend.direct.book import Book
+from bramleybend.direct.catalog import Catalog
 from bramleybend.direct.members import Members, OwnVm
 from bramleybend.direct.models import RunnerEntry, RunnerState
 from bramleybend.direct.queue_log import QueueLog
@@ -32,7 +32,9 @@
     clock = SystemClock()
     events = EventLog('vm', 'i', clock, kept=0)
     members = Members(OwnVm('vm', 'i', '127.0.0.1', '127.0.0.1:80'))
-    queues = make_queues(Book(clock, events), members, clock, events, Random(1))
+    queues = make_queues(
+        Catalog(clock, events), members, clock, events, Random(1)
+    )
     entry = RunnerEntry(
         'r1', 0, SERVICE, '127.0.0.1', 90, 'd', 1, RunnerState.READY
     )
--- a/tests/direct/test_request_path.py
+++ b/tests/direct/test_request_path.py
@@ -125,10 +125,12 @@
 async def test_a_new_manifest_is_in_force_at_once_and_an_older_never() -> None:
     """The highest version is in force, in whatever order versions arrive."""
     async with running_cluster() as cluster:
-        book = cluster.vms[0].entry.book
+        catalog = cluster.vms[0].entry.catalog
         cluster.publish(manifest(7, routes=[]))
         await wait_until(
-            lambda: book.manifest is not None and book.manifest.version == 7,
+            lambda: (
+                catalog.manifest is not None and catalog.manifest.version == 7
+            ),
             'the new version',
             limit_s=1,
         )
@@ -146,6 +148,6 @@
         cluster.publish({'version': 'x'})
         await cluster.wait_for_runners(PLAIN)
         assert (await cluster.call('/read/x')).status == 200
-        book = cluster.vms[0].entry.book
-        assert book.manifest is not None
-        assert book.manifest.version == 1
+        catalog = cluster.vms[0].entry.catalog
+        assert catalog.manifest is not None
+        assert catalog.manifest.version == 1
--- a/tests/direct/test_suspension.py
+++ b/tests/direct/test_suspension.py
@@ -67,7 +67,7 @@
         async with asyncio.timeout(2):
             await cluster.wait_for_runners(PLAIN)
             await wait_until(
-                lambda: cluster.vms[0].entry.book.manifest_version() == 2,
+                lambda: cluster.vms[0].entry.catalog.manifest_version() == 2,
                 'the new manifest',
             )
         assert (await cluster.call('/book/x', key='new')).status == 200
--- a/tests/failures/test_large_manifest.py
+++ b/tests/failures/test_large_manifest.py
@@ -11,7 +11,7 @@
 from typing import Final
 
 from bramleybend.clock import Clock, SystemClock
-from bramleybend.direct.book import Book
+from bramleybend.direct.catalog import Catalog
 from bramleybend.direct.feed import Feed
 from bramleybend.direct.feed_copy import FeedCopy, KeyedRecord, Page
 from bramleybend.direct.heartbeat_messages import FeedStatus
@@ -62,7 +62,7 @@
 class Follower:
     """One VM's manifest, and how it follows it."""
 
-    book: Book
+    book: Catalog
     feed: Feed
 
     def serves_added(self) -> bool:
@@ -78,7 +78,7 @@
 ) -> Follower:
     """Make a VM that has the version before."""
     events = EventLog(name, 'i', clock, kept=0)
-    book = Book(clock, events)
+    book = Catalog(clock, events)
     clients: dict[str, StoreClient] = {}
 
     def peer_source(address: str) -> StoreClient:
@@ -88,10 +88,10 @@
 
     feed = Feed(MANIFEST_FEED, store, peer_source, clock, events, Random(name))
     feed.on_page = ManifestApplier(book, events).take
-    feed.copy.apply(Page((record(0, manifest(1)),), 1, whole=True))
-    feed.on_page(Page((record(0, manifest(1)),), 1, whole=True))
+    feed.copy.apply(Page((record(0, manifest(1)),), 1, is_snapshot=True))
+    feed.on_page(Page((record(0, manifest(1)),), 1, is_snapshot=True))
     feed.confirmed_at = clock.monotonic()
-    feed.store_schedule.ranks_first = lambda *_: False
+    feed.store_schedule.is_among_first = lambda *_: False
     return Follower(book, feed)
 
 
@@ -190,8 +190,8 @@
     """
     clock = SystemClock()
     copy = FeedCopy()
-    copy.apply(Page((record(0, manifest(1)),), 1, whole=True))
-    copy.apply(Page((record(1, large_manifest(2)),), 2, whole=False))
+    copy.apply(Page((record(0, manifest(1)),), 1, is_snapshot=True))
+    copy.apply(Page((record(1, large_manifest(2)),), 2, is_snapshot=False))
     store = PlatformStore('127.0.0.1')
     store.status = 503
     await store.server.start()
@@ -257,7 +257,7 @@
     """
     clock = SystemClock()
     copy = FeedCopy()
-    copy.apply(Page((record(1, large_manifest(2)),), 2, whole=True))
+    copy.apply(Page((record(1, large_manifest(2)),), 2, is_snapshot=True))
     links = [Link(THIN_LINK), Link(THIN_LINK)]
     async with store_over(links[0]) as (store, way):
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, manifest(1))
@@ -284,7 +284,7 @@
     clock = SystemClock()
     large = large_manifest(2, added=3000)
     copy = FeedCopy()
-    copy.apply(Page((record(1, large),), 2, whole=True))
+    copy.apply(Page((record(1, large),), 2, is_snapshot=True))
     link = Link(THIN_LINK / 2)
     async with store_over(link) as (store, way):
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, manifest(1))
@@ -307,7 +307,7 @@
     """
     clock = SystemClock()
     copy = FeedCopy()
-    copy.apply(Page((record(1, large_manifest(2)),), 2, whole=True))
+    copy.apply(Page((record(1, large_manifest(2)),), 2, is_snapshot=True))
     link = Link(THIN_LINK)
     async with store_over(link) as (store, way):
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, manifest(1))
--- a/tests/utils/peer_network.py
+++ b/tests/utils/peer_network.py
@@ -17,7 +17,7 @@
     Tolerance,
     make_allotment_ledger,
 )
-from bramleybend.direct.book import Book
+from bramleybend.direct.catalog import Catalog
 from bramleybend.direct.containment import Containment
 from bramleybend.direct.members import HEARTBEAT_INTERVAL_S, Members, OwnVm
 from bramleybend.direct.peer_message_handler import (
@@ -202,7 +202,7 @@
             capacity,
         )
     )
-    book = Book(clock, events)
+    book = Catalog(clock, events)
     queues = make_queues(book, members, clock, events, Random(number))
     placer = Placer(book, members, queues, clock, events)
     allotments = make_allotment_ledger(
