--- a/bramleybend/cli/entry_program.py
+++ b/bramleybend/cli/entry_program.py
@@ -6,7 +6,7 @@
 
 from bramleybend.cli.serving import Environment, serve, system_environment
 from bramleybend.entry_settings import ENTRY
-from bramleybend.platform.program import make_platform_process
+from bramleybend.platform.platform_process import make_platform_process
 from bramleybend.status import ExitStatus
 
 
--- a/bramleybend/clients/channel.py
+++ b/bramleybend/clients/channel.py
@@ -20,7 +20,7 @@
 from bramleybend.clients.framing import Framing, framing_of
 from bramleybend.clients.h11_protocol import H11Protocol
 from bramleybend.clients.message_bounds import (
-    USUAL_BOUNDS,
+    DEFAULT_BOUNDS,
     MessageBounds,
     MessageMeter,
     MessageTooLongError,
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True)
-class Head:
+class ResponseHead:
     """Status and headers of a response; header names are in lower case."""
 
     status: int
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True)
-class Outgoing:
+class OutgoingRequest:
     """A complete request, ready to send."""
 
     method: bytes
@@ -81,7 +81,7 @@
     """A client connection; `connect` opens one."""
 
     def __init__(
-        self, clock: Clock, bounds: MessageBounds = USUAL_BOUNDS
+        self, clock: Clock, bounds: MessageBounds = DEFAULT_BOUNDS
     ) -> None:
         """Start idle and without a transport."""
         super().__init__(h11.Connection(h11.CLIENT))
@@ -128,7 +128,7 @@
         idle_s = self._clock.monotonic() - self._last_used_at
         return idle_s < self._idle_timeout_s * USABLE_IDLE_SHARE
 
-    async def send(self, outgoing: Outgoing) -> None:
+    async def send(self, outgoing: OutgoingRequest) -> None:
         """Write the whole request; the peer may respond before its end."""
         self._is_busy = True
         self.uses += 1
@@ -154,7 +154,7 @@
             raise self.broken
         self.transport.write(b''.join(part for part in parts if part))
 
-    async def head(self) -> Head:
+    async def head(self) -> ResponseHead:
         """Read status and headers of the next final response.
 
         Raises `MessageTooLongError` if informational (1xx) responses exceed
@@ -166,7 +166,7 @@
             event = await self.next_event()
         if not isinstance(event, h11.Response):
             raise EOFError('the connection ended before an answer')
-        head = Head(event.status_code, list(event.headers))
+        head = ResponseHead(event.status_code, list(event.headers))
         timeout_match = _KEEP_ALIVE_TIMEOUT.search(
             (head.get('keep-alive') or '').encode()
         )
@@ -265,7 +265,7 @@
     port: int,
     clock: Clock,
     timeout_s: float = CONNECT_TIMEOUT_S,
-    bounds: MessageBounds = USUAL_BOUNDS,
+    bounds: MessageBounds = DEFAULT_BOUNDS,
 ) -> Channel:
     """Open a connection; an `OSError` means that nothing was sent."""
     loop = asyncio.get_running_loop()
--- a/bramleybend/clients/message_bounds.py
+++ b/bramleybend/clients/message_bounds.py
@@ -16,9 +16,9 @@
 
 import h11
 
-ANSWER_BYTES: Final = 8_388_608
-EVENT_BYTES: Final = 1_048_576
-FILLER_BYTES: Final = 65_536
+DEFAULT_MESSAGE_BYTES: Final = 8_388_608
+DEFAULT_EVENT_BYTES: Final = 1_048_576
+DEFAULT_FILLER_BYTES: Final = 65_536
 PART_OVERHEAD_BYTES: Final = 128
 
 
@@ -30,12 +30,12 @@
 class MessageBounds:
     """Maximum bytes to read of one message."""
 
-    message_bytes: float = ANSWER_BYTES
-    event_bytes: int = EVENT_BYTES  # of one event of a stream
-    filler_bytes: int = FILLER_BYTES
+    message_bytes: float = DEFAULT_MESSAGE_BYTES
+    event_bytes: int = DEFAULT_EVENT_BYTES  # of one event of a stream
+    filler_bytes: int = DEFAULT_FILLER_BYTES
 
 
-USUAL_BOUNDS: Final = MessageBounds()
+DEFAULT_BOUNDS: Final = MessageBounds()
 
 
 def head_bytes(head: h11.InformationalResponse) -> int:
--- a/bramleybend/clients/runner.py
+++ b/bramleybend/clients/runner.py
@@ -22,8 +22,8 @@
     read_response,
 )
 from bramleybend.clients.message_bounds import (
-    EVENT_BYTES,
-    USUAL_BOUNDS,
+    DEFAULT_BOUNDS,
+    DEFAULT_EVENT_BYTES,
     MessageMeter,
     MessageTooLongError,
 )
@@ -131,7 +131,7 @@
 
     Raises `MessageTooLongError` if an event or the stream is too long.
     """
-    meter = MessageMeter(USUAL_BOUNDS)
+    meter = MessageMeter(DEFAULT_BOUNDS)
     pending = bytearray()
     async for chunk in exchange.iter_body():
         search_start = max(len(pending) - 1, 0)
@@ -142,8 +142,10 @@
             for event in events:
                 meter.add_content(len(event))
                 yield event
-        if len(pending) > EVENT_BYTES:
-            raise MessageTooLongError(f'an event is over {EVENT_BYTES} bytes')
+        if len(pending) > DEFAULT_EVENT_BYTES:
+            raise MessageTooLongError(
+                f'an event is over {DEFAULT_EVENT_BYTES} bytes'
+            )
 
 
 def is_json(body: bytes) -> bool:
--- a/bramleybend/direct/attempt.py
+++ b/bramleybend/direct/attempt.py
@@ -9,7 +9,7 @@
 
 import h11
 
-from bramleybend.clients.channel import Channel, Head, Outgoing
+from bramleybend.clients.channel import Channel, OutgoingRequest, ResponseHead
 from bramleybend.clients.framing import Framing
 from bramleybend.direct.channels import RunnerChannels
 from bramleybend.direct.header_codec import HeaderCodec
@@ -61,7 +61,7 @@
 class WholeAnswer:
     """A complete answer of a runner."""
 
-    head: Head
+    head: ResponseHead
     body: bytes
 
 
@@ -100,8 +100,8 @@
         )
 
     async def send(
-        self, make_outgoing: Callable[[], Outgoing], send_by: float
-    ) -> Head | Failure:
+        self, make_outgoing: Callable[[], OutgoingRequest], send_by: float
+    ) -> ResponseHead | Failure:
         """Send the request and read the head of its answer.
 
         Nothing is sent at or after `send_by`, in monotonic seconds.
@@ -122,7 +122,7 @@
         self._record_limit(head, sent_at)
         return await self._check_head(head)
 
-    async def read_whole(self, head: Head) -> WholeAnswer | Failure:
+    async def read_whole(self, head: ResponseHead) -> WholeAnswer | Failure:
         """Read the whole body and release the runner's connection."""
         assert self._channel is not None
         try:
@@ -136,7 +136,9 @@
         self.release_connection()
         return WholeAnswer(head, body)
 
-    async def read_events(self, head: Head) -> AsyncGenerator[Event, None]:
+    async def read_events(
+        self, head: ResponseHead
+    ) -> AsyncGenerator[Event, None]:
         """Yield complete events.
 
         Raises `BrokenStreamError` if the stream is incomplete. A runner that
@@ -181,11 +183,11 @@
             self._channel = await self._channels.acquire(self.runner)
         return self._channel
 
-    async def _send(self, channel: Channel, outgoing: Outgoing) -> None:
+    async def _send(self, channel: Channel, outgoing: OutgoingRequest) -> None:
         self.is_sent = True
         await channel.send(outgoing)
 
-    async def _read_own_head(self, channel: Channel) -> Head:
+    async def _read_own_head(self, channel: Channel) -> ResponseHead:
         """Read the head of the answer to this request.
 
         A runner's late or duplicate answer to an earlier request arrives where
@@ -201,13 +203,13 @@
             channel.expect_another()
         raise EOFError('the runner answers other requests in place of ours')
 
-    def _record_limit(self, head: Head, sent_at: float) -> None:
+    def _record_limit(self, head: ResponseHead, sent_at: float) -> None:
         facts = self._header_codec.answer_facts(head)
         if facts.attempt_id == self._attempt_id and facts.limit is not None:
             runner = self.runner.incarnation
             self._limits.update_from_answer(runner, facts.limit, sent_at)
 
-    async def _check_head(self, head: Head) -> Head | Failure:
+    async def _check_head(self, head: ResponseHead) -> ResponseHead | Failure:
         facts = self._header_codec.answer_facts(head)
         if facts.not_run:
             await self._discard_body()
@@ -252,7 +254,7 @@
         return Failure(RunStatus.MAY_HAVE_RUN, reason, sign)
 
 
-def _check_stream_end(head: Head, splitter: EventSplitter) -> None:
+def _check_stream_end(head: ResponseHead, splitter: EventSplitter) -> None:
     """Raise `BrokenStreamError` if the stream ended incomplete."""
     if splitter.cut_bytes:
         raise BrokenStreamError('it ended inside an event')
--- a/bramleybend/direct/attempt_dispatcher.py
+++ b/bramleybend/direct/attempt_dispatcher.py
@@ -4,7 +4,7 @@
 from http import HTTPStatus
 from typing import Final
 
-from bramleybend.clients.channel import Outgoing
+from bramleybend.clients.channel import OutgoingRequest
 from bramleybend.decisions.actions import RunReport
 from bramleybend.direct.attempt import (
     TIMEOUT,
@@ -88,7 +88,7 @@
         )
         return job.current_attempt
 
-    def make_outgoing(self, job: Job, runner: RunnerEntry) -> Outgoing:
+    def make_outgoing(self, job: Job, runner: RunnerEntry) -> OutgoingRequest:
         """Return the request with the headers rewritten for the runner."""
         forwarding = ForwardingFacts(
             runner,
@@ -99,7 +99,9 @@
         headers = self._components.header_codec.runner_headers(
             job.req.headers, forwarding
         )
-        return Outgoing(job.req.method, job.req.target, headers, job.req.body)
+        return OutgoingRequest(
+            job.req.method, job.req.target, headers, job.req.body
+        )
 
     def finish_attempt(
         self,
--- a/bramleybend/direct/header_codec.py
+++ b/bramleybend/direct/header_codec.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from bramleybend.clients.channel import Head, HeaderList
+from bramleybend.clients.channel import HeaderList, ResponseHead
 from bramleybend.direct.models import RequestMetadata, RunnerEntry
 
 
@@ -40,13 +40,13 @@
     ) -> list[tuple[bytes, bytes]]:
         """Return the headers to send to a runner, without framing headers."""
 
-    def answer_facts(self, head: Head) -> AnswerFacts:
+    def answer_facts(self, head: ResponseHead) -> AnswerFacts:
         """Return what the headers of a runner's answer state."""
 
-    def caller_headers(self, head: Head) -> list[tuple[bytes, bytes]]:
+    def caller_headers(self, head: ResponseHead) -> list[tuple[bytes, bytes]]:
         """Return the headers to send to a caller, without framing headers."""
 
-    def is_whole(self, head: Head) -> bool:
+    def is_whole(self, head: ResponseHead) -> bool:
         """Return whether the answer's headers show that its body is intact."""
 
 
--- a/bramleybend/direct/relay.py
+++ b/bramleybend/direct/relay.py
@@ -4,7 +4,7 @@
 from http import HTTPStatus
 from typing import Final
 
-from bramleybend.clients.channel import Head
+from bramleybend.clients.channel import ResponseHead
 from bramleybend.clock import Clock
 from bramleybend.direct.attempt import (
     Attempt,
@@ -44,7 +44,7 @@
         self._clock = clock
         self.event_count = 0  # received from the runner
 
-    async def run(self, attempt: Attempt, head: Head) -> Failure | None:
+    async def run(self, attempt: Attempt, head: ResponseHead) -> Failure | None:
         """Relay to the end; return `None` if the caller got a full answer."""
         self._job.framing = head.framing
         if _is_failure(head) or not _is_event_stream(head):
@@ -65,7 +65,7 @@
         return None
 
     async def _relay_buffered(
-        self, attempt: Attempt, head: Head
+        self, attempt: Attempt, head: ResponseHead
     ) -> Failure | None:
         """Relay a runner's error answer, or a single document, unchanged."""
         answer = await attempt.read_whole(head)
@@ -82,7 +82,7 @@
         )
         return None
 
-    async def _relay_event(self, head: Head, event: Event) -> None:
+    async def _relay_event(self, head: ResponseHead, event: Event) -> None:
         if not self.event_count:
             self._placer.note_first_token(self._placement)
             if self._job.first_event_at is None:
@@ -98,16 +98,16 @@
         await self._responder.send_chunk(event.raw)
         self._job.last_event_id = event.event_id or self._job.last_event_id
 
-    async def _begin_answer(self, head: Head) -> None:
+    async def _begin_answer(self, head: ResponseHead) -> None:
         headers = self._header_codec.caller_headers(head)
         await self._responder.begin_stream(head.status, headers)
 
 
-def _is_failure(head: Head) -> bool:
+def _is_failure(head: ResponseHead) -> bool:
     return head.status >= HTTPStatus.MULTIPLE_CHOICES
 
 
-def _is_event_stream(head: Head) -> bool:
+def _is_event_stream(head: ResponseHead) -> bool:
     stated = head.get('content-type')
     return stated is None or stated.lower().startswith(EVENT_STREAM_TYPE)
 
--- a/bramleybend/direct/sse.py
+++ b/bramleybend/direct/sse.py
@@ -13,7 +13,7 @@
 from typing import Final
 
 from bramleybend.clients.message_bounds import (
-    USUAL_BOUNDS,
+    DEFAULT_BOUNDS,
     MessageBounds,
     MessageMeter,
     MessageTooLongError,
@@ -36,7 +36,7 @@
 class EventSplitter:
     """Splits received bytes into events."""
 
-    def __init__(self, bounds: MessageBounds = USUAL_BOUNDS) -> None:
+    def __init__(self, bounds: MessageBounds = DEFAULT_BOUNDS) -> None:
         """Create a splitter for the start of a stream."""
         self._bounds = bounds
         self._meter = MessageMeter(bounds)
--- a/bramleybend/entry_settings.py
+++ b/bramleybend/entry_settings.py
@@ -4,9 +4,9 @@
 from typing import Final
 
 from bramleybend.clients.message_bounds import (
-    ANSWER_BYTES,
-    EVENT_BYTES,
-    FILLER_BYTES,
+    DEFAULT_EVENT_BYTES,
+    DEFAULT_FILLER_BYTES,
+    DEFAULT_MESSAGE_BYTES,
     MessageBounds,
 )
 from bramleybend.decisions.allotments import Tolerance
@@ -183,7 +183,7 @@
         ),
     )
     answer_bytes: int = field(
-        default=ANSWER_BYTES,
+        default=DEFAULT_MESSAGE_BYTES,
         metadata=about(
             whole,
             'bytes of a runner that are read of one answer at most; each '
@@ -192,7 +192,7 @@
         ),
     )
     event_bytes: int = field(
-        default=EVENT_BYTES,
+        default=DEFAULT_EVENT_BYTES,
         metadata=about(
             whole,
             'bytes that one event of a stream may have',
@@ -200,7 +200,7 @@
         ),
     )
     filler_bytes: int = field(
-        default=FILLER_BYTES,
+        default=DEFAULT_FILLER_BYTES,
         metadata=about(
             whole,
             'bytes of an answer that may carry nothing (informational heads, '
--- a/bramleybend/platform/feeds.py
+++ b/bramleybend/platform/feeds.py
@@ -9,7 +9,7 @@
 from bramleybend.direct.feed_copy import KeyedRecord, Page
 from bramleybend.events import EventLog
 from bramleybend.platform.manifest import decode_manifest
-from bramleybend.platform.names import (
+from bramleybend.platform.wire_names import (
     MANIFEST_KEY,
     MANIFEST_TOPIC,
     RUNNER_TOPIC,
@@ -45,7 +45,7 @@
         self._catalog = catalog
         self._events = events
 
-    def take(self, page: Page) -> None:
+    def apply_page(self, page: Page) -> None:
         """Apply the manifests among a page's records."""
         for record in page.records:
             if record.key == MANIFEST_KEY and not record.is_deleted:
--- a/bramleybend/platform/mirror.py
+++ b/bramleybend/platform/mirror.py
@@ -23,7 +23,7 @@
 from bramleybend.direct.replies import RawRequest, Reply, own_reply
 from bramleybend.direct.responder import Responder
 from bramleybend.platform.deflate import CONTENT_ENCODING, DEFLATE, deflate
-from bramleybend.platform.records import pack_page
+from bramleybend.platform.record_format import pack_page
 
 NEWEST_PATH: Final = '/log-newest'
 # Smaller bodies fit into one packet without compression.
--- a/bramleybend/platform/headers.py
+++ b/bramleybend/platform/platform_dialect.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-from bramleybend.clients.channel import Head, HeaderList
+from bramleybend.clients.channel import HeaderList, ResponseHead
 from bramleybend.direct.header_codec import (
     AnswerFacts,
     ForwardingFacts,
@@ -11,7 +11,7 @@
     hop_by_hop_names,
 )
 from bramleybend.direct.models import RequestMetadata
-from bramleybend.platform.names import (
+from bramleybend.platform.wire_names import (
     ATTEMPT_ID,
     AUTHORIZATION,
     EXPECT_RUNNER,
@@ -74,7 +74,7 @@
             added.append((LAST_EVENT_ID, forwarding.resume_after))
         return kept + [(key.encode(), text.encode()) for key, text in added]
 
-    def answer_facts(self, head: Head) -> AnswerFacts:
+    def answer_facts(self, head: ResponseHead) -> AnswerFacts:
         """Return what the headers state about a runner's response."""
         is_marked = head.get(NOT_EXECUTED) is not None
         # A runner other than the one addressed received the request.
@@ -87,7 +87,7 @@
             None if is_misdirected else head.get(RUNNER_LIMIT) or '',
         )
 
-    def caller_headers(self, head: Head) -> list[tuple[bytes, bytes]]:
+    def caller_headers(self, head: ResponseHead) -> list[tuple[bytes, bytes]]:
         """Return the headers to send to a caller, without framing."""
         dropped = hop_by_hop_names(head.headers)
         return [
@@ -96,7 +96,7 @@
             if key.lower() not in dropped
         ]
 
-    def is_whole(self, head: Head) -> bool:
+    def is_whole(self, head: ResponseHead) -> bool:
         """Tell whether the body can be the one that the runner sent.
 
         Callers request bodies without a content encoding, so an encoded body
--- a/bramleybend/platform/program.py
+++ b/bramleybend/platform/platform_process.py
@@ -17,11 +17,11 @@
     RUNNER_FEED,
     ManifestApplier,
 )
-from bramleybend.platform.headers import make_header_codec
-from bramleybend.platform.kept_pages import KeptPages
 from bramleybend.platform.mirror import Mirror
+from bramleybend.platform.platform_dialect import make_header_codec
 from bramleybend.platform.runner_entry import decode_runner
-from bramleybend.platform.store import StoreClient, make_mirror_client
+from bramleybend.platform.snapshot_store import SnapshotStore
+from bramleybend.platform.store_client import StoreClient, make_mirror_client
 
 
 class PlatformProcess:
@@ -69,7 +69,7 @@
             BackedUpLog(manifests, catalog.manifest_version),
             BackedUpLog(runners, lambda: catalog.runners_by_service),
         )
-        kept_pages = KeptPages(self.store)
+        kept_pages = SnapshotStore(self.store)
         return LogBackup(logs, kept_pages, catalog, self.entry.events)
 
     def _render_metrics(self) -> bytes:
@@ -80,7 +80,7 @@
     def _make_manifest_feed(self) -> Feed:
         feed = self._make_feed(MANIFEST_FEED)
         catalog = self.entry.catalog
-        feed.on_page = ManifestApplier(catalog, self.entry.events).take
+        feed.on_page = ManifestApplier(catalog, self.entry.events).apply_page
         feed.on_confirmed = catalog.confirm_manifest
         return feed
 
--- a/bramleybend/platform/kept_pages.py
+++ b/bramleybend/platform/snapshot_store.py
@@ -13,9 +13,13 @@
 from bramleybend.direct.feed_copy import Page
 from bramleybend.errors import ErrorKind, Problem
 from bramleybend.platform.deflate import InflateError, deflate, inflate
-from bramleybend.platform.names import KEPT_TOPIC
-from bramleybend.platform.records import UNPACK_ERRORS, pack_page, unpack_page
-from bramleybend.platform.store import StoreClient
+from bramleybend.platform.record_format import (
+    UNPACK_ERRORS,
+    pack_page,
+    unpack_page,
+)
+from bramleybend.platform.store_client import StoreClient
+from bramleybend.platform.wire_names import SNAPSHOT_TOPIC
 
 # A record of the store holds up to 262,144 bytes with its key. Deflated,
 # 1,400 routes take 23 kB and 5,000 runners take 132 kB.
@@ -23,7 +27,7 @@
 DECODE_ERRORS: Final = (*UNPACK_ERRORS, InflateError)
 
 
-class KeptPages:
+class SnapshotStore:
     """Saves and loads one snapshot per log, with the log's name as key."""
 
     def __init__(self, store: StoreClient) -> None:
@@ -43,11 +47,11 @@
             )
             return Err(problem)
         self._deleted.discard(name)
-        return await self._store.put(KEPT_TOPIC, name, content)
+        return await self._store.put(SNAPSHOT_TOPIC, name, content)
 
     async def load(self, name: str) -> Result[Page | None, Problem]:
         """Return the snapshot of a log; `None` if there is none."""
-        response = await self._store.newest(KEPT_TOPIC)
+        response = await self._store.newest(SNAPSHOT_TOPIC)
         if isinstance(response, Err):
             return response
         for record in response.ok_value.records:
@@ -64,7 +68,7 @@
         """
         if name in self._deleted:
             return
-        deletion = await self._store.put(KEPT_TOPIC, name, b'')
+        deletion = await self._store.put(SNAPSHOT_TOPIC, name, b'')
         if deletion.is_ok():
             self._deleted.add(name)
 
--- a/bramleybend/platform/store.py
+++ b/bramleybend/platform/store_client.py
@@ -19,9 +19,9 @@
 
 from bramleybend.clients.channel import (
     Channel,
-    Head,
     HeaderList,
-    Outgoing,
+    OutgoingRequest,
+    ResponseHead,
     connect,
 )
 from bramleybend.clients.message_bounds import MessageBounds
@@ -34,7 +34,7 @@
     MAX_INFLATED_BYTES,
     inflate,
 )
-from bramleybend.platform.records import (
+from bramleybend.platform.record_format import (
     UNPACK_ERRORS,
     pack_record,
     unpack_page,
@@ -94,7 +94,7 @@
         host = f'{address}:{port}'.encode()
         self._headers = [(b'Host', host), *headers]
         self._idle_channels: list[Channel] = []
-        self.calls = 0
+        self.call_count = 0
 
     async def newest(self, topic: str) -> Result[Page, Problem]:
         """Return the newest record of each key.
@@ -180,10 +180,10 @@
         extra_timeout_s: float = 0,
         body: bytes = b'',
     ) -> Result[tuple[int, bytes], Problem]:
-        self.calls += 1
+        self.call_count += 1
         target = f'{path}?{urlencode(query)}'.encode()
         method = b'POST' if body else b'GET'
-        outgoing = Outgoing(method, target, self._headers, body)
+        outgoing = OutgoingRequest(method, target, self._headers, body)
         try:
             async with asyncio.timeout(
                 READ_TIMEOUT_S + extra_timeout_s
@@ -193,7 +193,7 @@
             return Err(self._no_response_problem(exc))
 
     async def _exchange(
-        self, outgoing: Outgoing, read_timeout: asyncio.Timeout
+        self, outgoing: OutgoingRequest, read_timeout: asyncio.Timeout
     ) -> Result[tuple[int, bytes], Problem]:
         channel = await self._acquire_channel()
         is_reusable = False
@@ -213,9 +213,9 @@
     async def _read_response(
         self,
         channel: Channel,
-        outgoing: Outgoing,
+        outgoing: OutgoingRequest,
         read_timeout: asyncio.Timeout,
-    ) -> tuple[Head, bytes]:
+    ) -> tuple[ResponseHead, bytes]:
         await channel.send(outgoing)
         head = await channel.head()
         body_deadline = _loop_time() + self._body_timeout_s
--- a/bramleybend/platform/names.py
+++ b/bramleybend/platform/wire_names.py
@@ -33,4 +33,4 @@
 MANIFEST_TOPIC: Final = 'keyed.op'
 MANIFEST_KEY: Final = 'config'
 RUNNER_TOPIC: Final = 'keyed.servers'
-KEPT_TOPIC: Final = 'keyed.bramleybend-last-known'  # this system's own
+SNAPSHOT_TOPIC: Final = 'keyed.bramleybend-last-known'  # this system's own
--- a/tests/direct/cluster.py
+++ b/tests/direct/cluster.py
@@ -11,7 +11,10 @@
 
 from bramleybend.clock import Clock, SystemClock
 from bramleybend.entry_settings import EntrySettings
-from bramleybend.platform.program import PlatformProcess, make_platform_process
+from bramleybend.platform.platform_process import (
+    PlatformProcess,
+    make_platform_process,
+)
 from bramleybend.settings_types import HostPort
 from tests.utils.platform_store import PlatformStore
 from tests.utils.raw_runner import Behaviour, RawRunner, answers
--- a/tests/direct/test_attempt.py
+++ b/tests/direct/test_attempt.py
@@ -7,7 +7,7 @@
 from typing import Any, cast
 from unittest.mock import Mock
 
-from bramleybend.clients.channel import Channel, Outgoing
+from bramleybend.clients.channel import Channel, OutgoingRequest
 from bramleybend.clients.message_bounds import MessageBounds
 from bramleybend.clock import SystemClock
 from bramleybend.direct.answer_memory import AnswerMemory
@@ -16,7 +16,7 @@
 from bramleybend.direct.models import RunnerEntry, RunnerState
 from bramleybend.direct.runner_limits import RunnerLimits
 from bramleybend.events import EventLog
-from bramleybend.platform.headers import make_header_codec
+from bramleybend.platform.platform_dialect import make_header_codec
 
 OPENING_S = 0.1
 RUNNER = RunnerEntry('r1', 1, 'app', '127.0.0.1', 80, 'a', 4, RunnerState.READY)
@@ -40,7 +40,7 @@
         self.was_returned = True
 
 
-def fail_if_built() -> Outgoing:
+def fail_if_built() -> OutgoingRequest:
     """Fail the test: a request that is not sent must not be built."""
     raise AssertionError('the request was made')
 
@@ -92,6 +92,6 @@
         conn.close()
 
 
-def request() -> Outgoing:
+def request() -> OutgoingRequest:
     """Return a booking."""
-    return Outgoing(b'POST', b'/book/x', [(b'Host', b'h')], b'{}')
+    return OutgoingRequest(b'POST', b'/book/x', [(b'Host', b'h')], b'{}')
--- a/tests/direct/test_cluster.py
+++ b/tests/direct/test_cluster.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 from bramleybend.direct.service_queue import UNCONFIRMED_RUN_TTL_S
-from bramleybend.platform.program import PlatformProcess
+from bramleybend.platform.platform_process import PlatformProcess
 from tests.direct.cluster import (
     ENGINE,
     PLAIN,
--- a/tests/direct/test_connected_runners.py
+++ b/tests/direct/test_connected_runners.py
@@ -3,7 +3,7 @@
 import socket
 from dataclasses import replace
 
-from bramleybend.clients.channel import Outgoing
+from bramleybend.clients.channel import OutgoingRequest
 from bramleybend.clients.message_bounds import MessageBounds
 from bramleybend.clock import SystemClock
 from bramleybend.direct.answer_memory import AnswerMemory
@@ -26,7 +26,7 @@
         for runner in (*runners, engine):
             channels.drop(runner, await channels.acquire(runner))
         busy = await channels.acquire(runners[-1])
-        await busy.send(Outgoing(b'GET', b'/', [(b'Host', b'x')], b''))
+        await busy.send(OutgoingRequest(b'GET', b'/', [(b'Host', b'x')], b''))
         assert channels.connected_runners('lm') == {engine.incarnation}
         named = channels.connected_runners('app')
         assert len(named) == MAX_CONNECTED_RUNNERS
--- a/tests/direct/test_endless_answers.py
+++ b/tests/direct/test_endless_answers.py
@@ -11,10 +11,10 @@
 import h11
 import pytest
 
-from bramleybend.clients.channel import Channel, Outgoing
+from bramleybend.clients.channel import Channel, OutgoingRequest
 from bramleybend.clients.message_bounds import (
-    ANSWER_BYTES,
-    FILLER_BYTES,
+    DEFAULT_FILLER_BYTES,
+    DEFAULT_MESSAGE_BYTES,
     MessageTooLongError,
 )
 from bramleybend.clock import SystemClock
@@ -72,7 +72,7 @@
                 channel.data_received(repeated * (READ // len(repeated)))
             await asyncio.sleep(0)
 
-    await channel.send(Outgoing(b'GET', b'/', [(b'Host', b'x')], b''))
+    await channel.send(OutgoingRequest(b'GET', b'/', [(b'Host', b'x')], b''))
     feeding = asyncio.create_task(feed())
     yield channel
     feeding.cancel()
@@ -98,7 +98,7 @@
     async with fed_channel(start, repeated) as channel:
         with pytest.raises((MessageTooLongError, h11.RemoteProtocolError)):
             await read_events(channel)
-        assert channel.received <= ANSWER_BYTES + 2 * READ
+        assert channel.received <= DEFAULT_MESSAGE_BYTES + 2 * READ
     assert thread_time() - before <= PROCESSOR_S
 
 
@@ -111,7 +111,7 @@
     async with fed_channel(start, repeated) as channel:
         with pytest.raises((MessageTooLongError, h11.RemoteProtocolError)):
             await read_events(channel)
-        assert channel.received <= FILLER_BYTES + 3 * READ
+        assert channel.received <= DEFAULT_FILLER_BYTES + 3 * READ
 
 
 async def test_the_cost_of_a_stream_is_linear_in_its_bytes() -> None:
--- a/tests/direct/test_feeds.py
+++ b/tests/direct/test_feeds.py
@@ -18,9 +18,9 @@
 from bramleybend.events import EventLog
 from bramleybend.models import Repeat, Tier
 from bramleybend.platform.manifest import decode_manifest
-from bramleybend.platform.records import pack_page, unpack_page
+from bramleybend.platform.record_format import pack_page, unpack_page
 from bramleybend.platform.runner_entry import decode_runner
-from bramleybend.platform.store import StoreClient
+from bramleybend.platform.store_client import StoreClient
 from tests.direct.cluster import HOST, manifest, route
 from tests.utils.instants import START
 from tests.utils.platform_store import PlatformStore
--- a/tests/direct/test_log_backup.py
+++ b/tests/direct/test_log_backup.py
@@ -7,14 +7,14 @@
 
 from bramleybend.clock import SystemClock
 from bramleybend.direct.feed_copy import KeyedRecord, Page
-from bramleybend.platform.kept_pages import KeptPages
-from bramleybend.platform.names import (
-    KEPT_TOPIC,
+from bramleybend.platform.platform_process import make_platform_process
+from bramleybend.platform.snapshot_store import SnapshotStore
+from bramleybend.platform.store_client import StoreClient
+from bramleybend.platform.wire_names import (
     MANIFEST_TOPIC,
     RUNNER_TOPIC,
+    SNAPSHOT_TOPIC,
 )
-from bramleybend.platform.program import make_platform_process
-from bramleybend.platform.store import StoreClient
 from tests.direct.cluster import (
     PLAIN,
     Cluster,
@@ -35,7 +35,7 @@
 async def wait_until_saved(cluster: Cluster, count: int = 2) -> None:
     """Wait until the pages of `count` logs are saved."""
     await wait_until(
-        lambda: len(cluster.store.topic(KEPT_TOPIC).newest) == count,
+        lambda: len(cluster.store.topic(SNAPSHOT_TOPIC).newest) == count,
         'pages are kept',
     )
 
@@ -111,7 +111,7 @@
     store = PlatformStore('127.0.0.1')
     await store.server.start()
     client = StoreClient('127.0.0.1', store.server.port, SystemClock())
-    pages = KeptPages(client)
+    pages = SnapshotStore(client)
     small = Page((KeyedRecord(0, 'k', b'old'),), 1, is_snapshot=True)
     (await pages.save('log', small)).unwrap()
     loaded = (await pages.load('log')).unwrap()
@@ -202,7 +202,7 @@
         await wait_until_saved(cluster)
         await asyncio.sleep(SOON_S)
         for name in (RUNNER_TOPIC, MANIFEST_TOPIC):
-            cluster.store.topic(KEPT_TOPIC).put(name, b'\x00')
+            cluster.store.topic(SNAPSHOT_TOPIC).put(name, b'\x00')
         cluster.store.silent_topics.add(RUNNER_TOPIC)
         await lose_power(cluster)
         await asyncio.sleep(SOON_S)
--- a/tests/direct/test_suspension.py
+++ b/tests/direct/test_suspension.py
@@ -5,7 +5,7 @@
 
 from bramleybend.clock import SystemClock
 from bramleybend.direct.suspension import SuspensionWatch
-from bramleybend.platform.names import MANIFEST_TOPIC
+from bramleybend.platform.wire_names import MANIFEST_TOPIC
 from tests.direct.cluster import ENGINE, PLAIN, manifest, running_cluster
 from tests.utils.waiting import wait_until
 
--- a/tests/failures/test_large_manifest.py
+++ b/tests/failures/test_large_manifest.py
@@ -21,8 +21,8 @@
 from bramleybend.events import EventLog
 from bramleybend.platform.feeds import MANIFEST_FEED, ManifestApplier
 from bramleybend.platform.mirror import Mirror
-from bramleybend.platform.names import MANIFEST_KEY, MANIFEST_TOPIC
-from bramleybend.platform.store import StoreClient, make_mirror_client
+from bramleybend.platform.store_client import StoreClient, make_mirror_client
+from bramleybend.platform.wire_names import MANIFEST_KEY, MANIFEST_TOPIC
 from tests.direct.cluster import HOST, manifest, route
 from tests.utils.platform_store import PlatformStore
 from tests.utils.relay import Cut, Link, Relay
@@ -87,7 +87,7 @@
         return clients[address]
 
     feed = Feed(MANIFEST_FEED, store, peer_source, clock, events, Random(name))
-    feed.on_page = ManifestApplier(book, events).take
+    feed.on_page = ManifestApplier(book, events).apply_page
     feed.copy.apply(Page((record(0, manifest(1)),), 1, is_snapshot=True))
     feed.on_page(Page((record(0, manifest(1)),), 1, is_snapshot=True))
     feed.confirmed_at = clock.monotonic()
