--- a/bramleybend/clients/channel.py
+++ b/bramleybend/clients/channel.py
@@ -92,7 +92,7 @@
         self._last_used_at = clock.monotonic()
         self._idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S
         self._sent_request: h11.Request | None = None
-        self.uses = 0
+        self.request_count = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Set the socket timeouts that detect an unreachable peer."""
@@ -121,9 +121,13 @@
         return self._is_busy
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether another request may be sent on the connection."""
-        if self._is_busy or self.broken or self.transport.is_closing():
+        if (
+            self._is_busy
+            or self.connection_error
+            or self.transport.is_closing()
+        ):
             return False
         idle_s = self._clock.monotonic() - self._last_used_at
         return idle_s < self._idle_timeout_s * USABLE_IDLE_SHARE
@@ -131,8 +135,8 @@
     async def send(self, outgoing: OutgoingRequest) -> None:
         """Write the whole request; the peer may respond before its end."""
         self._is_busy = True
-        self.uses += 1
-        self.received = 0
+        self.request_count += 1
+        self.received_bytes = 0
         self._meter = MessageMeter(self._bounds)
         length = str(len(outgoing.body)).encode()
         framing = [(b'Content-Length', length)]
@@ -150,11 +154,11 @@
         if outgoing.body:
             parts.append(self.http.send(h11.Data(data=outgoing.body)))
         parts.append(self.http.send(h11.EndOfMessage()))
-        if self.broken is not None:
-            raise self.broken
+        if self.connection_error is not None:
+            raise self.connection_error
         self.transport.write(b''.join(part for part in parts if part))
 
-    async def head(self) -> ResponseHead:
+    async def read_head(self) -> ResponseHead:
         """Read status and headers of the next final response.
 
         Raises `MessageTooLongError` if informational (1xx) responses exceed
@@ -174,7 +178,7 @@
             self._idle_timeout_s = float(timeout_match.group(1))
         return head
 
-    async def chunks(self) -> AsyncIterator[bytes]:
+    async def iter_body(self) -> AsyncIterator[bytes]:
         """Yield the parts of the body.
 
         Raises `MessageTooLongError` beyond the bounds, and `EOFError` or
@@ -188,7 +192,7 @@
         if not isinstance(event, h11.EndOfMessage):
             raise EOFError('the connection ended within an answer')
 
-    async def body(
+    async def read_body(
         self, max_bytes: float, on_growth: Callable[[int], None] | None = None
     ) -> bytes:
         """Read the whole body; raises `MessageTooLongError` over `max_bytes`.
@@ -197,7 +201,7 @@
         """
         parts: list[bytes] = []
         size = 0
-        async for chunk in self.chunks():
+        async for chunk in self.iter_body():
             parts.append(chunk)
             size += len(chunk)
             if on_growth is not None:
@@ -208,11 +212,11 @@
                 )
         return b''.join(parts)
 
-    def check_received(self) -> None:
+    def check_received_bytes(self) -> None:
         """Raise if the peer sent too many bytes that are not content."""
-        self._meter.note_received(self.received)
+        self._meter.check_framing(self.received_bytes)
 
-    def expect_another(self) -> None:
+    def prepare_next_response(self) -> None:
         """Prepare to read another response to the request already sent.
 
         Used after a response that belongs to an earlier request, which the
@@ -249,7 +253,7 @@
         return True
 
     def _is_open(self) -> bool:
-        return self.broken is None and not self.transport.is_closing()
+        return self.connection_error is None and not self.transport.is_closing()
 
     def _is_exchange_complete(self) -> bool:
         """Tell whether both messages are complete and no bytes are pending."""
--- a/bramleybend/clients/h11_protocol.py
+++ b/bramleybend/clients/h11_protocol.py
@@ -38,16 +38,16 @@
     def __init__(self, http: h11.Connection) -> None:
         """Start without a transport."""
         self.http = http
-        self.broken: Exception | None = None
-        self.peer_ended = False  # the peer sends no more bytes
+        self.connection_error: Exception | None = None
+        self.has_peer_ended = False  # the peer sends no more bytes
         self._transport: asyncio.Transport | None = None
         self._data_available = asyncio.Event()
         self._can_write = asyncio.Event()
         self._can_write.set()
         self._unread_bytes = 0
         self._events_in_turn = 0  # since other tasks last ran
-        self.received = 0  # bytes
-        self.discarding = False  # received bytes are not parsed
+        self.received_bytes = 0
+        self.is_discarding = False  # received bytes are not parsed
 
     @property
     def transport(self) -> asyncio.Transport:
@@ -69,9 +69,9 @@
 
     def data_received(self, data: bytes) -> None:
         """Buffer received bytes until `next_event` parses them."""
-        self.received += len(data)
-        if self.discarding:
-            if self.received > MAX_DISCARDED_BYTES:
+        self.received_bytes += len(data)
+        if self.is_discarding:
+            if self.received_bytes > MAX_DISCARDED_BYTES:
                 self.transport.pause_reading()
             return
         self.http.receive_data(data)
@@ -82,15 +82,17 @@
 
     def eof_received(self) -> bool:
         """Record that the peer sends no more; keep our side open."""
-        self.peer_ended = True
+        self.has_peer_ended = True
         self.http.receive_data(b'')
         self._data_available.set()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Wake the tasks that wait to read or write."""
-        self.broken = exc or ConnectionResetError('the connection is closed')
-        self.peer_ended = not isinstance(exc, TimeoutError)
+        self.connection_error = exc or ConnectionResetError(
+            'the connection is closed'
+        )
+        self.has_peer_ended = not isinstance(exc, TimeoutError)
         self._data_available.set()
         self._can_write.set()
 
@@ -107,8 +109,8 @@
         event = self.http.next_event()
         while event is h11.NEED_DATA:
             self._events_in_turn = 0
-            self.check_received()
-            await self.more_data()
+            self.check_received_bytes()
+            await self.wait_for_data()
             event = self.http.next_event()
         self._events_in_turn += 1
         if self._events_in_turn >= MAX_EVENTS_PER_TURN:
@@ -116,22 +118,22 @@
             await asyncio.sleep(0)
         return event
 
-    def check_received(self) -> None:
+    def check_received_bytes(self) -> None:
         """Raise if the peer sent too much; called when all is parsed."""
 
-    async def more_data(self) -> None:
+    async def wait_for_data(self) -> None:
         """Wait until bytes arrive or the connection ends."""
         self._unread_bytes = 0
-        if self.broken is not None:
-            raise self.broken
+        if self.connection_error is not None:
+            raise self.connection_error
         self.transport.resume_reading()
         self._data_available.clear()
         await self._data_available.wait()
 
     async def write(self, payload: bytes) -> None:
         """Write, then wait while the transport's write buffer is full."""
-        if self.broken is not None:
-            raise self.broken
+        if self.connection_error is not None:
+            raise self.connection_error
         self.transport.write(payload)
         if not self._can_write.is_set():
             await self._can_write.wait()
--- a/bramleybend/clients/http.py
+++ b/bramleybend/clients/http.py
@@ -127,7 +127,7 @@
     async def _next_event(self) -> object:
         event = self._http.next_event()
         while event is h11.NEED_DATA:
-            self._meter.note_received(self._received_bytes)
+            self._meter.check_framing(self._received_bytes)
             received = await self._reader.read(READ_SIZE)
             self._received_bytes += len(received)
             self._http.receive_data(received)
--- a/bramleybend/clients/message_bounds.py
+++ b/bramleybend/clients/message_bounds.py
@@ -72,7 +72,7 @@
         self._filler_bytes += size + PART_OVERHEAD_BYTES
         self._check_filler(self._filler_bytes - self._content_cost)
 
-    def note_received(self, size: int) -> None:
+    def check_framing(self, size: int) -> None:
         """Check the framing, given all bytes received for the message.
 
         Bytes that are not content are framing. Raises `MessageTooLongError`
--- a/bramleybend/direct/attempt.py
+++ b/bramleybend/direct/attempt.py
@@ -94,7 +94,7 @@
     @property
     def cause_of_end(self) -> FailureCause:
         """Return the failure cause if the answer ends at this point."""
-        has_ended = self._channel is not None and self._channel.peer_ended
+        has_ended = self._channel is not None and self._channel.has_peer_ended
         return (
             FailureCause.CONNECTION_CLOSED if has_ended else FailureCause.NONE
         )
@@ -126,7 +126,7 @@
         """Read the whole body and release the runner's connection."""
         assert self._channel is not None
         try:
-            body = await self._channel.body(
+            body = await self._channel.read_body(
                 self._channels.bounds.message_bytes, self._memory.resize
             )
         except CONNECTION_ERRORS as exc:
@@ -148,7 +148,7 @@
         assert self._channel is not None
         splitter = EventSplitter(self._channels.bounds)
         try:
-            async for chunk in self._channel.chunks():
+            async for chunk in self._channel.iter_body():
                 read_events = splitter.feed(chunk)
                 self._memory.resize(splitter.remainder_bytes)
                 for event in read_events:
@@ -178,7 +178,7 @@
         """Return an open connection, after pending events were processed."""
         self._channel = await self._channels.acquire(self.runner)
         await _run_pending_callbacks()
-        if not self._channel.usable:
+        if not self._channel.is_usable:
             self.drop_connection()
             self._channel = await self._channels.acquire(self.runner)
         return self._channel
@@ -195,12 +195,12 @@
         the attempt id, which identifies such an answer; it is skipped.
         """
         for _ in range(MAX_FOREIGN_ANSWERS):
-            head = await channel.head()
+            head = await channel.read_head()
             answered_id = self._header_codec.answer_facts(head).attempt_id
             if answered_id == self._attempt_id or not answered_id:
                 return head
-            await channel.body(MAX_DISCARDED_BYTES)
-            channel.expect_another()
+            await channel.read_body(MAX_DISCARDED_BYTES)
+            channel.prepare_next_response()
         raise EOFError('the runner answers other requests in place of ours')
 
     def _record_limit(self, head: ResponseHead, sent_at: float) -> None:
@@ -235,7 +235,7 @@
         assert self._channel is not None
         try:
             async with asyncio.timeout(DISCARD_TIMEOUT_S):
-                await self._channel.body(MAX_DISCARDED_BYTES)
+                await self._channel.read_body(MAX_DISCARDED_BYTES)
         except CONNECTION_ERRORS:
             # The head already told that the request was not run.
             self.drop_connection()
--- a/bramleybend/direct/channels.py
+++ b/bramleybend/direct/channels.py
@@ -45,7 +45,7 @@
         idle = self._idle[runner.incarnation]
         while idle and not fresh:
             channel = idle.pop()
-            if channel.usable:
+            if channel.is_usable:
                 return channel
             self._abort(runner.incarnation, channel)
         if self._open_counts[runner.incarnation] >= self.max_connections(
@@ -70,7 +70,9 @@
         free_runners = (
             name
             for name, idle in reversed(self._idle.items())
-            if idle and self._services.get(name) == service and idle[-1].usable
+            if idle
+            and self._services.get(name) == service
+            and idle[-1].is_usable
         )
         return frozenset(islice(free_runners, MAX_CONNECTED_RUNNERS))
 
@@ -89,7 +91,7 @@
 
         A connection on which nothing was sent returns to its pool.
         """
-        if channel.usable:
+        if channel.is_usable:
             self._idle[runner.incarnation].append(channel)
         else:
             self._abort(runner.incarnation, channel)
--- a/bramleybend/direct/feed.py
+++ b/bramleybend/direct/feed.py
@@ -44,10 +44,10 @@
 class FeedSource(Protocol):
     """A source from which logs can be read."""
 
-    async def newest(self, name: str) -> Result[Page, Problem]:
+    async def fetch_newest(self, name: str) -> Result[Page, Problem]:
         """Return the newest record of each key."""
 
-    async def changes(
+    async def fetch_changes(
         self, name: str, start: int, wait_s: float
     ) -> Result[Page, Problem]:
         """Return the records from an offset on.
@@ -234,8 +234,10 @@
         self, source: FeedSource, wait_s: float
     ) -> Result[Page, Problem]:
         if self.copy.end is None:
-            return await source.newest(self.settings.name)
-        return await source.changes(self.settings.name, self.copy.end, wait_s)
+            return await source.fetch_newest(self.settings.name)
+        return await source.fetch_changes(
+            self.settings.name, self.copy.end, wait_s
+        )
 
     def _apply_page(self, page: Page, confirmed_at: float) -> None:
         if self.copy.end is not None and page.end < self.copy.end:
--- a/bramleybend/direct/ingress.py
+++ b/bramleybend/direct/ingress.py
@@ -87,9 +87,9 @@
         """Whether no request is being received or served."""
         return not self._has_request and not self.http.trailing_data[0]
 
-    def check_received(self) -> None:
+    def check_received_bytes(self) -> None:
         """Raise if the received bytes of this request are mostly no content."""
-        self._meter.note_received(self.received)
+        self._meter.check_framing(self.received_bytes)
 
     def closes_after_answer(self, is_requested: bool) -> bool:
         """Return whether the connection closes after the current answer."""
@@ -209,7 +209,7 @@
             return True
         try:
             async with asyncio.timeout(self._limits.idle_timeout_s):
-                await self.more_data()
+                await self.wait_for_data()
         except TimeoutError:
             return False
         return True
@@ -233,11 +233,14 @@
         """Read and discard input for a moment before the connection closes."""
         # If a connection is closed with unread input, the kernel resets it, and
         # the caller sees a reset instead of the answer that states the reason.
-        self.discarding = True
+        self.is_discarding = True
         try:
             async with asyncio.timeout(DISCARD_INPUT_S):
-                while self.broken is None and not self.transport.is_closing():
-                    await self.more_data()
+                while (
+                    self.connection_error is None
+                    and not self.transport.is_closing()
+                ):
+                    await self.wait_for_data()
         except (TimeoutError, OSError):
             return
 
@@ -248,7 +251,7 @@
             return False
         self.http.start_next_cycle()
         self._meter = MessageMeter(REQUEST_BOUNDS)
-        self.received = len(self.http.trailing_data[0])
+        self.received_bytes = len(self.http.trailing_data[0])
         return True
 
 
--- a/bramleybend/gateway/caller_connection.py
+++ b/bramleybend/gateway/caller_connection.py
@@ -182,7 +182,7 @@
                     status_code=100, headers=[]
                 )
                 self._writer.write(self._http.send(continue_response) or b'')
-            self._meter.note_received(self._received_bytes)
+            self._meter.check_framing(self._received_bytes)
             received = await self._reader.read(READ_SIZE)
             self._received_bytes += len(received)
             self._http.receive_data(received)
--- a/bramleybend/platform/snapshot_store.py
+++ b/bramleybend/platform/snapshot_store.py
@@ -47,11 +47,11 @@
             )
             return Err(problem)
         self._deleted.discard(name)
-        return await self._store.put(SNAPSHOT_TOPIC, name, content)
+        return await self._store.append_record(SNAPSHOT_TOPIC, name, content)
 
     async def load(self, name: str) -> Result[Page | None, Problem]:
         """Return the snapshot of a log; `None` if there is none."""
-        response = await self._store.newest(SNAPSHOT_TOPIC)
+        response = await self._store.fetch_newest(SNAPSHOT_TOPIC)
         if isinstance(response, Err):
             return response
         for record in response.ok_value.records:
@@ -68,7 +68,7 @@
         """
         if name in self._deleted:
             return
-        deletion = await self._store.put(SNAPSHOT_TOPIC, name, b'')
+        deletion = await self._store.append_record(SNAPSHOT_TOPIC, name, b'')
         if deletion.is_ok():
             self._deleted.add(name)
 
--- a/bramleybend/platform/store_client.py
+++ b/bramleybend/platform/store_client.py
@@ -96,7 +96,7 @@
         self._idle_channels: list[Channel] = []
         self.call_count = 0
 
-    async def newest(self, topic: str) -> Result[Page, Problem]:
+    async def fetch_newest(self, topic: str) -> Result[Page, Problem]:
         """Return the newest record of each key.
 
         The store may change between two of its pages, so the result's `end`
@@ -119,7 +119,7 @@
         records = tuple(_make_record(item) for item in items)
         return Ok(Page(records, first_result.ok_value.end, is_snapshot=True))
 
-    async def changes(
+    async def fetch_changes(
         self,
         topic: str,
         start: int,
@@ -138,13 +138,13 @@
             return response
         status, body = response.ok_value
         if status == HTTPStatus.GONE:
-            return await self.newest(topic)
+            return await self.fetch_newest(topic)
         try:
             return Ok(unpack_page(body, start))
         except UNPACK_ERRORS as exc:
             return Err(_decode_problem(exc))
 
-    async def put(
+    async def append_record(
         self, topic: str, key: str, content: bytes
     ) -> Result[None, Problem]:
         """Append a record; after an error, it may have been appended."""
@@ -217,15 +217,15 @@
         read_timeout: asyncio.Timeout,
     ) -> tuple[ResponseHead, bytes]:
         await channel.send(outgoing)
-        head = await channel.head()
+        head = await channel.read_head()
         body_deadline = _loop_time() + self._body_timeout_s
         on_growth = partial(_extend_timeout, read_timeout, body_deadline)
-        return head, await channel.body(MAX_INFLATED_BYTES, on_growth)
+        return head, await channel.read_body(MAX_INFLATED_BYTES, on_growth)
 
     async def _acquire_channel(self) -> Channel:
         while self._idle_channels:
             channel = self._idle_channels.pop()
-            if channel.usable:
+            if channel.is_usable:
                 return channel
             channel.abort()
         return await connect(
--- a/tests/direct/test_attempt.py
+++ b/tests/direct/test_attempt.py
@@ -33,7 +33,7 @@
     async def acquire(self, runner: RunnerEntry) -> Channel:
         """Return a connection after a delay."""
         await asyncio.sleep(OPENING_S)
-        return cast(Channel, Mock(usable=True))
+        return cast(Channel, Mock(is_usable=True))
 
     def drop(self, runner: RunnerEntry, channel: Channel) -> None:
         """Record that a connection was returned."""
--- a/tests/direct/test_endless_answers.py
+++ b/tests/direct/test_endless_answers.py
@@ -81,8 +81,8 @@
 async def read_events(channel: Channel) -> None:
     """Read a stream the way an attempt does."""
     splitter = EventSplitter()
-    await channel.head()
-    async for part in channel.chunks():
+    await channel.read_head()
+    async for part in channel.iter_body():
         splitter.feed(part)
 
 
@@ -98,7 +98,7 @@
     async with fed_channel(start, repeated) as channel:
         with pytest.raises((MessageTooLongError, h11.RemoteProtocolError)):
             await read_events(channel)
-        assert channel.received <= DEFAULT_MESSAGE_BYTES + 2 * READ
+        assert channel.received_bytes <= DEFAULT_MESSAGE_BYTES + 2 * READ
     assert thread_time() - before <= PROCESSOR_S
 
 
@@ -111,7 +111,7 @@
     async with fed_channel(start, repeated) as channel:
         with pytest.raises((MessageTooLongError, h11.RemoteProtocolError)):
             await read_events(channel)
-        assert channel.received <= DEFAULT_FILLER_BYTES + 3 * READ
+        assert channel.received_bytes <= DEFAULT_FILLER_BYTES + 3 * READ
 
 
 async def test_the_cost_of_a_stream_is_linear_in_its_bytes() -> None:
--- a/tests/direct/test_feeds.py
+++ b/tests/direct/test_feeds.py
@@ -184,13 +184,13 @@
     for number in range(5):
         store.put('t', f'k{number}', number)
     client = StoreClient('127.0.0.1', store.server.port, SystemClock())
-    whole = (await client.newest('t')).unwrap()
+    whole = (await client.fetch_newest('t')).unwrap()
     assert [one.key for one in whole.records] == [
         f'k{number}' for number in range(5)
     ]
     assert whole.end == 5
     store.topic('t').first = 3
-    assert (await client.changes('t', 1, 0)).unwrap().is_snapshot
+    assert (await client.fetch_changes('t', 1, 0)).unwrap().is_snapshot
     client.close()
     await store.server.stop()
 
@@ -204,13 +204,13 @@
     store = PlatformStore('127.0.0.1')
     await store.server.start()
     client = StoreClient('127.0.0.1', store.server.port, SystemClock())
-    (await client.newest('t')).unwrap()
+    (await client.fetch_newest('t')).unwrap()
     store.silent = True
-    refused = await client.newest('t')
+    refused = await client.fetch_newest('t')
     assert isinstance(refused, Err)
     assert 'stays in force' in str(refused.err_value)
     store.silent = False
-    (await client.newest('t')).unwrap()
+    (await client.fetch_newest('t')).unwrap()
     client.close()
     await store.server.stop()
 
@@ -230,11 +230,11 @@
 class _IdleSource:
     """A log without records, whose reads last for their whole wait."""
 
-    async def newest(self, name: str) -> Result[Page, Problem]:
+    async def fetch_newest(self, name: str) -> Result[Page, Problem]:
         """Return an empty page."""
         return Ok(page(whole=True))
 
-    async def changes(
+    async def fetch_changes(
         self, name: str, start: int, wait_s: float
     ) -> Result[Page, Problem]:
         """Return no records after the wait."""
--- a/tests/failures/test_large_manifest.py
+++ b/tests/failures/test_large_manifest.py
@@ -220,7 +220,7 @@
     async with store_over(Link(THIN_LINK / 2)) as (store, relay):
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, large_manifest(2, added=3000))
         client = StoreClient(relay.host, relay.port, SystemClock())
-        page = await client.newest(MANIFEST_TOPIC)
+        page = await client.fetch_newest(MANIFEST_TOPIC)
         client.close()
     assert page.is_ok(), page
     assert page.unwrap().size > 2 * THIN_LINK / 2
@@ -236,7 +236,7 @@
     async with store_over(Link(THIN_LINK / 2)) as (store, relay):
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, large_manifest(2, added=3000))
         client = StoreClient(relay.host, relay.port, clock)
-        reading = asyncio.create_task(client.newest(MANIFEST_TOPIC))
+        reading = asyncio.create_task(client.fetch_newest(MANIFEST_TOPIC))
         await asyncio.sleep(0.4)
         relay.cut(Cut.BOTH)
         cut_at = clock.monotonic()
