--- a/bramleybend/direct/attempt.py
+++ b/bramleybend/direct/attempt.py
@@ -9,7 +9,7 @@
 
 import h11
 
-from bramleybend.clients.channel import Channel, Head, Outgoing
+from bramleybend.clients.channel import Channel, OutgoingRequest, ResponseHead
 from bramleybend.clients.framing import Framing
 from bramleybend.direct.channels import RunnerChannels
 from bramleybend.direct.header_codec import HeaderCodec
@@ -61,7 +61,7 @@
 class WholeAnswer:
     """A complete answer of a runner."""
 
-    head: Head
+    head: ResponseHead
     body: bytes
 
 
@@ -94,14 +94,14 @@
     @property
     def cause_of_end(self) -> FailureCause:
         """Return the failure cause if the answer ends at this point."""
-        has_ended = self._channel is not None and self._channel.peer_ended
+        has_ended = self._channel is not None and self._channel.has_peer_ended
         return (
             FailureCause.CONNECTION_CLOSED if has_ended else FailureCause.NONE
         )
 
     async def send(
-        self, make_outgoing: Callable[[], Outgoing], send_by: float
-    ) -> Head | Failure:
+        self, make_outgoing: Callable[[], OutgoingRequest], send_by: float
+    ) -> ResponseHead | Failure:
         """Send the request and read the head of its answer.
 
         Nothing is sent at or after `send_by`, in monotonic seconds.
@@ -122,11 +122,11 @@
         self._record_limit(head, sent_at)
         return await self._check_head(head)
 
-    async def read_whole(self, head: Head) -> WholeAnswer | Failure:
+    async def read_whole(self, head: ResponseHead) -> WholeAnswer | Failure:
         """Read the whole body and release the runner's connection."""
         assert self._channel is not None
         try:
-            body = await self._channel.body(
+            body = await self._channel.read_body(
                 self._channels.bounds.message_bytes, self._memory.resize
             )
         except CONNECTION_ERRORS as exc:
@@ -136,7 +136,9 @@
         self.release_connection()
         return WholeAnswer(head, body)
 
-    async def read_events(self, head: Head) -> AsyncGenerator[Event, None]:
+    async def read_events(
+        self, head: ResponseHead
+    ) -> AsyncGenerator[Event, None]:
         """Yield complete events.
 
         Raises `BrokenStreamError` if the stream is incomplete. A runner that
@@ -146,7 +148,7 @@
         assert self._channel is not None
         splitter = EventSplitter(self._channels.bounds)
         try:
-            async for chunk in self._channel.chunks():
+            async for chunk in self._channel.iter_body():
                 read_events = splitter.feed(chunk)
                 self._memory.resize(splitter.remainder_bytes)
                 for event in read_events:
@@ -176,16 +178,16 @@
         """Return an open connection, after pending events were processed."""
         self._channel = await self._channels.acquire(self.runner)
         await _run_pending_callbacks()
-        if not self._channel.usable:
+        if not self._channel.is_usable:
             self.drop_connection()
             self._channel = await self._channels.acquire(self.runner)
         return self._channel
 
-    async def _send(self, channel: Channel, outgoing: Outgoing) -> None:
+    async def _send(self, channel: Channel, outgoing: OutgoingRequest) -> None:
         self.is_sent = True
         await channel.send(outgoing)
 
-    async def _read_own_head(self, channel: Channel) -> Head:
+    async def _read_own_head(self, channel: Channel) -> ResponseHead:
         """Read the head of the answer to this request.
 
         A runner's late or duplicate answer to an earlier request arrives where
@@ -193,21 +195,21 @@
         the attempt id, which identifies such an answer; it is skipped.
         """
         for _ in range(MAX_FOREIGN_ANSWERS):
-            head = await channel.head()
+            head = await channel.read_head()
             answered_id = self._header_codec.answer_facts(head).attempt_id
             if answered_id == self._attempt_id or not answered_id:
                 return head
-            await channel.body(MAX_DISCARDED_BYTES)
-            channel.expect_another()
+            await channel.read_body(MAX_DISCARDED_BYTES)
+            channel.prepare_next_response()
         raise EOFError('the runner answers other requests in place of ours')
 
-    def _record_limit(self, head: Head, sent_at: float) -> None:
+    def _record_limit(self, head: ResponseHead, sent_at: float) -> None:
         facts = self._header_codec.answer_facts(head)
         if facts.attempt_id == self._attempt_id and facts.limit is not None:
             runner = self.runner.incarnation
-            self._limits.answered(runner, facts.limit, sent_at)
+            self._limits.update_from_answer(runner, facts.limit, sent_at)
 
-    async def _check_head(self, head: Head) -> Head | Failure:
+    async def _check_head(self, head: ResponseHead) -> ResponseHead | Failure:
         facts = self._header_codec.answer_facts(head)
         if facts.not_run:
             await self._discard_body()
@@ -233,7 +235,7 @@
         assert self._channel is not None
         try:
             async with asyncio.timeout(DISCARD_TIMEOUT_S):
-                await self._channel.body(MAX_DISCARDED_BYTES)
+                await self._channel.read_body(MAX_DISCARDED_BYTES)
         except CONNECTION_ERRORS:
             # The head already told that the request was not run.
             self.drop_connection()
@@ -252,7 +254,7 @@
         return Failure(RunStatus.MAY_HAVE_RUN, reason, sign)
 
 
-def _check_stream_end(head: Head, splitter: EventSplitter) -> None:
+def _check_stream_end(head: ResponseHead, splitter: EventSplitter) -> None:
     """Raise `BrokenStreamError` if the stream ended incomplete."""
     if splitter.cut_bytes:
         raise BrokenStreamError('it ended inside an event')
--- a/bramleybend/direct/process.py
+++ b/bramleybend/direct/process.py
@@ -9,17 +9,17 @@
 from result import Err, Ok
 
 from bramleybend.clock import Clock
-from bramleybend.decisions.allotments import make_allotment_book
-from bramleybend.decisions.resends import ResendBudget, ResendTerms
+from bramleybend.decisions.allotments import make_allotment_ledger
+from bramleybend.decisions.resends import ResendBudget, ResendLimits
 from bramleybend.direct.admission import AdmissionControl
-from bramleybend.direct.book import Book
+from bramleybend.direct.catalog import Catalog
 from bramleybend.direct.channels import RunnerChannels
 from bramleybend.direct.containment import Containment
 from bramleybend.direct.feed import Feed
 from bramleybend.direct.header_codec import HeaderCodec
 from bramleybend.direct.ingress import Ingress
 from bramleybend.direct.job import Components
-from bramleybend.direct.members import Members, Self
+from bramleybend.direct.members import Members, OwnVm
 from bramleybend.direct.meters import Meters
 from bramleybend.direct.models import IngressLimits, RunnerEntry
 from bramleybend.direct.peer_message_handler import (
@@ -27,7 +27,7 @@
     SharedTables,
 )
 from bramleybend.direct.peers import Peers
-from bramleybend.direct.placing import Placer
+from bramleybend.direct.placement import Placer
 from bramleybend.direct.queues import make_queues
 from bramleybend.direct.request_handler import RequestHandler
 from bramleybend.direct.suspension import WatchedSleep
@@ -69,10 +69,10 @@
         self._clock = clock
         self.identity = make_identity(cfg.vm, cfg.domain, cfg.address)
         self.events = EventLog(cfg.vm, self.identity.incarnation, clock, kept=0)
-        self.book = Book(clock, self.events)
+        self.catalog = Catalog(clock, self.events)
         self.meters = Meters(self._gauges())
         self.members = Members(
-            Self(
+            OwnVm(
                 cfg.vm,
                 self.identity.incarnation,
                 cfg.address,
@@ -81,14 +81,14 @@
                 cfg.capacity(),
             )
         )
-        self._allotments = make_allotment_book(
+        self._allotments = make_allotment_ledger(
             cfg.allotment_tolerance(),
             clock.monotonic(),
             is_first_start=cfg.first_start,
         )
         self._containment = Containment(clock, self.events)
         self._queues = make_queues(
-            self.book,
+            self.catalog,
             self.members,
             clock,
             self.events,
@@ -96,7 +96,7 @@
             cfg.overload(),
         )
         self.placer = Placer(
-            self.book, self.members, self._queues, clock, self.events
+            self.catalog, self.members, self._queues, clock, self.events
         )
         self.placer.may_own = self._may_own
         self._channels = RunnerChannels(
@@ -115,7 +115,7 @@
         )
         self.peers = Peers(
             self.members,
-            self._queues.engines,
+            self._queues.engine_services,
             self._message_handler,
             cfg.peer_port,
             clock,
@@ -136,18 +136,18 @@
         self.stop_requested = asyncio.Event()
         self.is_leaving = False
         self.on_sweep: Callable[[], None] = _ignore_sweep
-        self.book.add_listener(self._book_changed)
+        self.catalog.add_listener(self._catalog_changed)
 
     def is_ready(self) -> bool:
         """Return whether this VM accepts callers."""
-        return self.book.is_complete and not self.is_leaving
+        return self.catalog.is_complete and not self.is_leaving
 
     def front_addresses(self) -> list[str]:
         """Return the addresses of all VMs that accept callers now."""
         others = self.members.serving(self._clock.monotonic())
-        addresses = [member.front for member in others]
+        addresses = [member.caller_endpoint for member in others]
         if self.is_ready():
-            addresses.append(self.members.own.front)
+            addresses.append(self.members.own.caller_endpoint)
         return sorted(addresses)
 
     async def start(self) -> None:
@@ -161,7 +161,7 @@
 
     def follow_feed(self, feed: Feed) -> None:
         """Follow a log of the platform and report progress to other VMs."""
-        feed.store_schedule.ranks_first = self.members.ranks_first
+        feed.store_schedule.is_among_first = self.members.is_among_first
         self._message_handler.feeds.append(feed)
         self.spawn(feed.run())
 
@@ -187,7 +187,7 @@
         self.events.record('stopping', in_flight=self.ingress.busy_count)
         self.is_leaving = True
         self.ingress.is_draining = True
-        self.peers.beat()
+        self.peers.send_round()
         await asyncio.sleep(ACCEPT_CONNECTIONS_S)
         self.ingress.stop_listening()
         await asyncio.sleep(max(ACCEPT_REQUESTS_S - ACCEPT_CONNECTIONS_S, 0))
@@ -221,9 +221,9 @@
         self, header_codec: HeaderCodec, rng: Random
     ) -> Components:
         return Components(
-            self.book,
+            self.catalog,
             AdmissionControl(
-                self.book,
+                self.catalog,
                 self.members,
                 self._allotments,
                 self._queues,
@@ -236,7 +236,7 @@
             self._channels,
             header_codec,
             ResendBudget(
-                ResendTerms(
+                ResendLimits(
                     self._cfg.resend_ratio,
                     self._cfg.resend_extra,
                     self._cfg.resend_window_s,
@@ -251,28 +251,30 @@
 
     def _gauges(self) -> dict[str, Callable[[], float]]:
         return {
-            'manifest_age_seconds': self.book.manifest_age_s,
-            'manifest_version': self.book.manifest_version,
-            'runners': lambda: sum(map(len, self.book.runners.values())),
+            'manifest_age_seconds': self.catalog.manifest_age_s,
+            'manifest_version': self.catalog.manifest_version,
+            'runners': lambda: sum(
+                map(len, self.catalog.runners_by_service.values())
+            ),
             'peers_alive': lambda: len(
                 self.members.alive(self._clock.monotonic())
             ),
             'in_flight': lambda: self.ingress.busy_count,
-            'peer_messages': lambda: self.peers.sent.messages,
-            'peer_bytes': lambda: self.peers.sent.size,
+            'peer_messages': lambda: self.peers.traffic.sent_messages,
+            'peer_bytes': lambda: self.peers.traffic.sent_bytes,
         }
 
     def _ingress_limits(self) -> IngressLimits:
-        manifest = self.book.manifest
+        manifest = self.catalog.manifest
         return manifest.limits if manifest else IngressLimits()
 
     def _tokens_per_event(self, service: str) -> int:
-        manifest = self.book.manifest
+        manifest = self.catalog.manifest
         facts = manifest.services.get(service) if manifest else None
         return facts.event_tokens if facts else 1
 
     def _max_connections(self, runner: RunnerEntry) -> float:
-        manifest = self.book.manifest
+        manifest = self.catalog.manifest
         facts = manifest.services.get(runner.service) if manifest else None
         max_total = facts.max_connections if facts else 1
         return max(max_total * CONNECTION_SHARE / self.members.count(), 1)
@@ -283,15 +285,15 @@
     def _readiness(self) -> tuple[bool, bool]:
         return self.is_ready(), self.is_leaving
 
-    def _book_changed(self) -> None:
-        self._queues.take_runners()
+    def _catalog_changed(self) -> None:
+        self._queues.update_runners()
         incarnations = {
             entry.incarnation
-            for entries in self.book.runners.values()
+            for entries in self.catalog.runners_by_service.values()
             for entry in entries
         }
         self._channels.close_all_except(incarnations)
-        self._queues.limits.keep_only(incarnations)
+        self._queues.limits.retain_only(incarnations)
 
     async def _sweep_queues(self) -> None:
         loop = asyncio.get_running_loop()
@@ -301,8 +303,8 @@
                 for feed in self._message_handler.feeds:
                     feed.wake()
             for _, queue in self._queues:
-                queue.sweep()
-            self._queues.take_limits()
+                queue.drop_expired()
+            self._queues.update_rate_limits()
             self.on_sweep()
 
 
--- a/bramleybend/direct/queue_log.py
+++ b/bramleybend/direct/queue_log.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Final
 
-from bramleybend.direct.owner import ServiceQueue
+from bramleybend.direct.service_queue import ServiceQueue
 from bramleybend.events import MILLISECONDS, EventLog
 
 INTERVAL_S: Final = 1.0
@@ -43,10 +43,10 @@
                     'queue',
                     service=service,
                     waiting=_format_by_tier(backlog.waiting),
-                    oldest_ms=int(backlog.oldest_s * MILLISECONDS),
+                    oldest_ms=int(backlog.oldest_wait_s * MILLISECONDS),
                     running=backlog.running,
                     slots=backlog.slots,
-                    open_runners=backlog.open_runners,
+                    open_runners=backlog.free_runners,
                     asked=counts['asked'],
                     repeated=counts['repeated'],
                     granted=counts['granted'],
--- a/bramleybend/direct/owner.py
+++ b/bramleybend/direct/service_queue.py
@@ -22,12 +22,12 @@
     RunnerInfo,
     RunReport,
 )
-from bramleybend.decisions.overload import UNBOUNDED, Overload
-from bramleybend.decisions.owner import ShardPolicy, make_shard_policy
-from bramleybend.decisions.switches import Switches
-from bramleybend.direct.beat_messages import RunNews
+from bramleybend.decisions.overload import UNBOUNDED, OverloadBounds
+from bramleybend.decisions.shard_policy import ShardPolicy, make_shard_policy
+from bramleybend.decisions.switches import PolicySwitches
+from bramleybend.direct.heartbeat_messages import ReportedRun
 from bramleybend.direct.models import RunnerEntry, RunnerState
-from bramleybend.models import Ask, Service, ServiceKind, Tier
+from bramleybend.models import Service, ServiceKind, SlotRequest, Tier
 
 OnDecision: TypeAlias = Callable[[Grant | Refuse], None]
 OnQueued: TypeAlias = Callable[[], None]
@@ -35,7 +35,7 @@
 # A granted run that no heartbeat of its VM has reported after this time has
 # ended, and the message about its end was lost. VMs report their runs to
 # owners at least in every third heartbeat (0.6 s); one of these may be lost.
-UNCONFIRMED_S: Final = 1.3
+UNCONFIRMED_RUN_TTL_S: Final = 1.3
 # A VM stops reporting its runs to this VM when it no longer regards this VM
 # as an owner or the successor of one. If its last report stayed in force,
 # runs that ended long ago would occupy slots once this VM becomes the owner.
@@ -53,7 +53,7 @@
 # of a stopped stream can't be given another answer. Requests are not held back
 # for a better runner: raw HTTP requests name no prompt prefixes, so waiting
 # for a runner that has the prefix cached would save no work.
-SWITCHES: Final = Switches(
+SWITCHES: Final = PolicySwitches(
     preemption=False, limits=False, floor_at_refusal=False, holding=False
 )
 # A plain service has no owner: every VM dispatches its own requests to it.
@@ -64,7 +64,11 @@
     """Feeds events to one service's policy and reports its decisions."""
 
     def __init__(
-        self, service: Service, clock: Clock, rng: Random, overload: Overload
+        self,
+        service: Service,
+        clock: Clock,
+        rng: Random,
+        overload: OverloadBounds,
     ) -> None:
         """Start without requests, runs and runners."""
         self._clock = clock
@@ -91,9 +95,9 @@
         # Slot requests and decisions; `QueueLog` clears them every second.
         self.counts: Counter[str] = Counter()
 
-    def ask(
+    def request_slot(
         self,
-        ask: Ask,
+        ask: SlotRequest,
         on_decision: OnDecision,
         on_queued: OnQueued | None = None,
     ) -> None:
@@ -109,20 +113,20 @@
         self._requested_at[ask.request_id] = now
         if on_queued is not None:
             self._on_queued[ask.request_id] = on_queued
-        self._apply(self._policy.ask(ask, now))
+        self._apply(self._policy.request_slot(ask, now))
         if self._decide_handle is None:
             self._report_queued()
 
     def is_idle(self) -> bool:
         """Tell whether no request waits and load is below `IDLE_MAX_LOAD`."""
-        if self._policy.is_undecided:
+        if self._policy.has_pending_events:
             self._decide()
         load = self._policy.load()
         return not load.waiting and load.running < load.limit * IDLE_MAX_LOAD
 
     def backlog(self) -> Backlog | None:
         """Return the backlog, or `None` if no request waits."""
-        if self._policy.is_undecided:
+        if self._policy.has_pending_events:
             self._decide()
         return self._policy.backlog(self._clock.monotonic())
 
@@ -132,12 +136,12 @@
         self._clear_times(request_id)
         self._apply(self._policy.withdraw(request_id, self._clock.monotonic()))
 
-    def note_remote_grant(self, ask: Ask, runner: str) -> None:
+    def note_remote_grant(self, ask: SlotRequest, runner: str) -> None:
         """Add a run of this VM that another VM's queue granted."""
         now = self._clock.monotonic()
-        self._apply(self._policy.witness(ask, runner, now))
+        self._apply(self._policy.record_run(ask, runner, now))
 
-    def began(self, request_id: str) -> None:
+    def confirm_started(self, request_id: str) -> None:
         """Confirm that a request of this VM uses its grant.
 
         VMs send no heartbeats to themselves, so nothing else confirms the
@@ -149,15 +153,17 @@
     def note_first_token(self, request_id: str, prompt_tokens: int) -> None:
         """Tell the policy that a run has returned its first token."""
         now = self._clock.monotonic()
-        self._apply(self._policy.first_token(request_id, prompt_tokens, 0, now))
+        self._apply(
+            self._policy.record_first_token(request_id, prompt_tokens, 0, now)
+        )
 
-    def ended(self, request_id: str, report: RunReport) -> None:
+    def release(self, request_id: str, report: RunReport) -> None:
         """Free the run's slot."""
         self._clear_times(request_id)
         now = self._clock.monotonic()
-        self._apply(self._policy.ended(request_id, report, now))
+        self._apply(self._policy.end_run(request_id, report, now))
 
-    def take_runners(
+    def update_runners(
         self, entries: Sequence[RunnerEntry], *, warm: bool
     ) -> None:
         """Replace the list of the service's runners.
@@ -177,13 +183,17 @@
         # the same order, those that reach no owner would all start with the
         # same runner.
         self._rng.shuffle(infos)
-        self._apply(self._policy.runners(infos, self._clock.monotonic()))
+        self._apply(self._policy.update_runners(infos, self._clock.monotonic()))
 
     def update_rate_limits(self, per_s: Mapping[str, float]) -> None:
         """Replace the limits, by runner; a runner not named has none."""
-        self._apply(self._policy.start_rates(per_s, self._clock.monotonic()))
+        self._apply(
+            self._policy.update_start_rates(per_s, self._clock.monotonic())
+        )
 
-    def heard_runs(self, vm: str, runs: Iterable[RunNews]) -> None:
+    def update_reported_runs(
+        self, vm: str, runs: Iterable[ReportedRun]
+    ) -> None:
         """Replace the runs that a VM reports for this service."""
         now = self._clock.monotonic()
         current = {run.request_id: run for run in runs}
@@ -205,7 +215,7 @@
         self._reported_runs[vm] = frozenset(current)
         self._reported_at[vm] = now
 
-    def sweep(self) -> None:
+    def drop_expired(self) -> None:
         """Drop requests, grants and runs that their VM stopped confirming."""
         now = self._clock.monotonic()
         expired = [
@@ -216,13 +226,13 @@
         expired.extend(
             request_id
             for request_id, at in self._granted_at.items()
-            if now - at > UNCONFIRMED_S
+            if now - at > UNCONFIRMED_RUN_TTL_S
         )
         for request_id in expired:
             self.withdraw(request_id)
         for vm, at in tuple(self._reported_at.items()):
             if now - at > REPORTED_RUNS_TTL_S and self._reported_runs[vm]:
-                self.heard_runs(vm, ())
+                self.update_reported_runs(vm, ())
 
     def _clear_times(self, request_id: str) -> None:
         self._requested_at.pop(request_id, None)
@@ -230,7 +240,7 @@
 
     def _apply(self, actions: Sequence[Action]) -> None:
         self._report_decisions(actions)
-        if self._policy.is_undecided and self._decide_handle is None:
+        if self._policy.has_pending_events and self._decide_handle is None:
             loop = asyncio.get_running_loop()
             self._decide_handle = loop.call_soon(self._decide)
 
@@ -279,9 +289,9 @@
             )
 
 
-def slot_request_of(run: RunNews, now: float) -> Ask:
+def slot_request_of(run: ReportedRun, now: float) -> SlotRequest:
     """Rebuild the slot request of a run that another VM reported."""
-    return Ask(
+    return SlotRequest(
         run.request_id,
         run.service,
         Tier(run.tier),
@@ -300,13 +310,13 @@
     is_engine: bool,
     clock: Clock,
     rng: Random,
-    overload: Overload = UNBOUNDED,
+    overload: OverloadBounds = UNBOUNDED,
 ) -> ServiceQueue:
     """Make the queue of a service whose runners declare their slots."""
     kind = ServiceKind.ENGINE if is_engine else ServiceKind.PLAIN
     return ServiceQueue(Service(name, kind, slots=1), clock, rng, overload)
 
 
-def exclude_runner(ask: Ask, runner: str) -> Ask:
+def exclude_runner(ask: SlotRequest, runner: str) -> SlotRequest:
     """Return a copy of a slot request that this runner can't be granted."""
     return replace(ask, excluded=ask.excluded | {runner})
--- a/bramleybend/entry_settings.py
+++ b/bramleybend/entry_settings.py
@@ -4,13 +4,13 @@
 from typing import Final
 
 from bramleybend.clients.message_bounds import (
-    ANSWER_BYTES,
-    EVENT_BYTES,
-    FILLER_BYTES,
+    DEFAULT_EVENT_BYTES,
+    DEFAULT_FILLER_BYTES,
+    DEFAULT_MESSAGE_BYTES,
     MessageBounds,
 )
 from bramleybend.decisions.allotments import Tolerance
-from bramleybend.decisions.overload import Overload
+from bramleybend.decisions.overload import OverloadBounds
 from bramleybend.direct.answer_memory import AnswerMemory
 from bramleybend.entry_setting_parsers import (
     parse_bool,
@@ -194,7 +194,7 @@
         ),
     )
     answer_bytes: int = field(
-        default=ANSWER_BYTES,
+        default=DEFAULT_MESSAGE_BYTES,
         metadata=setting_metadata(
             parse_positive_int,
             'bytes of a runner that are read of one answer at most; each '
@@ -203,7 +203,7 @@
         ),
     )
     event_bytes: int = field(
-        default=EVENT_BYTES,
+        default=DEFAULT_EVENT_BYTES,
         metadata=setting_metadata(
             parse_positive_int,
             'bytes that one event of a stream may have',
@@ -211,7 +211,7 @@
         ),
     )
     filler_bytes: int = field(
-        default=FILLER_BYTES,
+        default=DEFAULT_FILLER_BYTES,
         metadata=setting_metadata(
             parse_positive_int,
             'bytes of an answer that may carry nothing (informational heads, '
@@ -295,9 +295,9 @@
             self.allotment_slack,
         )
 
-    def overload(self) -> Overload:
+    def overload(self) -> OverloadBounds:
         """Return the settings that apply under overload."""
-        return Overload(self.min_tier_share, self.standing_queue_s)
+        return OverloadBounds(self.min_tier_share, self.standing_queue_s)
 
     def answer_bounds(self) -> MessageBounds:
         """Return the limits on the bytes read of one answer."""
--- a/bramleybend/gateway/slot_search.py
+++ b/bramleybend/gateway/slot_search.py
@@ -8,8 +8,8 @@
 from result import Err, Ok
 
 from bramleybend.answers import Answer, answer_not_run, answer_quarantined
-from bramleybend.decisions.floor import grant_usable
 from bramleybend.decisions.routing import rank_shards
+from bramleybend.decisions.tier_floor import is_grant_usable
 from bramleybend.errors import Problem
 from bramleybend.events import MILLISECONDS
 from bramleybend.gateway.ask import make_ask_message
@@ -18,7 +18,7 @@
 from bramleybend.gateway.shard_race import AskResult, ShardRace
 from bramleybend.gateway.slot import Slot
 from bramleybend.metrics import Metric
-from bramleybend.models import Ask, Tier
+from bramleybend.models import SlotRequest, Tier
 from bramleybend.wire.bramleybend_pb2 import AskMessage, Ended, Refused
 
 RETRY_AFTER: Final = timedelta(seconds=1)
@@ -93,7 +93,7 @@
         """Return whether the shard's owner gave the grant; else release it."""
         # The highest tier is never below a floor, so a grant of any VM is
         # valid for it: bookings don't wait for a change of owner.
-        if job.tier is min(Tier) or grant_usable(
+        if job.tier is min(Tier) or is_grant_usable(
             granted_by=slot.owner_incarnation,
             owner=self._deps.slot_client.owner_incarnation(
                 slot.service, slot.shard
@@ -122,7 +122,7 @@
 
     async def _ask_shards(
         self,
-        ask: Ask,
+        ask: SlotRequest,
         excluded: list[str],
         answer_by: float,
         *,
@@ -172,7 +172,7 @@
         self._background_tasks.add(task)
         task.add_done_callback(self._background_tasks.discard)
 
-    def _remaining_s(self, ask: Ask) -> float:
+    def _remaining_s(self, ask: SlotRequest) -> float:
         return max(ask.deadline - self._deps.clock.monotonic(), 0)
 
     def _record_shed(
--- a/bramleybend/models.py
+++ b/bramleybend/models.py
@@ -141,7 +141,7 @@
 
 
 @dataclass(frozen=True)
-class Ask:
+class SlotRequest:
     """A gateway's request to an owner for a slot for one request."""
 
     request_id: str
--- a/tests/benchmarks/capacity_control.py
+++ b/tests/benchmarks/capacity_control.py
@@ -15,19 +15,19 @@
 from bramleybend.clients.http_vm_list import VmListBody
 from bramleybend.clock import SystemClock
 from bramleybend.decisions.actions import RunnerInfo, RunReport, ShardView
-from bramleybend.decisions.owner import ShardPolicy, make_shard_policy
-from bramleybend.decisions.ownership import owners_of
-from bramleybend.decisions.quarantine import CrashBook
+from bramleybend.decisions.ownership import rank_owners
+from bramleybend.decisions.quarantine import CrashRegistry
+from bramleybend.decisions.shard_policy import ShardPolicy, make_shard_policy
 from bramleybend.declarations import parse_terms
 from bramleybend.events import MAX_KEPT_EVENTS, EventLog
 from bramleybend.gateway.view import ViewFollower
 from bramleybend.identity import Identity
 from bramleybend.metrics import make_metrics
 from bramleybend.models import (
-    Ask,
     RunnerState,
     Service,
     ServiceKind,
+    SlotRequest,
     Tier,
     Vm,
 )
@@ -161,7 +161,7 @@
     for nodes in NODE_COUNTS:
         members = tuple(make_members(nodes))
         rank_times.append(
-            (nodes, _min_cpu_ms(partial(owners_of, 'model-1', 1, members))),
+            (nodes, _min_cpu_ms(partial(rank_owners, 'model-1', 1, members))),
         )
         table = asyncio.run(_make_shard_table(nodes))
         change_times.append((nodes, _min_cpu_ms(table.update, repeats=1)))
@@ -191,7 +191,7 @@
             clock,
             EventLog('scheduler', 'a', clock),
             make_metrics(None, 'a'),
-            CrashBook(),
+            CrashRegistry(),
         ),
         Random(1),
     )
@@ -312,7 +312,7 @@
     service = Service('model-1', ServiceKind.ENGINE, slots=8)
     shard = make_shard_policy(service, Random(1))
     infos = [RunnerInfo(f'runner-{index}') for index in range(runners)]
-    shard.runners(infos, -1000)
+    shard.update_runners(infos, -1000)
     now = float(0)
     running: list[str] = []
     request_count = 0
@@ -329,14 +329,14 @@
         now += 0.01
         running.extend(_ask(shard, index, now))
         request_id = running.pop(0)
-        shard.first_token(request_id, 500, 0, now)
+        shard.record_first_token(request_id, 500, 0, now)
         report = RunReport(
             'done',
             prompt_tokens=500,
             completion_tokens=200,
             seconds=6,
         )
-        ended = shard.ended(request_id, report, now)
+        ended = shard.end_run(request_id, report, now)
         running.extend(
             action.request_id for action in ended if hasattr(action, 'runner')
         )
@@ -345,7 +345,7 @@
 
 
 def _ask(shard: ShardPolicy, index: int, now: float) -> list[str]:
-    ask = Ask(
+    ask = SlotRequest(
         request_id=f'request-{index}',
         service='model-1',
         tier=Tier(index % 4 + 1),
@@ -358,7 +358,7 @@
     )
     return [
         action.request_id
-        for action in shard.ask(ask, now)
+        for action in shard.request_slot(ask, now)
         if hasattr(action, 'runner')
     ]
 
--- a/tests/benchmarks/capacity_peers.py
+++ b/tests/benchmarks/capacity_peers.py
@@ -40,11 +40,11 @@
     startup_s = network.until_all_hear_all()
     network.run(6)  # past the extra heartbeats to just started VMs
     network.reset_counts()
-    before = {vm.name: vm.peers.sent.messages for vm in network.up()}
+    before = {vm.name: vm.peers.traffic.sent_messages for vm in network.up()}
     _admit_requests(network, seconds)
     total = vm_count * seconds
     max_messages = max(
-        vm.peers.sent.messages - before[vm.name] for vm in network.up()
+        vm.peers.traffic.sent_messages - before[vm.name] for vm in network.up()
     )
     return PeerCost(
         vm_count,
--- a/tests/benchmarks/fleet.py
+++ b/tests/benchmarks/fleet.py
@@ -5,7 +5,7 @@
 from functools import partial
 from typing import Protocol
 
-from bramleybend.models import Ask
+from bramleybend.models import SlotRequest
 from tests.benchmarks.patterns import ENGINE_CLASSES, Fault, LoadPattern
 from tests.utils.queueing_fake import (
     EngineRun,
@@ -62,7 +62,7 @@
     """A request's progress through the scheduler under test."""
 
     job: Job
-    ask: Ask | None = None
+    ask: SlotRequest | None = None
     tried_engines: set[str] = field(default_factory=set)
     # After a grant, only the shard that granted.
     asked_shards: set[int] = field(default_factory=set)
--- a/tests/benchmarks/gateways.py
+++ b/tests/benchmarks/gateways.py
@@ -13,10 +13,10 @@
     RunReport,
     ShardView,
 )
-from bramleybend.decisions.owner import ShardPolicy, make_shard_policy
 from bramleybend.decisions.routing import rank_shards
-from bramleybend.decisions.switches import Switches
-from bramleybend.models import Ask, Repeat, Service, ServiceKind
+from bramleybend.decisions.shard_policy import ShardPolicy, make_shard_policy
+from bramleybend.decisions.switches import PolicySwitches
+from bramleybend.models import Repeat, Service, ServiceKind, SlotRequest
 from tests.benchmarks.fleet import Fleet, RequestState
 from tests.benchmarks.measures import Scores
 from tests.benchmarks.patterns import ENTRY_VMS, RequestProfile, estimate_cost
@@ -39,7 +39,7 @@
         scores: Scores,
         profiles: tuple[RequestProfile, ...],
         seed: int,
-        switches: Switches,
+        switches: PolicySwitches,
         affinity: bool,
     ) -> None:
         self._affinity = affinity
@@ -65,7 +65,7 @@
 
     def submit(self, request: RequestState) -> None:
         job = request.job
-        request.ask = Ask(
+        request.ask = SlotRequest(
             request_id=job.job_id,
             service='lm',
             tier=job.tier,
@@ -95,7 +95,7 @@
             NETWORK_DELAY_S,
             lambda: self._apply(
                 shard,
-                self._policies[shard].ask(ask, self._time.now),
+                self._policies[shard].request_slot(ask, self._time.now),
             ),
         )
 
@@ -209,7 +209,7 @@
         shard = next(iter(request.asked_shards))
         policy = self._policies[shard]
         job = request.job
-        actions = policy.first_token(
+        actions = policy.record_first_token(
             job.job_id,
             job.prompt,
             cached,
@@ -263,7 +263,7 @@
             NETWORK_DELAY_S,
             lambda: self._apply(
                 shard,
-                self._policies[shard].ended(job_id, report, self._time.now),
+                self._policies[shard].end_run(job_id, report, self._time.now),
             ),
         )
 
@@ -303,7 +303,9 @@
 
     def _apply_vm_list(self, shard: int, live: list[str]) -> None:
         infos = [RunnerInfo(name) for name in live]
-        self._apply(shard, self._policies[shard].runners(infos, self._time.now))
+        self._apply(
+            shard, self._policies[shard].update_runners(infos, self._time.now)
+        )
 
     def _refresh_view(self, entry: int) -> None:
         self._viewed_at[entry] = self._time.now
--- a/tests/benchmarks/patterns.py
+++ b/tests/benchmarks/patterns.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, replace
 from random import Random
 
-from bramleybend.decisions.runs import COMPLETION_COST
+from bramleybend.decisions.runs import DECODE_TOKEN_COST
 from bramleybend.models import Repeat, Tier
 from tests.utils.queueing_fake import Job, Segment
 
@@ -65,7 +65,7 @@
         return (
             document_tokens
             + own_tokens
-            + self.mean_completion_tokens() * COMPLETION_COST
+            + self.mean_completion_tokens() * DECODE_TOKEN_COST
         )
 
 
@@ -306,7 +306,7 @@
     """Estimate the work as a gateway does: prompt plus mean completion."""
     name = job.job_id.rsplit('-', 1)[0]
     profile = next(profile for profile in profiles if profile.name == name)
-    return job.prompt + profile.mean_completion_tokens() * COMPLETION_COST
+    return job.prompt + profile.mean_completion_tokens() * DECODE_TOKEN_COST
 
 
 def with_constant_load(pattern: LoadPattern, load: float) -> LoadPattern:
--- a/tests/benchmarks/report.py
+++ b/tests/benchmarks/report.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from statistics import median
 
-from bramleybend.decisions.switches import Switches
+from bramleybend.decisions.switches import PolicySwitches
 from bramleybend.models import Tier
 from tests.benchmarks.patterns import DEPLOYMENTS, PATTERNS
 from tests.benchmarks.simulation import PATTERNS_BY_NAME, SCHEDULERS, simulate
@@ -55,7 +55,7 @@
 
 
 def run_case(case: BenchmarkCase) -> CaseResult:
-    switches = Switches()
+    switches = PolicySwitches()
     if case.disabled not in {'', AFFINITY}:
         switches = replace(switches, **{case.disabled: False})
     scores = simulate(
--- a/tests/benchmarks/simulation.py
+++ b/tests/benchmarks/simulation.py
@@ -3,7 +3,7 @@
 from functools import partial
 from random import Random
 
-from bramleybend.decisions.switches import Switches
+from bramleybend.decisions.switches import PolicySwitches
 from tests.benchmarks.baselines import (
     Baseline,
     LeastOutstanding,
@@ -31,7 +31,7 @@
     profiles: tuple[RequestProfile, ...],
     pattern: LoadPattern,
     seed: int,
-    switches: Switches | None = None,
+    switches: PolicySwitches | None = None,
     *,
     affinity: bool = True,
     seconds: float = ARRIVAL_PERIOD_S,
@@ -42,7 +42,7 @@
     scores = Scores()
     scheduler_under_test: SchedulerUnderTest
     if scheduler == 'bramleybend':
-        enabled = switches or Switches()
+        enabled = switches or PolicySwitches()
         scheduler_under_test = Bramleybend(
             fleet, scores, profiles, seed, enabled, affinity
         )
--- a/tests/benchmarks/test_growth.py
+++ b/tests/benchmarks/test_growth.py
@@ -19,8 +19,8 @@
     RunReport,
     ShardView,
 )
-from bramleybend.decisions.owner import make_shard_policy
 from bramleybend.decisions.routing import rank_shards
+from bramleybend.decisions.shard_policy import make_shard_policy
 from bramleybend.models import Service, ServiceKind
 from tests.decisions.test_owner import make_ask
 
@@ -34,7 +34,9 @@
     """Return a function that ends a run and submits a new request."""
     service = Service('briefing-llm', ServiceKind.ENGINE, slots=4)
     policy = make_shard_policy(service, Random(1))
-    policy.runners([RunnerInfo(f'e{n}') for n in range(RUNNER_COUNT)], -100)
+    policy.update_runners(
+        [RunnerInfo(f'e{n}') for n in range(RUNNER_COUNT)], -100
+    )
     numbers = count()
     running: list[str] = []
 
@@ -43,7 +45,8 @@
             if isinstance(action, Grant):
                 running.append(action.request_id)
                 apply_actions(
-                    policy.first_token(action.request_id, 900, 0, now), now
+                    policy.record_first_token(action.request_id, 900, 0, now),
+                    now,
                 )
 
     def send_request(now: float) -> None:
@@ -56,11 +59,11 @@
             prefixes=(f'p{number % 40}', f'q{number % 400}'),
             deadline=1e9,
         )
-        apply_actions(policy.ask(ask, now), now)
+        apply_actions(policy.request_slot(ask, now), now)
 
     def run_cycle() -> int:
         now = 100 + next(numbers) / 1000
-        apply_actions(policy.ended(running.pop(0), DONE_REPORT, now), now)
+        apply_actions(policy.end_run(running.pop(0), DONE_REPORT, now), now)
         send_request(now)
         return len(running)
 
--- a/tests/direct/test_cluster.py
+++ b/tests/direct/test_cluster.py
@@ -3,8 +3,8 @@
 import asyncio
 from collections import Counter
 
-from bramleybend.direct.owner import UNCONFIRMED_S
-from bramleybend.platform.program import PlatformProcess
+from bramleybend.direct.service_queue import UNCONFIRMED_RUN_TTL_S
+from bramleybend.platform.platform_process import PlatformProcess
 from tests.direct.cluster import (
     ENGINE,
     PLAIN,
@@ -25,11 +25,11 @@
 
 def owner_of(cluster: Cluster, service: str) -> PlatformProcess:
     """Return the VM that owns a service's queue."""
-    now = cluster.vms[0].entry.book.now()
+    now = cluster.vms[0].entry.catalog.now()
     found = [
         vm
         for vm in cluster.vms
-        if vm.entry.members.owner(service, now, able=True) is None
+        if vm.entry.members.owner(service, now, can_own=True) is None
     ]
     assert len(found) == 1
     return found[0]
@@ -97,7 +97,7 @@
             )
             for number in range(6)
         ]
-        await asyncio.sleep(UNCONFIRMED_S * 2)
+        await asyncio.sleep(UNCONFIRMED_RUN_TTL_S * 2)
         assert len(runner.seen) == 4
         gate.set()
         assert [(await call).status for call in calls] == [200] * 6
@@ -175,12 +175,12 @@
             'keyed.servers', 'r1', runner.entry(PLAIN, 'draining')
         )
         cluster.publish(manifest(5))
-        book = cut.entry.book
+        catalog = cut.entry.catalog
         await wait_until(
             lambda: (
-                book.manifest is not None
-                and book.manifest.version == 5
-                and book.runners[PLAIN][0].state == 'leaving'
+                catalog.manifest is not None
+                and catalog.manifest.version == 5
+                and catalog.runners_by_service[PLAIN][0].state == 'leaving'
             ),
             'the news',
             limit_s=2,
@@ -227,7 +227,9 @@
         await cluster.wait_for_runners(PLAIN)
         cluster.store.topic('keyed.servers').put('r1', b'')
         await wait_until(
-            lambda: not cluster.vms[0].entry.book.runners.get(PLAIN),
+            lambda: (
+                not cluster.vms[0].entry.catalog.runners_by_service.get(PLAIN)
+            ),
             'the runner gone',
             limit_s=2,
         )
--- a/tests/failures/test_large_manifest.py
+++ b/tests/failures/test_large_manifest.py
@@ -11,18 +11,18 @@
 from typing import Final
 
 from bramleybend.clock import Clock, SystemClock
-from bramleybend.direct.beat_messages import FeedNews
-from bramleybend.direct.book import Book
+from bramleybend.direct.catalog import Catalog
 from bramleybend.direct.feed import Feed
 from bramleybend.direct.feed_copy import FeedCopy, KeyedRecord, Page
+from bramleybend.direct.heartbeat_messages import FeedStatus
 from bramleybend.direct.ingress import Ingress
-from bramleybend.direct.members import BEAT_S
+from bramleybend.direct.members import HEARTBEAT_INTERVAL_S
 from bramleybend.direct.models import IngressLimits
 from bramleybend.events import EventLog
 from bramleybend.platform.feeds import MANIFEST_FEED, ManifestApplier
 from bramleybend.platform.mirror import Mirror
-from bramleybend.platform.names import MANIFEST_KEY, MANIFEST_TOPIC
-from bramleybend.platform.store import StoreClient, make_mirror_client
+from bramleybend.platform.store_client import StoreClient, make_mirror_client
+from bramleybend.platform.wire_names import MANIFEST_KEY, MANIFEST_TOPIC
 from tests.direct.cluster import HOST, manifest, route
 from tests.utils.platform_store import PlatformStore
 from tests.utils.relay import Cut, Link, Relay
@@ -62,7 +62,7 @@
 class Follower:
     """One VM's manifest and the feed that updates it."""
 
-    book: Book
+    book: Catalog
     feed: Feed
 
     def serves_added(self) -> bool:
@@ -70,7 +70,7 @@
         current = self.book.manifest
         return (
             current is not None
-            and current.route_of(HOST, ADDED_PATH) is not None
+            and current.find_route(HOST, ADDED_PATH) is not None
         )
 
 
@@ -83,7 +83,7 @@
     send a page that it had announced.
     """
     events = EventLog(name, 'i', clock, kept=0)
-    book = Book(clock, events)
+    book = Catalog(clock, events)
     clients: dict[str, StoreClient] = {}
 
     def peer_source(address: str) -> StoreClient:
@@ -92,11 +92,11 @@
         return clients[address]
 
     feed = Feed(MANIFEST_FEED, store, peer_source, clock, events, Random(name))
-    feed.on_page = ManifestApplier(book, events).take
-    feed.copy.apply(Page((make_record(0, manifest(1)),), 1, whole=True))
-    feed.on_page(Page((make_record(0, manifest(1)),), 1, whole=True))
+    feed.on_page = ManifestApplier(book, events).apply_page
+    feed.copy.apply(Page((make_record(0, manifest(1)),), 1, is_snapshot=True))
+    feed.on_page(Page((make_record(0, manifest(1)),), 1, is_snapshot=True))
     feed.confirmed_at = clock.monotonic()
-    feed.store_schedule.ranks_first = lambda *_: False
+    feed.store_schedule.is_among_first = lambda *_: False
     return Follower(book, feed)
 
 
@@ -155,10 +155,10 @@
     """Deliver heartbeats that announce version 2, until cancelled."""
     while True:
         for number, relay in enumerate(relays):
-            news = FeedNews(MANIFEST_TOPIC, 2, 0, reads=True)
+            news = FeedStatus(MANIFEST_TOPIC, 2, 0, can_read_store=True)
             for follower in followers:
                 follower.feed.handle_news(f'hub-{number}', relay.host, news)
-        await asyncio.sleep(BEAT_S)
+        await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
 
 async def find_late_followers(
@@ -199,8 +199,8 @@
     """
     clock = SystemClock()
     copy = FeedCopy()
-    copy.apply(Page((make_record(0, manifest(1)),), 1, whole=True))
-    copy.apply(Page((make_record(1, large_manifest(2)),), 2, whole=False))
+    copy.apply(Page((make_record(0, manifest(1)),), 1, is_snapshot=True))
+    copy.apply(Page((make_record(1, large_manifest(2)),), 2, is_snapshot=False))
     store = PlatformStore('127.0.0.1')
     store.status = 503
     await store.server.start()
@@ -229,7 +229,7 @@
     async with store_behind(Link(SLOW_LINK / 2)) as (store, relay):
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, large_manifest(2, added=3000))
         client = StoreClient(relay.host, relay.port, SystemClock())
-        page = await client.newest(MANIFEST_TOPIC)
+        page = await client.fetch_newest(MANIFEST_TOPIC)
         client.close()
     assert page.is_ok(), page
     assert page.unwrap().size > 2 * SLOW_LINK / 2
@@ -245,7 +245,7 @@
     async with store_behind(Link(SLOW_LINK / 2)) as (store, relay):
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, large_manifest(2, added=3000))
         client = StoreClient(relay.host, relay.port, clock)
-        reading = asyncio.create_task(client.newest(MANIFEST_TOPIC))
+        reading = asyncio.create_task(client.fetch_newest(MANIFEST_TOPIC))
         await asyncio.sleep(0.4)
         relay.cut(Cut.BOTH)
         cut_at = clock.monotonic()
@@ -268,7 +268,7 @@
     """
     clock = SystemClock()
     copy = FeedCopy()
-    copy.apply(Page((make_record(1, large_manifest(2)),), 2, whole=True))
+    copy.apply(Page((make_record(1, large_manifest(2)),), 2, is_snapshot=True))
     links = [Link(SLOW_LINK), Link(SLOW_LINK)]
     async with store_behind(links[0]) as (store, store_relay):
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, manifest(1))
@@ -297,7 +297,7 @@
     clock = SystemClock()
     large = large_manifest(2, added=3000)
     copy = FeedCopy()
-    copy.apply(Page((make_record(1, large),), 2, whole=True))
+    copy.apply(Page((make_record(1, large),), 2, is_snapshot=True))
     link = Link(SLOW_LINK / 2)
     async with store_behind(link) as (store, store_relay):
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, manifest(1))
@@ -306,7 +306,9 @@
             client = StoreClient(store_relay.host, store_relay.port, clock)
             follower = make_follower(client, port, clock, 'vm')
             follower.feed.confirmed_at -= 2 * MANIFEST_FEED.max_age_s
-            late = await find_late_followers([follower], relays, clock, BEAT_S)
+            late = await find_late_followers(
+                [follower], relays, clock, HEARTBEAT_INTERVAL_S
+            )
     assert not late
 
 
@@ -320,7 +322,7 @@
     """
     clock = SystemClock()
     copy = FeedCopy()
-    copy.apply(Page((make_record(1, large_manifest(2)),), 2, whole=True))
+    copy.apply(Page((make_record(1, large_manifest(2)),), 2, is_snapshot=True))
     link = Link(SLOW_LINK)
     async with store_behind(link) as (store, store_relay):
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, manifest(1))
@@ -331,6 +333,10 @@
             follower = make_follower(client, port, clock, 'vm')
             follower.feed.confirmed_at -= 2 * MANIFEST_FEED.max_age_s
             late = await find_late_followers(
-                [follower], relays, clock, BEAT_S, MAX_UPDATE_S / 2
+                [follower],
+                relays,
+                clock,
+                HEARTBEAT_INTERVAL_S,
+                MAX_UPDATE_S / 2,
             )
     assert not late
--- a/tests/test_conformance.py
+++ b/tests/test_conformance.py
@@ -13,14 +13,14 @@
 
 from bramleybend.clients.log_service import LogRecord
 from bramleybend.decisions.actions import Grant, RunnerInfo
-from bramleybend.decisions.floor import (
+from bramleybend.decisions.shard_policy import ShardPolicy, make_shard_policy
+from bramleybend.decisions.tier_floor import (
+    FloorRound,
     FloorTimes,
-    Round,
-    Settling,
     ShedPermits,
+    TakeoverState,
 )
-from bramleybend.decisions.owner import ShardPolicy, make_shard_policy
-from bramleybend.models import Ask, Service, ServiceKind, Tier
+from bramleybend.models import Service, ServiceKind, SlotRequest, Tier
 from bramleybend.state.journal_rules import HomeJournal, JournalView, NotRun
 from bramleybend.state.terms_rules import TermsState
 from spec import dispatch, floor, floor_state, terms
@@ -36,7 +36,7 @@
     floor_state.FRESH_TICKS,
 )
 POOL = Service('bend-lm', ServiceKind.ENGINE, slots=2, shards=2)
-LOWER_TIER_ASK = Ask(
+LOWER_TIER_ASK = SlotRequest(
     request_id='draft',
     service=POOL.name,
     tier=Tier.NORMAL,
@@ -127,28 +127,28 @@
     def __init__(self, *, watches_load: bool) -> None:
         self.watches_load = watches_load
         self.now = float(0)
-        self.owners = [Settling(times=TIMES) for _ in range(3)]
+        self.owners = [TakeoverState(times=TIMES) for _ in range(3)]
         self.policies = [make_policy() for _ in range(3)]
         self.permits = ShedPermits(TIMES)
-        self.round: Round | None = None
-        self.old_rounds: list[Round] = []
+        self.round: FloorRound | None = None
+        self.old_rounds: list[FloorRound] = []
 
     def step(self, label: str, before: Any, after: Any) -> None:
         if label == 'a tick':
             self.now += 1
         elif label == 'B takes shard 1 over':
             # The owners' clocks are as fast as the model allows.
-            self.owners[2] = Settling(
+            self.owners[2] = TakeoverState(
                 self.now - floor_state.DRIFT_TICKS,
-                watches_load=self.watches_load,
+                has_load_reports=self.watches_load,
                 times=TIMES,
             )
             hold_s = TIMES.grace_s - floor_state.DRIFT_TICKS
             self.policies[2].set_floor(min(Tier), hold_s, self.now)
         elif label == 'the run is registered with B':
-            self.owners[1].lose_run(self.now - floor_state.DRIFT_TICKS)
+            self.owners[1].record_lost_run(self.now - floor_state.DRIFT_TICKS)
         elif label == 'a load report shows no surplus':
-            self.owners[2].note_load(0, self.now)
+            self.owners[2].record_load_report(0, self.now)
         elif label == 'the caller opens a round':
             self.open_round(before)
         elif label.startswith('owner'):
@@ -175,18 +175,18 @@
         )
         if self.round:
             self.old_rounds.append(self.round)
-        self.round = self.permits.begin(
+        self.round = self.permits.open_round(
             POOL.name,
             Tier.HIGH,
             frozenset({0, 1}),
             self.now,
-            view_age=TIMES.fresh_s if stale else 0,
+            view_age=TIMES.max_view_age_s if stale else 0,
         )
 
     def receive_reply(
-        self, opened: Round, shard: int, *, lower_running: bool
+        self, opened: FloorRound, shard: int, *, lower_running: bool
     ) -> None:
-        self.permits.reply(
+        self.permits.handle_reply(
             opened,
             shard,
             self.now,
@@ -196,11 +196,11 @@
 
     def compare(self, state: floor_state.State) -> None:
         _, first, second = self.owners
-        permit = self.permits.permit(POOL.name, Tier.HIGH, self.now)
+        permit = self.permits.has_permit(POOL.name, Tier.HIGH, self.now)
         assert permit == bool(state.permit_left)
         assert self.would_start_lower(0) == (not state.floors_left[0])
         assert self.would_start_lower(1) == (not state.floors_left[1])
-        assert first.settled(self.now) == (not state.lost_run_left)
+        assert first.is_settled(self.now) == (not state.lost_run_left)
         if state.taken_over:
             assert self.would_start_lower(2) == (
                 not (state.grace_left or state.floors_left[2])
@@ -208,12 +208,12 @@
             known = (
                 state.load_clear if self.watches_load else not state.grace_left
             )
-            assert second.settled(self.now) == known
+            assert second.is_settled(self.now) == known
 
     def would_start_lower(self, owner: int) -> bool:
         """Whether the owner would start a request of the lower tier."""
         policy = self.policies[owner]
-        actions = policy.ask(LOWER_TIER_ASK, self.now)
+        actions = policy.request_slot(LOWER_TIER_ASK, self.now)
         policy.withdraw(LOWER_TIER_ASK.request_id, self.now)
         return any(isinstance(action, Grant) for action in actions)
 
@@ -221,7 +221,7 @@
 def make_policy() -> ShardPolicy:
     policy = make_shard_policy(POOL, random.Random(1))
     # Listed long before the first request, so that slow start has ended.
-    policy.runners([RunnerInfo('engine-1')], -100)
+    policy.update_runners([RunnerInfo('engine-1')], -100)
     return policy
 
 
--- a/tests/utils/allotment_demand.py
+++ b/tests/utils/allotment_demand.py
@@ -92,10 +92,10 @@
             self.allowance,
             self.units,
             now,
-            vm.members.share(now),
+            vm.members.alive_fraction(now),
             are_runners_idle=self.are_runners_idle,
         )
-        if verdict.is_let_in:
+        if verdict.is_admitted:
             self.let_in.append((now, self.units))
         else:
             self.refused.append((now, vm.name))
