--- a/tests/direct/test_hubs.py
+++ b/tests/direct/test_hubs.py
@@ -80,9 +80,9 @@
     third = network.add(6)
     # The first VM tells the third about the second's old state, and learns the
     # new state before it is asked for the old one.
-    third.next_beat = network.clock.monotonic() + STEP_S
-    first.next_beat = third.next_beat + STEP_S
-    second.next_beat = third.next_beat + STEP_S
+    third.next_beat_at = network.clock.monotonic() + STEP_S
+    first.next_beat_at = third.next_beat_at + STEP_S
+    second.next_beat_at = third.next_beat_at + STEP_S
     network.run(HEALED_S)
     assert network.all_hear_all()
 
@@ -251,7 +251,7 @@
     spend(network, 1000)
     network.run(5)
     vm.is_up = True
-    vm.next_beat = network.clock.monotonic()
+    vm.next_beat_at = network.clock.monotonic()
     network.run(10)
     assert network.all_hear_all()
     assert vm.debt('first') >= 29 * 1000
--- a/tests/utils/callers.py
+++ b/tests/utils/callers.py
@@ -1,4 +1,4 @@
-"""The caller's side: ask for addresses, send, send again, read the answer."""
+"""A test caller: resolves addresses, sends, retries and reads answers."""
 
 import asyncio
 import json
@@ -15,8 +15,8 @@
 from tests.utils.work import Work
 
 ADDRESS_TIMEOUT_S: Final = 2
-ROUND_PAUSE_S: Final = 0.1
-GRACE_S: Final = 3  # an answer may come just after its deadline
+RETRY_PAUSE_S: Final = 0.1
+GRACE_S: Final = 3  # for an answer that arrives just after the deadline
 OUTCOME_HEADER: Final = 'bramleybend-outcome'
 EVENT_STREAM: Final = 'text/event-stream'
 
@@ -27,15 +27,15 @@
 
 @dataclass(frozen=True)
 class Route:
-    """Where to send, under which ticket, and until when that is good."""
+    """Addresses to send to, their ticket, and the monotonic expiry time."""
 
     addresses: tuple[str, ...]
     ticket: str
-    until: float
+    expires_at: float
 
 
 class Caller:
-    """One client: keeps its route and sends one request at a time or many."""
+    """A client of the entry VMs that caches its route for each profile."""
 
     def __init__(
         self,
@@ -43,28 +43,28 @@
         ledger: Ledger,
         keeps_route: bool = True,
     ) -> None:
-        """Know a few entry addresses (`ip:port`) to ask first."""
+        """Resolve routes at `entries` (`ip:port`), in this order."""
         self._entries = list(entries)
         self._ledger = ledger
-        self._keeps_route = keeps_route
+        self._caches_route = keeps_route
         self._routes: dict[str, Route] = {}  # by profile
 
     async def send(self, work: Work) -> Record:
-        """Send until a final answer comes or the deadline has passed."""
+        """Send and retry until a final answer or the deadline."""
         record = self._ledger.open(work)
         deadline = record.started + work.deadline_s
         try:
             async with asyncio.timeout(work.deadline_s + GRACE_S):
                 await self._send_until_final(record, deadline)
         except (NoAnswerError, TimeoutError):
-            record.drop_unsent()
+            record.remove_unsent_attempts()
             readings = record.readings
             if readings and record.attempts[-1].reading is not None:
                 record.finish(readings[-1])
         return record
 
     async def send_under(self, attempt: Attempt, work: Work) -> Reading:
-        """Send under an id until one whole answer comes."""
+        """Send under one request id until an answer is complete."""
         deadline = time.monotonic() + work.deadline_s
         route = await self.route(work.profile, deadline)
         return await self._send_attempt(
@@ -75,19 +75,22 @@
         )
 
     async def route(self, profile: str, deadline: float) -> Route:
-        """Return the kept route, or ask the entries for one."""
-        kept = self._routes.get(profile)
-        if kept is not None and self._keeps_route:
-            if kept.until > time.monotonic():
-                return kept
+        """Return the cached route, or resolve one at the entries.
+
+        Raises NoAnswerError at the deadline.
+        """
+        cached = self._routes.get(profile)
+        if cached is not None and self._caches_route:
+            if cached.expires_at > time.monotonic():
+                return cached
         while time.monotonic() < deadline:
             for entry in tuple(self._entries):
-                route = await _ask(entry, profile)
+                route = await _resolve_route(entry, profile)
                 if route is not None:
                     self._routes[profile] = route
                     return route
                 self._entries.append(self._entries.pop(0))
-            await asyncio.sleep(ROUND_PAUSE_S)
+            await asyncio.sleep(RETRY_PAUSE_S)
         raise NoAnswerError
 
     async def _send_until_final(self, record: Record, deadline: float) -> None:
@@ -104,10 +107,10 @@
             )
             if reading.outcome is not Outcome.NOT_RUN:
                 break
-            # A request that was not run comes back under a new id: the old
-            # one is void for ever. A new ticket leads to a VM that serves.
+            # A request that was not run is retried under a new id, as the
+            # old id stays rejected. A new ticket leads to a VM that serves.
             self._routes.clear()
-            pause = max(reading.retry_after_s, ROUND_PAUSE_S)
+            pause = max(reading.retry_after_s, RETRY_PAUSE_S)
             if time.monotonic() + pause >= deadline:
                 break
             await asyncio.sleep(pause)
@@ -131,7 +134,7 @@
                 if reading is not None:
                     attempt.reading = reading
                     return reading
-            await asyncio.sleep(ROUND_PAUSE_S)
+            await asyncio.sleep(RETRY_PAUSE_S)
             self._routes.clear()
             route = await self.route(work.profile, deadline)
             addresses = route.addresses
@@ -158,7 +161,10 @@
     address: str,
     deadline: float,
 ) -> Reading:
-    """Send one request to one address and read its answer whole."""
+    """Send one request to one address and read the complete answer.
+
+    `deadline` is a monotonic time.
+    """
     remaining = timedelta(seconds=deadline - time.monotonic())
     headers = {
         'Content-Type': 'application/json',
@@ -172,59 +178,65 @@
     async with exchange('POST', url, headers, work.body) as conn:
         if conn.headers.get('content-type', '').startswith(EVENT_STREAM):
             return await _read_stream(conn, work)
-        return await _read_whole(conn, work)
+        return await _read_body(conn, work)
 
 
-async def _read_whole(conn: Exchange, work: Work) -> Reading:
+async def _read_body(conn: Exchange, work: Work) -> Reading:
     body = b''.join([chunk async for chunk in conn.chunks()])
-    named = conn.headers.get(OUTCOME_HEADER)
-    if named is None:
-        raise BrokenCallError(f'{conn.status} without an outcome')
-    outcome = Outcome(named)
+    outcome_name = conn.headers.get(OUTCOME_HEADER)
+    if outcome_name is None:
+        raise BrokenCallError(f'status {conn.status} has no outcome header')
+    outcome = Outcome(outcome_name)
     if outcome is Outcome.DONE:
         return Reading(
             outcome,
-            is_own=work.is_whole(body),
+            is_expected=work.is_complete(body),
             answered_at=time.monotonic(),
         )
-    told = json.loads(body)
-    after = conn.headers.get('retry-after', told.get('retry_after_s') or 0)
-    return Reading(outcome, False, told.get('reason', ''), float(after))
+    reply_fields = json.loads(body)
+    retry_after = conn.headers.get(
+        'retry-after', reply_fields.get('retry_after_s') or 0
+    )
+    return Reading(
+        outcome, False, reply_fields.get('reason', ''), float(retry_after)
+    )
 
 
 async def _read_stream(conn: Exchange, work: Work) -> Reading:
     text = ''
-    first_at = float(0)
+    first_token_at = float(0)
     event_name = ''
-    async for line in _lines(conn):
+    async for line in _read_lines(conn):
         name, _, content = line.partition(': ')
         if name == 'event':
             event_name = content
         elif name == 'data' and event_name == 'outcome':
-            return _stream_reading(json.loads(content), work, text, first_at)
+            return _stream_reading(
+                json.loads(content), work, text, first_token_at
+            )
         elif name == 'data' and '"text"' in content:
-            first_at = first_at or time.monotonic()
+            first_token_at = first_token_at or time.monotonic()
             text += json.loads(content)['text']
-    raise BrokenCallError('the stream ended without an outcome')
+    raise BrokenCallError('stream ended without an outcome event')
 
 
 def _stream_reading(
-    told: dict[str, Any],
+    reply_fields: dict[str, Any],
     work: Work,
     text: str,
-    first_at: float,
+    first_token_at: float,
 ) -> Reading:
-    outcome = Outcome(told['outcome'])
+    outcome = Outcome(reply_fields['outcome'])
     return Reading(
         outcome,
-        outcome is Outcome.DONE and work.is_whole_text(text),
-        told.get('reason') or '',
-        float(told.get('retry_after_s') or 0),
-        first_at,
+        outcome is Outcome.DONE and work.is_complete_text(text),
+        reply_fields.get('reason') or '',
+        float(reply_fields.get('retry_after_s') or 0),
+        first_token_at,
     )
 
 
-async def _lines(conn: Exchange) -> AsyncIterator[str]:
+async def _read_lines(conn: Exchange) -> AsyncIterator[str]:
     pending = b''
     async for chunk in conn.chunks():
         *whole, pending = (pending + chunk).split(b'\n')
@@ -232,7 +244,7 @@
             yield line.decode().rstrip('\r')
 
 
-async def _ask(entry: str, profile: str) -> Route | None:
+async def _resolve_route(entry: str, profile: str) -> Route | None:
     try:
         reply = await call(
             'GET',
@@ -243,9 +255,11 @@
         return None
     if reply.status != 200:
         return None
-    told = reply.json()
-    until = time.monotonic() + float(told['keep_for_s'])
-    return Route(tuple(told['addresses']), told['ticket'], until)
+    reply_fields = reply.json()
+    expires_at = time.monotonic() + float(reply_fields['keep_for_s'])
+    return Route(
+        tuple(reply_fields['addresses']), reply_fields['ticket'], expires_at
+    )
 
 
 def _rfc3339(moment: datetime) -> str:
--- a/tests/utils/cluster.py
+++ b/tests/utils/cluster.py
@@ -1,4 +1,4 @@
-"""Stand-ins and entry VMs on loopback addresses of a prefix of their own."""
+"""A test cluster: stand-ins and entry VMs under one loopback prefix."""
 
 import asyncio
 import json
@@ -43,19 +43,19 @@
 
 @dataclass(frozen=True)
 class Layout:
-    """How many of what a cluster has."""
+    """The size and the settings of a test cluster."""
 
     vms: int = 6
     engines: Sequence[EngineConfig] = (EngineConfig(),) * 2
     plain_latencies_ms: Sequence[float] = (20, 20)
     seed: int = 0
     log_level: str = 'INFO'
-    flags: Sequence[str] = ()  # more of the programs' own flags
+    flags: Sequence[str] = ()  # appended to the flags of each entry process
 
 
 @dataclass(frozen=True)
 class Runner:
-    """A runner and its line of the VM list."""
+    """A runner stand-in and its entry in the VM list."""
 
     vm: Vm
     standin: Engine | PlainService
@@ -63,13 +63,13 @@
 
 @dataclass
 class Runners:
-    """All runners ever started, and what they ran."""
+    """All runner stand-ins of the cluster, with their run records."""
 
     engines: list[Engine] = field(default_factory=list)
     plains: list[PlainService] = field(default_factory=list)
 
     def runs_of(self) -> Counter[str]:
-        """Return how often each content was run, over all runners."""
+        """Count the runs of each content hash over all runners."""
         total: Counter[str] = Counter()
         for engine in self.engines:
             total.update(engine.runs_of())
@@ -85,7 +85,10 @@
 
 
 def free_prefix() -> str:
-    """Return a loopback prefix that no other cluster uses now."""
+    """Return a loopback prefix on which no log service listens.
+
+    Clusters of tests that run at the same time thus don't share addresses.
+    """
     while True:
         prefix = f'127.{secrets.randbelow(253) + 1}.{secrets.randbelow(256)}'
         with socket.socket() as probe:
@@ -95,10 +98,10 @@
 
 
 class Cluster:
-    """Everything a test or the demo runs against; ends what it started."""
+    """Starts and stops the stand-ins and entry VMs of a test or the demo."""
 
     def __init__(self, layout: Layout, run_dir: Path | None = None) -> None:
-        """Plan the addresses; entering the context starts everything."""
+        """Assign the addresses; entering the context starts the processes."""
         self.layout = layout
         self.prefix = free_prefix()
         self.run_dir = run_dir or Path(tempfile.mkdtemp(prefix='bramleybend-'))
@@ -107,10 +110,10 @@
         self.runners = Runners()
         self.by_name: dict[str, Runner] = {}
         for index, cfg in enumerate(layout.engines):
-            self._plan_engine(index, cfg)
+            self._add_engine(index, cfg)
         for index, latency_ms in enumerate(layout.plain_latencies_ms):
-            self._plan_plain(index, latency_ms)
-        self.vms = [self._plan_vm(index) for index in range(layout.vms)]
+            self._add_plain_service(index, latency_ms)
+        self.vms = [self._make_entry_vm(index) for index in range(layout.vms)]
 
     async def __aenter__(self) -> Self:
         """Start the stand-ins, then the entry VMs."""
@@ -127,21 +130,21 @@
         exc: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """End everything, also after Ctrl-C."""
+        """Stop all processes and stand-ins, also after Ctrl-C."""
         await self.stop()
 
     async def stop(self) -> None:
-        """Kill the processes, then stop the stand-ins."""
+        """Kill the entry processes, then stop the relays and stand-ins."""
         for vm in self.vms:
             await vm.kill()
         for vm in self.vms:
             await vm.log_relay.stop()
             await vm.list_relay.stop()
-        for standin in self._standins():
+        for standin in self._all_standins():
             await standin.stop()
 
     def ip(self, host: int) -> str:
-        """Return an address under this cluster's prefix."""
+        """Return the address of a host number under this cluster's prefix."""
         return f'{self.prefix}.{host}'
 
     def publish(self, document: str, base: int = 0, by: str = 'demo') -> str:
@@ -163,7 +166,10 @@
         document: str = '',
         limit_s: float = READY_LIMIT_S,
     ) -> float:
-        """Publish terms, the example's by default; wait for every VM."""
+        """Publish terms, by default the example's, and wait for every VM.
+
+        Returns the seconds until the last VM was ready.
+        """
         self.publish(document or EXAMPLE.read_text())
         waits = [
             wait_until(vm.is_ready, f'{vm.name} ready', limit_s)
@@ -171,8 +177,8 @@
         ]
         return max(await asyncio.gather(*waits))
 
-    def relist(self) -> None:
-        """Put every VM and runner on the list as live."""
+    def list_all_as_live(self) -> None:
+        """Write a VM list with every VM and runner in the live state."""
         self.vm_list.put(
             [
                 *(vm.listed() for vm in self.vms),
@@ -181,13 +187,13 @@
         )
 
     def event_lines(self) -> list[str]:
-        """Return every line that the VMs' processes logged."""
+        """Return all log lines of the entry processes."""
         lines: list[str] = []
         for path in sorted(self.run_dir.glob('*.log')):
             lines.extend(path.read_text(errors='replace').splitlines())
         return lines
 
-    def _standins(
+    def _all_standins(
         self,
     ) -> list[LogService | VmListService | Engine | PlainService]:
         return [
@@ -198,22 +204,22 @@
         ]
 
     async def _start(self) -> None:
-        for standin in self._standins():
+        for standin in self._all_standins():
             await standin.start()
-        self.relist()
+        self.list_all_as_live()
         for vm in self.vms:
             await vm.log_relay.start()
             await vm.list_relay.start()
         for vm in self.vms:
             await vm.start()
 
-    def _plan_engine(self, index: int, cfg: EngineConfig) -> None:
+    def _add_engine(self, index: int, cfg: EngineConfig) -> None:
         address = self.ip(FIRST_ENGINE + index)
         engine = Engine(address, RUNNER_PORT, self.layout.seed + index, cfg)
         self.runners.engines.append(engine)
         self._list_runner(ENGINE_SERVICE, index, address, engine)
 
-    def _plan_plain(self, index: int, latency_ms: float) -> None:
+    def _add_plain_service(self, index: int, latency_ms: float) -> None:
         address = self.ip(FIRST_PLAIN + index)
         seed = self.layout.seed + index
         plain = PlainService(address, RUNNER_PORT, seed, latency_ms)
@@ -232,7 +238,7 @@
         vm = Vm(name, address, RUNNER_PORT, service, domain, RunnerState.LIVE)
         self.by_name[name] = Runner(vm, standin)
 
-    def _plan_vm(self, index: int) -> EntryVm:
+    def _make_entry_vm(self, index: int) -> EntryVm:
         domain = DOMAINS[index % len(DOMAINS)]
         log_relay = Relay(
             self.ip(FIRST_LOG_RELAY + index),
--- a/tests/utils/demo.py
+++ b/tests/utils/demo.py
@@ -19,7 +19,7 @@
 from tests.utils.ledger import Ledger, Record, Verdict
 from tests.utils.load import MIXED, plan, play
 from tests.utils.processes import ROOT, ProcessEndedError
-from tests.utils.work import Declared
+from tests.utils.work import Declaration
 
 LOAD_S: Final = 12
 CALLERS: Final = 12
@@ -49,7 +49,7 @@
     """Start all, send the load, print the table."""
     run_dir = RUN_ROOT / f'demo-{os.getpid()}'  # two demos may run at once
     run_dir.mkdir(parents=True, exist_ok=True)
-    declared = Declared.load(EXAMPLE.read_text())
+    declaration = Declaration.load(EXAMPLE.read_text())
     ledger = Ledger()
     async with Cluster(LAYOUT, run_dir) as cluster:
         took_s = await cluster.ready()
@@ -61,7 +61,7 @@
             Caller(entries[index % len(entries) :] + entries, ledger)
             for index in range(CALLERS)
         ]
-        await play(plan(declared, MIXED, LOAD_S, SEED), callers)
+        await play(plan(declaration, MIXED, LOAD_S, SEED), callers)
         verdict = ledger.judge(
             cluster.runners.runs_of(),
             cluster.runners.run_ids(),
--- a/tests/utils/engine.py
+++ b/tests/utils/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine, met over HTTP."""
+"""HTTP stand-in for a model engine."""
 
 import asyncio
 import os
@@ -26,22 +26,22 @@
 POISON: Final = 'POISON'
 LOAD_SAMPLE_S: Final = 0.05
 LOAD_SAMPLES: Final = 400
-MOST_CUTS: Final = 2  # of one run's stream; more look like a dead engine
+MAX_STREAM_CUTS: Final = 2  # per run; with more, clients suspect the engine
 
 
 @dataclass
 class EngineFaults(Faults):
-    """Faults of an engine; a cut stream's run goes on."""
+    """Faults of an engine; the run of a cut stream continues."""
 
-    slowdown: float = 1  # a straggler takes this many times longer
+    slowdown: float = 1  # factor by which steps take longer
     cut_streams: float = 0  # count if 1 or more, else a probability
-    lose_order_replies: float = 0  # taken, but the connection breaks
-    unloadable: str = ''  # a version whose load ends with nothing loaded
+    lose_order_replies: float = 0  # order runs, but the connection breaks
+    unloadable: str = ''  # version or adapter that fails to load
 
 
 @dataclass(frozen=True)
 class EngineConfig:
-    """What kind of engine this is."""
+    """Capacity, lags and model of an engine; each field is also a flag."""
 
     slots: int = 8
     prefill_tps: float = 20_000
@@ -52,7 +52,7 @@
     cache_lag_s: float = 0.5
     cache_drop: float = 0.1
     checks_fence: bool = False
-    poison_exits: bool = False  # else: drops connections, forgets, restarts
+    poison_exits: bool = False  # else it drops its connections and runs
     restart_s: float = 0.5
     model: str = 'model-a'
     version: str = '1'
@@ -60,7 +60,7 @@
 
 
 class Engine:
-    """Admits runs as they arrive; knows no priorities."""
+    """Runs requests in order of arrival, without priorities."""
 
     def __init__(
         self,
@@ -69,11 +69,11 @@
         seed: int = 0,
         cfg: EngineConfig | None = None,
     ) -> None:
-        """Take the address; `start` binds it."""
+        """Set the address; `start` binds it."""
         self.cfg = cfg or EngineConfig()
         self.faults = EngineFaults()
         self.server = FaultyServer(host, port, self.faults, self._handle)
-        self.admitted: list[Run] = []  # survives a crash, for invariants
+        self.admitted: list[Run] = []  # kept over crashes, for test checks
         self.orders: list[dict[str, Any]] = []
         self.refused_orders: list[dict[str, Any]] = []
         self.weights = Weights(
@@ -93,8 +93,10 @@
         )
         self._known: dict[str, Run] = {}
         self._fence = 0
-        self._loads: deque[tuple[float, int, int]] = deque(maxlen=LOAD_SAMPLES)
-        self._loads.append((time.monotonic(), 0, 0))
+        self._load_samples: deque[tuple[float, int, int]] = deque(
+            maxlen=LOAD_SAMPLES
+        )
+        self._load_samples.append((time.monotonic(), 0, 0))
         self._tasks: list[asyncio.Task[None]] = []
 
     @property
@@ -103,7 +105,7 @@
         return self.server.http.url
 
     async def start(self) -> None:
-        """Listen and step."""
+        """Listen and start the batch and the load sampling."""
         await self.server.start()
         self._tasks = [
             asyncio.create_task(self.batch.run_forever(self._on_start)),
@@ -111,7 +113,7 @@
         ]
 
     async def stop(self) -> None:
-        """Stop stepping and listening."""
+        """Stop the batch, the load sampling and the server."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -119,14 +121,17 @@
         await self.server.stop()
 
     def crash(self) -> None:
-        """Lose all runs and the memory of their ids, then start again."""
+        """Drop all runs, known run ids and the cache, then restart.
+
+        The engine refuses connections for `restart_s`.
+        """
         self.batch.crash()
         self._known.clear()
         self.cache.clear()
         self.server.refuse_for(self.cfg.restart_s)
 
     def runs_of(self) -> Counter[str]:
-        """Return how often each prompt was admitted here."""
+        """Count the admitted runs of each prompt hash."""
         return Counter(admitted.prompt_hash for admitted in self.admitted)
 
     async def _handle(self, req: HttpRequest) -> HttpResponse:
@@ -140,12 +145,12 @@
             case ('POST', ['v1', 'runs', run_id, 'cancel']):
                 return self._cancel(run_id)
             case ('POST', ['v1', 'orders']):
-                return self._take_order(req.json())
+                return self._accept_order(req.json())
             case ('GET', _):
-                return self._report(req)
+                return self._handle_get(req)
         return json_response({}, HTTPStatus.NOT_FOUND)
 
-    def _report(self, req: HttpRequest) -> HttpResponse:
+    def _handle_get(self, req: HttpRequest) -> HttpResponse:
         if req.path == '/v1/load':
             return json_response(self._lagged_load())
         if req.path == '/v1/state':
@@ -181,9 +186,9 @@
         self.batch.add(admitted)
         if body.get('stream'):
             return self._stream(admitted, 0)
-        return await self._whole(admitted)
+        return await self._respond_when_done(admitted)
 
-    async def _whole(self, admitted: Run) -> HttpResponse:
+    async def _respond_when_done(self, admitted: Run) -> HttpResponse:
         await admitted.wait_until_over()
         if admitted.state is not RunState.DONE:
             raise DropConnectionError
@@ -204,7 +209,7 @@
     async def _events(
         self, admitted: Run, start: int
     ) -> AsyncGenerator[bytes, None]:
-        is_cut = admitted.cuts < MOST_CUTS and self._chance.strikes(
+        is_cut = admitted.cuts < MAX_STREAM_CUTS and self._chance.strikes(
             self.faults,
             'cut_streams',
         )
@@ -228,7 +233,7 @@
             known.finish(RunState.CANCELLED)
         return json_response({'state': known.state})
 
-    def _take_order(self, order: dict[str, Any]) -> HttpResponse:
+    def _accept_order(self, order: dict[str, Any]) -> HttpResponse:
         fence = int(order['fence'])
         if self.cfg.checks_fence and fence < self._fence:
             self.refused_orders.append(order)
@@ -252,7 +257,7 @@
         while True:
             await asyncio.sleep(LOAD_SAMPLE_S)
             self.batch.slowdown = self.faults.slowdown
-            self._loads.append(
+            self._load_samples.append(
                 (
                     time.monotonic(),
                     len(self.batch.running),
@@ -262,10 +267,12 @@
 
     def _lagged_load(self) -> dict[str, int]:
         now = time.monotonic()
-        seen = [
-            load for load in self._loads if now - load[0] >= self.cfg.load_lag_s
+        visible = [
+            load
+            for load in self._load_samples
+            if now - load[0] >= self.cfg.load_lag_s
         ]
-        at, running, waiting = seen[-1] if seen else self._loads[0]
+        at, running, waiting = visible[-1] if visible else self._load_samples[0]
         return {
             'running': running,
             'waiting': waiting,
--- a/tests/utils/entry_vm.py
+++ b/tests/utils/entry_vm.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class VmSettings:
-    """What a VM learns from its flags."""
+    """The settings that an entry VM receives as command line flags."""
 
     name: str
     domain: str
@@ -45,12 +45,12 @@
             '--statsd': self.statsd,
             '--log-level': self.log_level,
         }
-        words = [word for pair in pairs.items() for word in pair]
-        return [*words, *self.more_flags]
+        arguments = [argument for pair in pairs.items() for argument in pair]
+        return [*arguments, *self.more_flags]
 
 
 class EntryVm:
-    """Starts, harms and ends the two processes of a VM together."""
+    """Starts, pauses and stops the two processes of a VM together."""
 
     def __init__(
         self,
@@ -59,14 +59,14 @@
         log_relay: Relay,
         list_relay: Relay,
     ) -> None:
-        """Describe the VM; its links to the platform go through relays."""
+        """Set up the VM; its platform connections go through the relays."""
         self.settings = settings
         self.log_relay = log_relay
         self.list_relay = list_relay
         self.incarnation = 0
         self.ended: list[Process] = []
         self._run_dir = run_dir
-        self._describe()
+        self._make_processes()
 
     @property
     def name(self) -> str:
@@ -75,26 +75,26 @@
 
     @property
     def url(self) -> str:
-        """Return where callers meet the gateway."""
+        """Return the base URL of the gateway's caller port."""
         return f'http://{self.endpoint}'
 
     @property
     def endpoint(self) -> str:
-        """Return `ip:port` as callers are told it."""
+        """Return the gateway's caller address as `ip:port`."""
         return f'{self.settings.address}:{HTTP_PORT}'
 
     @property
     def processes(self) -> tuple[Process, ...]:
-        """Return both processes of the present incarnation."""
+        """Return both processes of the current incarnation."""
         return (self.scheduler, self.gateway)
 
     @property
     def is_running(self) -> bool:
-        """Whether any of the processes lives."""
+        """Whether at least one of the processes is running."""
         return any(process.is_running for process in self.processes)
 
     def listed(self, state: RunnerState = RunnerState.LIVE) -> Vm:
-        """Return the VM's line of the VM list."""
+        """Return the VM's entry in the VM list."""
         return Vm(
             self.name,
             self.settings.address,
@@ -114,15 +114,15 @@
         await self.kill()
         self.ended.extend(self.processes)
         self.incarnation += 1
-        self._describe()
+        self._make_processes()
         await self.start()
 
     def freeze(self) -> None:
-        """Pause both processes without their knowing."""
+        """Pause both processes with SIGSTOP, which they can't observe."""
         self.signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let them go on as if no time had passed."""
+        """Resume both processes with SIGCONT."""
         self.signal(signal.SIGCONT)
 
     async def stop(self) -> tuple[int, ...]:
@@ -131,11 +131,11 @@
         return await self.exit_codes()
 
     async def exit_codes(self, limit_s: float = 20) -> tuple[int, ...]:
-        """Wait for both to end."""
+        """Wait until both have ended; return their exit codes."""
         return tuple([await each.wait(limit_s) for each in self.processes])
 
     async def kill(self) -> None:
-        """End both at once."""
+        """Kill both processes and wait until they have ended."""
         self.signal(signal.SIGKILL)
         for process in self.processes:
             if process.is_running:
@@ -147,7 +147,10 @@
             process.send_signal(number)
 
     async def is_ready(self) -> bool:
-        """Whether the gateway says that it can serve; raise if one ended."""
+        """Whether the gateway reports ready.
+
+        Raises ProcessEndedError if one of the processes has ended.
+        """
         for process in self.processes:
             process.check_running()
         try:
@@ -156,14 +159,14 @@
             return False
         return reply.status == 200
 
-    def _describe(self) -> None:
+    def _make_processes(self) -> None:
         flags = self.settings.flags()
-        self.gateway = self._process(
+        self.gateway = self._make_process(
             'gateway',
             [GATEWAY, *flags, '--http-port', str(HTTP_PORT)],
         )
-        self.scheduler = self._process('scheduler', [SCHEDULER, *flags])
+        self.scheduler = self._make_process('scheduler', [SCHEDULER, *flags])
 
-    def _process(self, program: str, argv: list[str]) -> Process:
+    def _make_process(self, program: str, argv: list[str]) -> Process:
         name = f'{self.name}-{program}-{self.incarnation}'
         return Process(name, argv, self._run_dir / f'{name}.log')
--- a/tests/utils/http_client.py
+++ b/tests/utils/http_client.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 client for tests: one request a connection."""
+"""A small HTTP/1.1 client for tests: one request per connection."""
 
 import asyncio
 import contextlib
@@ -12,38 +12,38 @@
 
 READ_SIZE: Final = 65536
 CALL_TIMEOUT_S: Final = 10
-# A peer that is paused keeps its connections open and says nothing; a caller
-# without patience for that would wait until its deadline.
-PATIENCE_S: Final = 5
-NO_WORD_YET: Final = 'before the answer'
+# A paused peer keeps its connections open and sends nothing. Without a read
+# timeout, a caller would wait for it until the request's deadline.
+READ_TIMEOUT_S: Final = 5
+BEFORE_RESPONSE_HEAD: Final = 'before the response head'
 
 
 class BrokenCallError(Exception):
-    """The connection broke before the answer was over."""
+    """The connection broke before the answer was complete."""
 
 
 @dataclass(frozen=True)
 class Reply:
-    """One answer read whole."""
+    """One complete answer."""
 
     status: int
     headers: Mapping[str, str]
     body: bytes
 
     def json(self) -> Any:
-        """Read the body as JSON."""
+        """Parse the body as JSON."""
         return json.loads(self.body)
 
 
 class Exchange:
-    """One request and its answer, read piece by piece."""
+    """One request and its answer, read in chunks."""
 
     def __init__(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Own the socket until `close`."""
+        """Use an open connection; `close` aborts it."""
         self._reader = reader
         self._writer = writer
         self._http = h11.Connection(h11.CLIENT)
@@ -68,7 +68,7 @@
         await self._writer.drain()
         head = await self._next_event()
         if not isinstance(head, h11.Response):
-            raise BrokenCallError('no answer')
+            raise BrokenCallError('connection closed before the response head')
         self.status = head.status_code
         self.headers = {
             name.decode().lower(): value.decode()
@@ -76,31 +76,33 @@
         }
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body as it comes; raise if it breaks off."""
+        """Yield chunks of the body; raise BrokenCallError if it is cut off."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.EndOfMessage):
                 return
             if not isinstance(event, h11.Data):
-                raise BrokenCallError('the answer broke off')
+                raise BrokenCallError('response body is incomplete')
             yield bytes(event.data)
 
     def close(self) -> None:
-        """Drop the connection."""
+        """Abort the connection."""
         self._writer.transport.abort()
 
     async def _next_event(self) -> object:
         try:
             event: object = self._http.next_event()
             while event is h11.NEED_DATA:
-                async with asyncio.timeout(PATIENCE_S):
+                async with asyncio.timeout(READ_TIMEOUT_S):
                     received = await self._reader.read(READ_SIZE)
                 self._http.receive_data(received)
                 event = self._http.next_event()
             return event
         except TimeoutError as exc:
-            where = 'within the answer' if self.status else NO_WORD_YET
-            raise BrokenCallError(f'silent {where}') from exc
+            where = (
+                'within the response' if self.status else BEFORE_RESPONSE_HEAD
+            )
+            raise BrokenCallError(f'read timed out {where}') from exc
         except (OSError, h11.ProtocolError) as exc:
             raise BrokenCallError(repr(exc)) from exc
 
@@ -112,7 +114,7 @@
     headers: Mapping[str, str] | None = None,
     body: bytes = b'',
 ) -> AsyncIterator[Exchange]:
-    """Send one request; the answer's head is there on entry."""
+    """Send one request; on entry the response head has been read."""
     parts = urlsplit(url)
     try:
         reader, writer = await asyncio.open_connection(
@@ -144,7 +146,7 @@
     body: bytes = b'',
     timeout_s: float = CALL_TIMEOUT_S,
 ) -> Reply:
-    """Send one request and read the answer whole."""
+    """Send one request and read the complete answer."""
     try:
         async with (
             asyncio.timeout(timeout_s),
@@ -152,11 +154,11 @@
         ):
             chunks = [chunk async for chunk in conn.chunks()]
     except TimeoutError as exc:
-        raise BrokenCallError('timed out') from exc
+        raise BrokenCallError('call timed out') from exc
     return Reply(conn.status, conn.headers, b''.join(chunks))
 
 
 async def call_json(method: str, url: str, value: object = None) -> Any:
-    """Exchange JSON bodies."""
+    """Send `value` as JSON, if any, and return the parsed JSON answer."""
     body = b'' if value is None else json.dumps(value).encode()
     return (await call(method, url, body=body)).json()
--- a/tests/utils/ledger.py
+++ b/tests/utils/ledger.py
@@ -1,4 +1,4 @@
-"""What callers got, judged against what the runners recorded."""
+"""Requests and answers of test callers, checked against run records."""
 
 import time
 from collections import Counter
@@ -10,16 +10,18 @@
 from bramleybend.models import Repeat, Tier
 from tests.utils.work import Work
 
-NOTHING_RAN: Final = frozenset({Outcome.NOT_RUN, Outcome.REJECTED})
-ONCE: Final = frozenset({Repeat.AT_MOST_ONCE, Repeat.NON_IDEMPOTENT})
+NOT_RUN_OUTCOMES: Final = frozenset({Outcome.NOT_RUN, Outcome.REJECTED})
+AT_MOST_ONCE_RULES: Final = frozenset(
+    {Repeat.AT_MOST_ONCE, Repeat.NON_IDEMPOTENT}
+)
 
 
 @dataclass(frozen=True)
 class Reading:
-    """One answer as a caller read it."""
+    """One answer that a caller received."""
 
     outcome: Outcome
-    is_own: bool  # whole and this request's own; False unless done
+    is_expected: bool  # the complete expected answer; False unless done
     reason: str = ''
     retry_after_s: float = 0
     answered_at: float = 0  # monotonic time of the first token or the body
@@ -27,17 +29,17 @@
 
 @dataclass
 class Attempt:
-    """One id that a request was sent under."""
+    """All sends of a request under one request id."""
 
     request_id: str
     sends: int = 0
     broken: list[str] = field(default_factory=list)
     reading: Reading | None = None
-    runs: int = 0  # how often runners were given a run id made of this id
+    runs: int = 0  # number of recorded runs whose run id contains this id
 
     @property
-    def own_part(self) -> str:
-        """Return what the caller minted; unique over all callers."""
+    def caller_part(self) -> str:
+        """Return the part that the caller generated, unique over all callers."""
         return self.request_id.rpartition('/')[2]
 
 
@@ -50,46 +52,46 @@
     attempts: list[Attempt] = field(default_factory=list)
     final: Reading | None = None
     ended: float = 0
-    requests_of_content: int = 1
-    told_of_content: set[Outcome] = field(default_factory=set)
+    content_request_count: int = 1
+    content_outcomes: set[Outcome] = field(default_factory=set)
 
     @property
     def outcome(self) -> Outcome | None:
-        """Return the final outcome, if one came."""
+        """Return the final outcome, or None without a final answer."""
         return None if self.final is None else self.final.outcome
 
     @property
     def first_token_s(self) -> float:
-        """Return the wait for the first token, over all sends."""
+        """Return the seconds from the first send to the first token."""
         return (
             0 if self.final is None else self.final.answered_at - self.started
         )
 
     @property
     def readings(self) -> list[Reading]:
-        """Return every answer that came, under any id."""
+        """Return the answers to all attempts."""
         return [
             attempt.reading
             for attempt in self.attempts
             if attempt.reading is not None
         ]
 
-    def drop_unsent(self) -> None:
-        """Drop ids under which nothing was sent.
+    def remove_unsent_attempts(self) -> None:
+        """Remove the attempts under whose id nothing was sent.
 
-        The deadline may pass while the caller asks for addresses to come back
-        to. What it was told before is then its final answer: nothing that may
-        have run is open.
+        The deadline may pass while the caller resolves addresses for a
+        retry. The answer to the attempt before is then final, as no attempt
+        is left that may have run.
         """
         self.attempts = [one for one in self.attempts if one.sends]
 
     def finish(self, reading: Reading) -> None:
-        """Take the last answer for good."""
+        """Set the final answer."""
         self.final = reading
         self.ended = time.monotonic()
 
     def describe(self) -> str:
-        """Tell the whole story in one line."""
+        """Return the profile, content hash, outcome and attempts in one line."""
         return (
             f'{self.work.profile} {self.work.content} '
             f'{self.outcome} attempts={self.attempts}'
@@ -98,7 +100,7 @@
 
 @dataclass(frozen=True)
 class Verdict:
-    """The sums of a load, and what was wrong by request."""
+    """Counts of requests by outcome, and the faults found in them."""
 
     sent: int
     done: int
@@ -106,15 +108,15 @@
     other: int
     lost: int
     wrong: tuple[str, ...]
-    reasons: tuple[str, ...] = ()  # of what was not done, with counts
+    reasons: tuple[str, ...] = ()  # of requests that were not done, with counts
 
     @property
     def is_clean(self) -> bool:
-        """Whether every request got one whole answer of its own."""
+        """Whether every request is done and no fault was found."""
         return not self.wrong and not self.lost and self.done == self.sent
 
     def __str__(self) -> str:
-        """Read as the demo's last line does."""
+        """Return the text of the demo's last line."""
         return (
             f'sent={self.sent} done={self.done} not_run={self.not_run} '
             f'wrong={len(self.wrong)} lost={self.lost}'
@@ -122,14 +124,14 @@
 
 
 class Ledger:
-    """Every request that the callers sent."""
+    """The records of all requests that the callers sent."""
 
     def __init__(self) -> None:
         """Start empty."""
         self.records: list[Record] = []
 
     def open(self, work: Work) -> Record:
-        """Start the record of one request."""
+        """Add and return the record of a new request."""
         record = Record(work)
         self.records.append(record)
         return record
@@ -147,9 +149,12 @@
         runs_of: Counter[str],
         run_ids: Sequence[str] = (),
     ) -> Verdict:
-        """Hold the answers against the runners' own records."""
-        self._check_not_run(run_ids)
-        self._pool_contents()
+        """Check the answers against the run records of the runners.
+
+        `runs_of` counts runs by content hash; `run_ids` lists all run ids.
+        """
+        self._count_attempt_runs(run_ids)
+        self._group_by_content()
         outcomes = self.outcomes()
         lost = outcomes.pop(None, 0)
         done = outcomes.pop(Outcome.DONE, 0)
@@ -169,29 +174,31 @@
             reasons=self._reasons(),
         )
 
-    def _check_not_run(self, run_ids: Sequence[str]) -> None:
-        # A request told `not_run` and sent again under a new id may run under
-        # that one; only run ids tell which of its sends ran.
-        # The same holds of content that its caller sends as several requests:
-        # each of its ids may run once.
+    def _count_attempt_runs(self, run_ids: Sequence[str]) -> None:
+        # A request that was answered `not_run` may run under the new id of
+        # its retry, so content hashes can't show which attempt ran; run ids
+        # can. The same holds for content that a caller sends as several
+        # requests, each id of which may run once.
         for record in self.records:
             for attempt in record.attempts:
                 attempt.runs = sum(
-                    attempt.own_part in run_id for run_id in run_ids
+                    attempt.caller_part in run_id for run_id in run_ids
                 )
 
-    def _pool_contents(self) -> None:
-        # One content may be sent as several requests (a caller that gives up
-        # and starts anew), and its runs may be those of any of them.
-        pooled: dict[str, set[Outcome]] = {}
-        ids: Counter[str] = Counter()
+    def _group_by_content(self) -> None:
+        # A caller that gives up and starts again sends the same content as a
+        # new request. The runs of that content may belong to any of them.
+        outcomes_by_content: dict[str, set[Outcome]] = {}
+        request_counts: Counter[str] = Counter()
         for record in self.records:
-            told = pooled.setdefault(record.work.content, set())
-            told.update(reading.outcome for reading in record.readings)
-            record.told_of_content = told
-            ids[record.work.content] += 1
+            seen_outcomes = outcomes_by_content.setdefault(
+                record.work.content, set()
+            )
+            seen_outcomes.update(reading.outcome for reading in record.readings)
+            record.content_outcomes = seen_outcomes
+            request_counts[record.work.content] += 1
         for record in self.records:
-            record.requests_of_content = ids[record.work.content]
+            record.content_request_count = request_counts[record.work.content]
 
     def _reasons(self) -> tuple[str, ...]:
         reasons = Counter(
@@ -203,43 +210,45 @@
         return tuple(f'{count} {why}' for why, count in reasons.items())
 
 
-def _is_false_not_run(attempt: Attempt) -> bool:
+def _is_not_run_false(attempt: Attempt) -> bool:
     reading = attempt.reading
-    if reading is None or reading.outcome not in NOTHING_RAN:
+    if reading is None or reading.outcome not in NOT_RUN_OUTCOMES:
         return False
     return bool(attempt.runs)
 
 
 def _faults(record: Record, runs: int) -> list[str]:
-    told = record.told_of_content
+    seen_outcomes = record.content_outcomes
     done = [
         reading
         for reading in record.readings
         if reading.outcome is Outcome.DONE
     ]
     found = []
-    if not all(reading.is_own for reading in done):
-        found.append('an answer passed as done is torn or not its own')
+    if not all(reading.is_expected for reading in done):
+        found.append('outcome is done, but the answer is not the expected one')
     if done and not runs:
-        found.append('done, but no runner ran it')
-    if runs and told and told <= NOTHING_RAN:
-        found.append('told not run, but a runner ran it')
-    if any(_is_false_not_run(attempt) for attempt in record.attempts):
-        found.append('told not run of an id that a runner was given')
-    if record.work.repeat in ONCE:
-        found.extend(_repeats(record, runs))
+        found.append('outcome is done, but no runner ran the request')
+    if runs and seen_outcomes and seen_outcomes <= NOT_RUN_OUTCOMES:
+        found.append('outcome is not_run, but a runner ran the request')
+    if any(_is_not_run_false(attempt) for attempt in record.attempts):
+        found.append(
+            'outcome is not_run, but a runner received this request id'
+        )
+    if record.work.repeat in AT_MOST_ONCE_RULES:
+        found.extend(_repeated_runs(record, runs))
     return found
 
 
-def _repeats(record: Record, runs: int) -> list[str]:
-    """Find a second run, of one id or of all that a content was sent as."""
+def _repeated_runs(record: Record, runs: int) -> list[str]:
+    """Find request request_counts that ran twice and content that ran too often."""
     found = [
-        f'an id ran {attempt.runs} times, at most once allowed'
+        f'a request id ran {attempt.runs} times, allowed is at most once'
         for attempt in record.attempts
         if attempt.runs > 1
     ]
-    if runs > record.requests_of_content:
+    if runs > record.content_request_count:
         found.append(
-            f'ran {runs} times for {record.requests_of_content} requests',
+            f'ran {runs} times for {record.content_request_count} requests',
         )
     return found
--- a/tests/utils/load.py
+++ b/tests/utils/load.py
@@ -1,4 +1,4 @@
-"""A mixed load: short bookings, long debriefs, several tiers."""
+"""Random load for test clusters: plans arrivals and sends them on time."""
 
 import asyncio
 import time
@@ -8,21 +8,22 @@
 from typing import Final
 
 from tests.utils.callers import Caller
-from tests.utils.work import Declared, Work, WorkMaker
+from tests.utils.work import Declaration, Work, WorkFactory
 
 
 @dataclass(frozen=True)
 class Stream:
-    """Requests of one profile that arrive at random at a steady rate."""
+    """Requests of one profile that arrive as a Poisson process."""
 
     profile: str
-    rate: float  # requests a second
+    rate: float  # requests per second
     deadline_s: float
-    prompt_tokens: tuple[int, int] = (0, 0)  # none for plain services
+    prompt_tokens: tuple[int, int] = (0, 0)  # min, max; 0 for plain services
     max_tokens: tuple[int, int] = (0, 0)
 
 
-# One request may be a hundred times longer than the next.
+# Short bookings and long completions over several tiers: the durations of
+# two requests may differ by a factor of 100.
 MIXED: Final = (
     Stream('slot-claim', 8, 10),
     Stream('availability', 6, 5),
@@ -34,38 +35,38 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """One request and when it is sent, in seconds after the start."""
+    """One request and its send time, in seconds after the start."""
 
     at_s: float
     work: Work
 
 
 def plan(
-    declared: Declared,
+    declaration: Declaration,
     streams: Sequence[Stream],
     seconds: float,
     seed: int = 0,
 ) -> list[Arrival]:
-    """Draw all arrivals, in order of time."""
+    """Draw the arrivals of all streams, sorted by send time."""
     rng = Random(seed)
-    make = WorkMaker(declared)
+    make = WorkFactory(declaration)
     arrivals = []
     for stream in streams:
         at_s = rng.expovariate(stream.rate)
         while at_s < seconds:
-            work = _work(make, declared, stream, rng)
+            work = _make_work(make, declaration, stream, rng)
             arrivals.append(Arrival(at_s, work))
             at_s += rng.expovariate(stream.rate)
     return sorted(arrivals, key=lambda arrival: arrival.at_s)
 
 
-def _work(
-    make: WorkMaker,
-    declared: Declared,
+def _make_work(
+    make: WorkFactory,
+    declaration: Declaration,
     stream: Stream,
     rng: Random,
 ) -> Work:
-    workspace = rng.choice(declared.workspaces(stream.profile))
+    workspace = rng.choice(declaration.workspaces(stream.profile))
     if not stream.max_tokens[1]:
         return make.plain(
             workspace,
@@ -86,7 +87,10 @@
     callers: Sequence[Caller],
     is_over: Callable[[], bool] = lambda: False,
 ) -> None:
-    """Send each request at its time, whatever became of those before it."""
+    """Send each request at its time, without waiting for earlier answers.
+
+    Stops sending once `is_over` holds; returns after the last answer.
+    """
     started = time.monotonic()
     async with asyncio.TaskGroup() as tasks:
         for index, arrival in enumerate(arrivals):
--- a/tests/utils/peer_network.py
+++ b/tests/utils/peer_network.py
@@ -1,7 +1,8 @@
-"""Entry VMs' heartbeats on a network in memory, in virtual time.
+"""An in-memory network of entry VMs that exchange heartbeats.
 
-The real tables, heartbeats and digests of each VM; datagrams are handed over
-in order after half a millisecond, or lost. Nothing is served.
+Time is virtual. Each VM has the real tables and sends the real heartbeats
+and digests, but serves no requests. The network delivers datagrams in order
+after 0.5 ms, or loses them.
 """
 
 from collections import deque
@@ -35,74 +36,74 @@
 STEP_S = 0.01
 DOMAINS = 3
 SEEDS = 3
-FIRST = '1'  # the incarnation of VMs of the system's first start
+FIRST = '1'  # incarnation of the VMs at the system's first start
 ALLOWANCE = Allowance(rate_per_s=50_000, burst=100_000)
 
 
 @dataclass
 class Vm:
-    """One VM's tables and socket."""
+    """The tables and the peer socket of one VM."""
 
     name: str
     address: str
     members: Members
     allotments: AllotmentBook
     peers: Peers
-    next_beat: float
+    next_beat_at: float
     is_up: bool = True
     is_ready: bool = True
 
     def state(self) -> tuple[bool, bool]:
-        """Tell whether it is ready, and whether it leaves."""
+        """Return whether the VM is ready and whether it is leaving."""
         return self.is_ready, False
 
     def spend(self, workspace: str, units: float, now: float) -> None:
-        """Admit a request of a workspace."""
+        """Admit a request of a workspace that costs `units`."""
         self.allotments.admit(workspace, ALLOWANCE, units, now)
 
     def debt(self, workspace: str) -> float:
-        """Return what it knows that all VMs have taken of an allotment."""
+        """Return the debt over all VMs, in units, that this VM knows of."""
         spending = self.allotments.spendings().get(workspace)
         return spending.debt if spending else 0
 
 
 @dataclass
 class Network:
-    """All VMs, and the datagrams between them."""
+    """All VMs and the datagrams in flight between them."""
 
     clock: ManualClock = field(default_factory=lambda: ManualClock(START))
     loss: float = 0
-    rng: Random = field(default_factory=lambda: Random(7))  # of losses
+    rng: Random = field(default_factory=lambda: Random(7))  # draws the losses
     vms: dict[str, Vm] = field(default_factory=dict)  # by address
-    cut: set[frozenset[str]] = field(default_factory=set)  # domains
+    cut: set[frozenset[str]] = field(default_factory=set)  # pairs of domains
     messages: int = 0
     size: int = 0  # bytes
-    crossing: int = 0  # bytes between domains
-    seconds: float = 0  # of processor time
+    crossing: int = 0  # bytes sent between domains
+    seconds: float = 0  # processor time
     _queue: deque[tuple[float, bytes, str, str]] = field(default_factory=deque)
 
     def add(
         self, number: int, incarnation: str = FIRST, capacity: int = 1
     ) -> Vm:
-        """Start a VM; the first `SEEDS` are the seeds of all."""
+        """Start a VM; VMs 0 to `SEEDS` - 1 are the seed peers of all VMs."""
         vm = _make_vm(self, number, incarnation, capacity)
         self.vms[vm.address] = vm
         return vm
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock, deliver datagrams and send heartbeats."""
         end = self.clock.monotonic() + seconds
         while self.clock.monotonic() < end:
             self.clock.advance(STEP_S)
             self._deliver()
-            self._beat()
+            self._send_heartbeats()
 
     def up(self) -> list[Vm]:
-        """Return the VMs that run."""
+        """Return the running VMs."""
         return [vm for vm in self.vms.values() if vm.is_up]
 
     def all_hear_all(self) -> bool:
-        """Tell whether each VM takes just the running ones for alive."""
+        """Whether each VM regards exactly the running VMs as alive."""
         now = self.clock.monotonic()
         running = {vm.name for vm in self.up()}
         return all(
@@ -110,49 +111,51 @@
             for vm in self.up()
         )
 
-    def until_all_hear_all(self, most_s: float = 10) -> float:
-        """Run until then; returns how long it took."""
-        began = self.clock.monotonic()
+    def until_all_hear_all(self, max_s: float = 10) -> float:
+        """Run until `all_hear_all`; return the virtual seconds it took."""
+        started_at = self.clock.monotonic()
         while not self.all_hear_all():
-            assert self.clock.monotonic() - began < most_s, 'not all heard'
+            assert self.clock.monotonic() - started_at < max_s, (
+                'VMs have not discovered each other'
+            )
             self.run(STEP_S)
-        return self.clock.monotonic() - began
+        return self.clock.monotonic() - started_at
 
     def reset_counts(self) -> None:
-        """Start counting anew."""
+        """Set the traffic and processor time counters to 0."""
         self.messages, self.size, self.crossing = 0, 0, 0
         self.seconds = 0
 
     def send(self, payload: bytes, sender: str, receiver: str) -> None:
-        """Take a datagram from a socket."""
+        """Count a datagram and queue it for delivery, or lose it."""
         self.messages += 1
         self.size += len(payload)
-        ends = frozenset((_domain(sender), _domain(receiver)))
-        if len(ends) > 1:
+        domains = frozenset((_domain(sender), _domain(receiver)))
+        if len(domains) > 1:
             self.crossing += len(payload)
-        if ends in self.cut or self.rng.random() < self.loss:
+        if domains in self.cut or self.rng.random() < self.loss:
             return
         at = self.clock.monotonic() + DELAY_S
         self._queue.append((at, payload, sender, receiver))
 
     def _deliver(self) -> None:
-        began = process_time()
+        started_at = process_time()
         now = self.clock.monotonic()
         while self._queue and self._queue[0][0] <= now:
             _, payload, sender, receiver = self._queue.popleft()
             vm = self.vms.get(receiver)
             if vm is not None and vm.is_up:
                 vm.peers.datagram_received(payload, (sender, PORT))
-        self.seconds += process_time() - began
+        self.seconds += process_time() - started_at
 
-    def _beat(self) -> None:
-        began = process_time()
+    def _send_heartbeats(self) -> None:
+        started_at = process_time()
         now = self.clock.monotonic()
         for vm in self.up():
-            if vm.next_beat <= now:
-                vm.next_beat += BEAT_S
+            if vm.next_beat_at <= now:
+                vm.next_beat_at += BEAT_S
                 vm.peers.beat()
-        self.seconds += process_time() - began
+        self.seconds += process_time() - started_at
 
 
 class _Socket:
@@ -161,15 +164,15 @@
         self._address = address
 
     def sendto(self, payload: bytes, where: tuple[str, int]) -> None:
-        """Send a datagram."""
+        """Send a datagram through the network."""
         self._network.send(payload, self._address, where[0])
 
     def close(self) -> None:
-        """Do nothing."""
+        """Do nothing; the network has no real socket to close."""
 
 
 def started(count: int, **options: Any) -> Network:
-    """Start VMs at once and let them find each other."""
+    """Start `count` VMs; return once all have discovered each other."""
     network = Network(**options)
     for number in range(count):
         network.add(number)
@@ -178,7 +181,7 @@
 
 
 def address_of(number: int) -> str:
-    """Return where a VM listens; its second part is its domain."""
+    """Return a VM's address; the second octet is its failure domain."""
     return f'10.{number % DOMAINS}.{number // 250}.{number % 250}'
 
 
@@ -218,6 +221,6 @@
     peers = Peers(members, queues.engines, listener, PORT, clock, events)
     peers.add_seeds(address_of(seed) for seed in range(SEEDS))
     peers.connection_made(_Socket(network, address))
-    first = clock.monotonic() + Random(number).uniform(0, BEAT_S)
-    vm = Vm(name, address, members, allotments, peers, first)
+    first_beat = clock.monotonic() + Random(number).uniform(0, BEAT_S)
+    vm = Vm(name, address, members, allotments, peers, first_beat)
     return vm
--- a/tests/utils/processes.py
+++ b/tests/utils/processes.py
@@ -1,4 +1,4 @@
-"""Processes that a test starts, and ends by pid whatever happens."""
+"""Child processes of tests, which end with the test process."""
 
 import asyncio
 import ctypes
@@ -11,27 +11,28 @@
 
 ROOT: Final = Path(__file__).resolve().parents[2]
 EXIT_LIMIT_S: Final = 10
-LOG_TAIL: Final = 12
+LOG_TAIL_LINES: Final = 12
 PR_SET_PDEATHSIG: Final = 1
 
 _LIBC: Final = ctypes.CDLL(None)
 
 
-def _die_with_parent() -> None:
-    # A harness that is killed can't clean up: its children would stay and
-    # hold their addresses. The kernel ends them instead, frozen ones too.
+def _set_parent_death_signal() -> None:
+    # A killed test process can't clean up, and its children would keep their
+    # addresses in use. So the kernel kills them, also those that are stopped
+    # by SIGSTOP.
     _LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 class ProcessEndedError(Exception):
-    """A process that should run has ended."""
+    """A process ended although it should be running."""
 
 
 class Process:
-    """One program, its output in a file of the run directory."""
+    """One child process that runs a Python module and logs to a file."""
 
     def __init__(self, name: str, argv: Sequence[str], log: Path) -> None:
-        """Describe the process; `start` starts it."""
+        """Set the module and its flags (`argv`); `start` starts the process."""
         self.name = name
         self.log = log
         self._argv = argv
@@ -54,7 +55,7 @@
         return self._child is not None and self._child.returncode is None
 
     async def start(self) -> None:
-        """Start, in a session of its own so that Ctrl-C reaches only us."""
+        """Start the process in its own session, so that Ctrl-C doesn't reach it."""
         with self.log.open('ab') as output:
             self._child = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -66,34 +67,34 @@
                 stdout=output,
                 stderr=output,
                 start_new_session=True,
-                preexec_fn=_die_with_parent,
+                preexec_fn=_set_parent_death_signal,
             )
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Signal the process unless it has ended."""
+        """Send a signal to the process unless it has ended."""
         if self._child is not None and self._child.returncode is None:
             self._child.send_signal(number)
 
     async def wait(self, limit_s: float = EXIT_LIMIT_S) -> int:
-        """Wait for the end and return the exit code."""
+        """Wait until the process has ended; return its exit code."""
         assert self._child is not None
         async with asyncio.timeout(limit_s):
             return await self._child.wait()
 
     async def kill(self) -> None:
-        """End the process at once; a frozen one ends too."""
+        """Send SIGKILL, which also ends a stopped process, and wait."""
         if self.is_running:
             self.send_signal(signal.SIGKILL)
             await self.wait()
 
     def check_running(self) -> None:
-        """Raise with the last lines of the log if the process has ended."""
+        """Raise ProcessEndedError with the log's tail if the process has ended."""
         if not self.is_running:
-            tail = '\n'.join(self.log_text().splitlines()[-LOG_TAIL:])
+            tail = '\n'.join(self.log_text().splitlines()[-LOG_TAIL_LINES:])
             raise ProcessEndedError(
                 f'{self.name} ended with {self.exit_code}; {self.log}:\n{tail}',
             )
 
     def log_text(self) -> str:
-        """Return what the process wrote so far."""
+        """Return the output of the process so far."""
         return self.log.read_text(errors='replace')
--- a/tests/utils/raw_runner.py
+++ b/tests/utils/raw_runner.py
@@ -1,4 +1,4 @@
-"""A stand-in for a runner, down to the bytes that it writes."""
+"""A stand-in runner whose tests control each byte that it sends."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Mapping
@@ -6,14 +6,14 @@
 
 import h11
 
-ID = 'x-bramleybend-attempt-id'
-STAMP = 'x-bramleybend-response-stamp'
-LIMIT = 'server-limit'
+ATTEMPT_ID_HEADER = 'x-bramleybend-attempt-id'
+STAMP_HEADER = 'x-bramleybend-response-stamp'
+LIMIT_HEADER = 'server-limit'
 
 
 @dataclass
 class Seen:
-    """One request that came in."""
+    """One request that the runner received, with its connection."""
 
     method: str
     target: str
@@ -25,8 +25,8 @@
 
     @property
     def attempt(self) -> str:
-        """Return the id that the answer has to echo."""
-        return self.headers.get(ID, '')
+        """Return the attempt id, which the answer has to echo."""
+        return self.headers.get(ATTEMPT_ID_HEADER, '')
 
     def answer(
         self,
@@ -35,18 +35,23 @@
         attempt: str = '',
         limit: str = '',
     ) -> bytes:
-        """Return a whole answer's bytes; `limit` in requests a second."""
-        limited = f'{LIMIT}: {limit}\r\n' if limit else ''
+        """Return the bytes of a complete answer.
+
+        `limit` is the server limit in requests per second.
+        """
+        limit_line = f'{LIMIT_HEADER}: {limit}\r\n' if limit else ''
         return (
-            f'HTTP/1.1 {status}\r\n{ID}: {attempt or self.attempt}\r\n'
-            f'{STAMP}: s1\r\nKeep-Alive: timeout=5\r\n{limited}'
+            f'HTTP/1.1 {status}\r\n'
+            f'{ATTEMPT_ID_HEADER}: {attempt or self.attempt}\r\n'
+            f'{STAMP_HEADER}: s1\r\nKeep-Alive: timeout=5\r\n{limit_line}'
             f'Content-Length: {len(body)}\r\n\r\n'
         ).encode() + body
 
     def stream_head(self) -> bytes:
-        """Return the head of a chunked stream."""
+        """Return the response head of a chunked event stream."""
         return (
-            f'HTTP/1.1 200 OK\r\n{ID}: {self.attempt}\r\n{STAMP}: s1\r\n'
+            f'HTTP/1.1 200 OK\r\n{ATTEMPT_ID_HEADER}: {self.attempt}\r\n'
+            f'{STAMP_HEADER}: s1\r\n'
             'Content-Type: text/event-stream\r\n'
             'Transfer-Encoding: chunked\r\n\r\n'
         ).encode()
@@ -56,7 +61,7 @@
 
 
 def chunk(text: bytes) -> bytes:
-    """Frame one chunk; an empty one ends the body."""
+    """Encode one chunk; an empty one ends the body."""
     return b'%x\r\n%b\r\n' % (len(text), text)
 
 
@@ -66,12 +71,12 @@
 
 
 async def answers(seen: Seen) -> None:
-    """Answer well at once."""
+    """Answer at once with status 200."""
     seen.writer.write(seen.answer())
 
 
 async def streams(seen: Seen) -> None:
-    """Stream three events, beyond the one that the caller has."""
+    """Stream events up to the third, after the caller's last event id."""
     first = int(seen.headers.get('last-event-id', '0')) + 1
     seen.writer.write(seen.stream_head())
     for number in range(first, 4):
@@ -81,7 +86,7 @@
 
 @dataclass
 class RawRunner:
-    """One runner; `behave` tells what it does with each request."""
+    """A runner that passes each request to `behave`, which answers it."""
 
     host: str
     name: str
@@ -93,7 +98,7 @@
     _tasks: set['asyncio.Task[None]'] = field(default_factory=set)
 
     async def start(self) -> None:
-        """Listen."""
+        """Listen; a port of 0 is replaced by the one that was bound."""
         self._server = await asyncio.start_server(
             self._serve, self.host, self.port
         )
@@ -108,7 +113,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def entry(self, service: str, state: str = 'ready') -> dict[str, object]:
-        """Return what the runner writes of itself."""
+        """Return the runner's registry record."""
         return {
             'service': service,
             'addr': f'{self.host}:{self.port}',
@@ -128,14 +133,14 @@
         self._tasks.add(task)
         self.connections += 1
         try:
-            await self._requests(reader, writer, self.connections)
+            await self._serve_requests(reader, writer, self.connections)
         except (OSError, asyncio.CancelledError, h11.ProtocolError):
             writer.transport.abort()
         finally:
             self._tasks.discard(task)
             writer.close()
 
-    async def _requests(
+    async def _serve_requests(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -144,7 +149,7 @@
         http = h11.Connection(h11.SERVER)
         left = asyncio.Event()
         while True:
-            head, body = await _read(http, reader)
+            head, body = await _read_request(http, reader)
             if head is None:
                 left.set()
                 return
@@ -161,41 +166,41 @@
                 connection,
             )
             self.seen.append(seen)
-            behaving = asyncio.ensure_future(self.behave(seen))
-            early = asyncio.ensure_future(reader.read(65536))
+            behave_task = asyncio.ensure_future(self.behave(seen))
+            next_read = asyncio.ensure_future(reader.read(65536))
             done, _ = await asyncio.wait(
-                {behaving, early}, return_when=asyncio.FIRST_COMPLETED
+                {behave_task, next_read}, return_when=asyncio.FIRST_COMPLETED
             )
-            if early in done and not _received(early):
+            if next_read in done and not _read_result(next_read):
                 left.set()
-                behaving.cancel()
+                behave_task.cancel()
                 return
-            await behaving
+            await behave_task
             await writer.drain()
             http = h11.Connection(h11.SERVER)
-            received = await early
+            received = await next_read
             http.receive_data(received)
 
 
-def _received(early: 'asyncio.Future[bytes]') -> bytes:
-    """Return what came; a reset is an end like any other."""
-    return b'' if early.exception() else early.result()
+def _read_result(next_read: 'asyncio.Future[bytes]') -> bytes:
+    """Return the bytes read; a connection reset counts as end of file."""
+    return b'' if next_read.exception() else next_read.result()
 
 
-async def _read(
+async def _read_request(
     http: h11.Connection, reader: asyncio.StreamReader
 ) -> tuple[h11.Request | None, bytes]:
     head: h11.Request | None = None
     body = b''
     while True:
-        got = http.next_event()
-        if got is h11.NEED_DATA:
+        http_event = http.next_event()
+        if http_event is h11.NEED_DATA:
             http.receive_data(await reader.read(65536))
-        elif isinstance(got, h11.Request):
-            head = got
-        elif isinstance(got, h11.Data):
-            body += bytes(got.data)
-        elif isinstance(got, h11.EndOfMessage):
+        elif isinstance(http_event, h11.Request):
+            head = http_event
+        elif isinstance(http_event, h11.Data):
+            body += bytes(http_event.data)
+        elif isinstance(http_event, h11.EndOfMessage):
             return head, body
         else:
             return None, b''
--- a/tests/utils/relay.py
+++ b/tests/utils/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay that can cut a link, one way or both, or make it thin."""
+"""A TCP relay that blocks traffic in one or both directions or paces it."""
 
 import asyncio
 from collections.abc import Sequence
@@ -10,7 +10,7 @@
 
 
 class Cut(Flag):
-    """Which way bytes do not pass."""
+    """The directions in which a relay holds bytes back."""
 
     NONE = 0
     TO_TARGET = auto()
@@ -19,26 +19,26 @@
 
 
 class Link:
-    """A VM's own link, shared by all connections that pass over it."""
+    """A link of limited bandwidth that several connections share."""
 
     def __init__(self, bytes_per_s: float) -> None:
-        """Start idle."""
+        """Limit the link to `bytes_per_s`."""
         self._bytes_per_s = bytes_per_s
         self._free_at = float(0)
 
-    async def carry(self, size: int) -> None:
-        """Return when as many bytes have passed, after all before them."""
+    async def transmit(self, size: int) -> None:
+        """Wait until `size` bytes have passed, after those queued before."""
         now = asyncio.get_running_loop().time()
         self._free_at = max(now, self._free_at) + size / self._bytes_per_s
         await asyncio.sleep(self._free_at - now)
 
 
 class Relay:
-    """Passes connections on to a target.
+    """Forwards TCP connections to a target.
 
-    A cut holds bytes back without closing anything, as a network does. After
-    `heal` they arrive late, as TCP would send them again; `heal(drop=True)`
-    closes the held connections instead.
+    `cut` holds bytes back and leaves the connections open, as a network
+    partition does. After `heal` the bytes arrive late, as with TCP's
+    retransmission; `heal(drop=True)` closes the connections instead.
     """
 
     def __init__(
@@ -49,9 +49,10 @@
         target_port: int,
         links: Sequence[Link] = (),
     ) -> None:
-        """Take both addresses; `start` listens.
+        """Set both addresses; `start` listens.
 
-        Answers of the target pass over each of `links`, which others may use.
+        Bytes from the target pass over each of `links`, which other relays
+        may share.
         """
         self.host = host
         self.port = port
@@ -69,7 +70,7 @@
         return f'http://{self.host}:{self.port}'
 
     async def start(self) -> None:
-        """Listen."""
+        """Listen on the relay's address."""
         self._server = await asyncio.start_server(
             self._serve,
             self.host,
@@ -80,21 +81,21 @@
         """Stop listening and close every connection."""
         if self._server is not None:
             self._server.close()
-        await self._drop()
+        await self._close_connections()
 
     def cut(self, cut: Cut) -> None:
-        """Hold back what goes this way, on old and new connections."""
+        """Hold bytes back in these directions, on old and new connections."""
         self._cut = cut
         self._healed.clear()
 
     async def heal(self, drop: bool = False) -> None:
-        """Let bytes pass again."""
+        """Forward bytes again; with `drop`, close all connections first."""
         if drop:
-            await self._drop()
+            await self._close_connections()
         self._cut = Cut.NONE
         self._healed.set()
 
-    async def _drop(self) -> None:
+    async def _close_connections(self) -> None:
         tasks = tuple(self._tasks)
         for task in tasks:
             task.cancel()
@@ -109,47 +110,47 @@
         assert task is not None
         self._tasks.add(task)
         try:
-            await self._pass_both_ways(reader, writer)
+            await self._forward_both_directions(reader, writer)
         except (OSError, asyncio.CancelledError):
             writer.transport.abort()
         finally:
             self._tasks.discard(task)
             writer.close()
 
-    async def _pass_both_ways(
+    async def _forward_both_directions(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
         target = await asyncio.open_connection(*self._target)
-        ways = (
+        directions = (
             asyncio.create_task(
-                self._pass(reader, target[1], Cut.TO_TARGET),
+                self._forward(reader, target[1], Cut.TO_TARGET),
             ),
             asyncio.create_task(
-                self._pass(target[0], writer, Cut.FROM_TARGET),
+                self._forward(target[0], writer, Cut.FROM_TARGET),
             ),
         )
         try:
-            await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for way in ways:
-                way.cancel()
+            for direction in directions:
+                direction.cancel()
             target[1].transport.abort()
 
-    async def _pass(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        way: Cut,
+        direction: Cut,
     ) -> None:
-        links = self._links if way is Cut.FROM_TARGET else ()
+        links = self._links if direction is Cut.FROM_TARGET else ()
         read_size = PACED_READ_SIZE if links else READ_SIZE
         while True:
             chunk = await reader.read(read_size)
             for link in links:
-                await link.carry(len(chunk))
-            while way in self._cut:
+                await link.transmit(len(chunk))
+            while direction in self._cut:
                 await self._healed.wait()
             if not chunk:
                 return
--- a/tests/utils/terms_changes.py
+++ b/tests/utils/terms_changes.py
@@ -13,7 +13,7 @@
 from tests.utils.http_client import BrokenCallError, call_json
 from tests.utils.ledger import Reading
 from tests.utils.scenario import LARGE_SCHOOL, Scenario
-from tests.utils.work import Declared, WorkMaker
+from tests.utils.work import Declaration, WorkFactory
 
 
 def with_profile(name: str) -> str:
@@ -29,7 +29,7 @@
 
 async def ask_under(vm: EntryVm, profile: str) -> Reading | None:
     """Send one request under a profile to this VM, as its home."""
-    make = WorkMaker(Declared.load(with_profile(profile)))
+    make = WorkFactory(Declaration.load(with_profile(profile)))
     work = make.plain(LARGE_SCHOOL, profile)
     try:
         told = await call_json('GET', f'{vm.url}/v1/address')
--- a/tests/utils/test_callers.py
+++ b/tests/utils/test_callers.py
@@ -183,7 +183,7 @@
     record = await _caller(gateway, Ledger()).send(work)
     assert record.attempts[0].sends == 2
     assert record.final is not None
-    assert record.final.is_own
+    assert record.final.is_expected
 
 
 async def test_wrong_answers_are_found(gateway: _FakeGateway) -> None:
--- a/tests/utils/waiting.py
+++ b/tests/utils/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting on conditions instead of sleeping."""
+"""Polls a condition until it holds, instead of a fixed sleep."""
 
 import asyncio
 import inspect
@@ -15,7 +15,10 @@
     what: str,
     limit_s: float = LIMIT_S,
 ) -> float:
-    """Return how long the condition took; fail by name if it never held."""
+    """Poll `condition` until it holds; return the seconds that it took.
+
+    Raises TimeoutError with `what` in its message after `limit_s`.
+    """
     started = time.monotonic()
     while time.monotonic() - started < limit_s:
         held = condition()
--- a/tests/utils/work.py
+++ b/tests/utils/work.py
@@ -1,4 +1,4 @@
-"""Requests that callers send, each with a content of its own."""
+"""Requests of test callers, each with unique content."""
 
 import json
 import uuid
@@ -15,14 +15,14 @@
 
 
 @dataclass(frozen=True)
-class Declared:
-    """What a declaration says of the profiles, as callers know them."""
+class Declaration:
+    """The profiles and workspaces of a terms document."""
 
     document: dict[str, Any]
 
     @classmethod
-    def load(cls, text: str) -> 'Declared':
-        """Read a declaration file."""
+    def load(cls, text: str) -> 'Declaration':
+        """Parse a terms document (YAML)."""
         return cls(yaml.safe_load(text))
 
     def tier(self, profile: str) -> Tier:
@@ -30,7 +30,7 @@
         return Tier(self.document['profiles'][profile]['tier'])
 
     def repeat(self, profile: str) -> Repeat:
-        """Return how often a profile's requests may run."""
+        """Return the repeat rule of a profile."""
         return Repeat(self.document['profiles'][profile]['repeat'])
 
     def service(self, profile: str) -> str:
@@ -38,12 +38,12 @@
         return str(self.document['profiles'][profile]['service'])
 
     def kind(self, profile: str) -> ServiceKind:
-        """Return what stands behind a profile."""
+        """Return the kind of service that serves a profile."""
         service = self.document['services'][self.service(profile)]
         return ServiceKind(service['kind'])
 
     def workspaces(self, profile: str) -> list[str]:
-        """Return who may use a profile."""
+        """Return the workspaces that may use a profile."""
         return [
             name
             for name, workspace in self.document['workspaces'].items()
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class Work:
-    """One request as its caller means it, whatever ids it is sent under."""
+    """One request of a caller; retries send it under further request ids."""
 
     workspace: str
     service: str
@@ -69,37 +69,37 @@
 
     @cached_property
     def content(self) -> str:
-        """Return the hash that runners record for this request."""
+        """Return the content hash that runners record for this request."""
         if self.prompt:
             return content_hash(self.prompt.encode())
         return content_hash(self.body)
 
-    def is_whole(self, answer: bytes) -> bool:
-        """Whether an unstreamed answer is this request's own, entire."""
+    def is_complete(self, answer: bytes) -> bool:
+        """Whether an unstreamed answer is the complete expected one."""
         if not self.prompt:
             return answer == expected_body(self.body)
         try:
-            return self.is_whole_text(json.loads(answer)['text'])
+            return self.is_complete_text(json.loads(answer)['text'])
         except (ValueError, KeyError, TypeError):
             return False
 
-    def is_whole_text(self, text: str) -> bool:
-        """Whether the joined tokens of a stream are the entire answer."""
+    def is_complete_text(self, text: str) -> bool:
+        """Whether the joined tokens of a stream are the complete answer."""
         return text == expected_text(self.prompt, self.max_tokens)
 
 
-class WorkMaker:
-    """Makes requests under the profiles of one declaration."""
+class WorkFactory:
+    """Makes requests under the profiles of one terms document."""
 
-    def __init__(self, declared: Declared) -> None:
-        """Take tiers and services from `declared`."""
-        self._declared = declared
+    def __init__(self, declaration: Declaration) -> None:
+        """Use the tiers and services of `declaration`."""
+        self._declaration = declaration
 
     def plain(self, workspace: str, profile: str, **options: Any) -> Work:
-        """Make a short call of a plain service."""
+        """Make a booking request for a plain service."""
         booking = {'slot': uuid.uuid4().hex, 'aircraft': 'AP-BHK'}
         return Work(
-            **self._named(workspace, profile),
+            **self._profile_fields(workspace, profile),
             body=json.dumps(booking).encode(),
             **options,
         )
@@ -114,7 +114,10 @@
         marker: str = '',
         **options: Any,
     ) -> Work:
-        """Make a prompt: the workspace's own preamble, then a new text."""
+        """Make a completion request: a workspace's shared prefix, then new text.
+
+        The prompt has about `prompt_tokens` tokens and contains `marker`.
+        """
         prompt = _prompt(workspace, prompt_tokens, marker)
         body = {
             'prompt': prompt,
@@ -122,7 +125,7 @@
             'stream': is_streamed,
         }
         return Work(
-            **self._named(workspace, profile),
+            **self._profile_fields(workspace, profile),
             body=json.dumps(body).encode(),
             prompt=prompt,
             max_tokens=max_tokens,
@@ -130,19 +133,19 @@
             **options,
         )
 
-    def _named(self, workspace: str, profile: str) -> dict[str, Any]:
+    def _profile_fields(self, workspace: str, profile: str) -> dict[str, Any]:
         return {
             'workspace': workspace,
-            'service': self._declared.service(profile),
+            'service': self._declaration.service(profile),
             'profile': profile,
-            'tier': self._declared.tier(profile),
-            'repeat': self._declared.repeat(profile),
+            'tier': self._declaration.tier(profile),
+            'repeat': self._declaration.repeat(profile),
         }
 
 
 def _prompt(workspace: str, tokens: int, marker: str) -> str:
-    # Half of a prompt is the syllabus its workspace always sends, which is
-    # what a prefix cache can save; the rest is new.
+    # All prompts of a workspace begin with the same text, so that a prefix
+    # cache can serve half of each prompt; the other half is unique.
     shared = f'{workspace} {" ".join(WORDS)} ' * tokens
     unique = f'{uuid.uuid4().hex} {marker} {uuid.uuid4().hex} ' * tokens
     half = max(tokens * 2, 128)
