--- a/tests/direct/test_allotments_after_restart.py
+++ b/tests/direct/test_allotments_after_restart.py
@@ -52,7 +52,7 @@
     demand.run(3)
     demand.restart(range(count), down_s=1, within_s=within_s)
     demand.run(5)
-    assert demand.most_in_window() <= demand.tolerated()
+    assert demand.max_units_in_window() <= demand.max_tolerated_units()
 
 
 @pytest.mark.parametrize('count', [6, 9])
@@ -64,7 +64,7 @@
     demand.run(3)
     demand.restart(range(count), down_s=1, within_s=0.3)
     demand.run(5)
-    assert demand.most_in_window() <= demand.tolerated()
+    assert demand.max_units_in_window() <= demand.max_tolerated_units()
 
 
 def test_the_first_start_of_a_system_has_its_whole_burst() -> None:
@@ -90,7 +90,7 @@
     demand.refused.clear()
     starter = demand.network.up()[-1]
     assert starter.name == f'entry-{count - 1}'
-    assert demand.is_let_in_by(starter)
+    assert demand.is_admitted_by(starter)
     demand.run(3)
     assert not demand.refused
 
@@ -138,7 +138,7 @@
     for number in range(9):
         demand.restart([number], down_s=0.3, within_s=0)
         demand.run(0.5)
-    assert demand.most_in_window() <= demand.tolerated()
+    assert demand.max_units_in_window() <= demand.max_tolerated_units()
 
 
 def test_spending_assumed_after_a_start_is_not_reported() -> None:
@@ -160,7 +160,7 @@
     demand.network.until_all_hear_all()
     demand.run(2 * BEAT_S)
     demand.refused.clear()
-    assert all(demand.is_let_in_by(vm) for vm in demand.network.up())
+    assert all(demand.is_admitted_by(vm) for vm in demand.network.up())
     demand.run(3)
     assert not demand.refused
 
@@ -180,7 +180,7 @@
     names = {f'entry-{number}' for number in restarted}
     assert {name for _, name in demand.refused} <= names
     demand.refused.clear()
-    assert all(demand.is_let_in_by(vm) for vm in demand.network.up())
+    assert all(demand.is_admitted_by(vm) for vm in demand.network.up())
     demand.run(3)
     assert not demand.refused
 
--- a/tests/utils/demo.py
+++ b/tests/utils/demo.py
@@ -1,4 +1,4 @@
-"""The demo: stand-ins, six entry VMs, a mixed load and a table for people."""
+"""The demo: runs six entry VMs under a mixed load and prints a table."""
 
 import argparse
 import asyncio
@@ -22,13 +22,13 @@
 from tests.utils.work import Declaration
 
 LOAD_S: Final = 12
-CALLERS: Final = 12
+CALLER_COUNT: Final = 12
 SEED: Final = 7
 RUN_ROOT: Final = ROOT / 'run'
 PERCENTILE: Final = 95
-WRONG_SHOWN: Final = 10
+MAX_FAULTS_SHOWN: Final = 10
 
-# Unlike speeds: the slowest engine takes four times as long as the fastest.
+# The fastest engine is four times as fast as the slowest.
 ENGINES: Final = tuple(
     EngineConfig(
         prefill_tps=30_000 * speed,
@@ -46,59 +46,64 @@
 
 
 async def demo(linger_s: float) -> Verdict:
-    """Start all, send the load, print the table."""
-    run_dir = RUN_ROOT / f'demo-{os.getpid()}'  # two demos may run at once
+    """Start a cluster, send the load and print the table.
+
+    Afterwards the cluster stays up for `linger_s`.
+    """
+    run_dir = (
+        RUN_ROOT / f'demo-{os.getpid()}'
+    )  # own directory for each of several demos
     run_dir.mkdir(parents=True, exist_ok=True)
     declaration = Declaration.load(EXAMPLE.read_text())
     ledger = Ledger()
     async with Cluster(LAYOUT, run_dir) as cluster:
-        took_s = await cluster.ready()
-        _print(f'{len(cluster.vms)} entry VMs ready in {took_s:.1f} s')
-        _print(f'logs in {run_dir}')
-        _print(f'sending a mixed load for {LOAD_S} s')
+        startup_s = await cluster.ready()
+        _print_line(f'{len(cluster.vms)} entry VMs ready in {startup_s:.1f} s')
+        _print_line(f'logs in {run_dir}')
+        _print_line(f'sending a mixed load for {LOAD_S} s')
         entries = [vm.endpoint for vm in cluster.vms]
         callers = [
             Caller(entries[index % len(entries) :] + entries, ledger)
-            for index in range(CALLERS)
+            for index in range(CALLER_COUNT)
         ]
         await play(plan(declaration, MIXED, LOAD_S, SEED), callers)
         verdict = ledger.judge(
             cluster.runners.runs_of(),
             cluster.runners.run_ids(),
         )
-        _report(ledger, verdict, cluster)
+        _print_report(ledger, verdict, cluster)
         if linger_s:
             await _linger(cluster, linger_s)
     return verdict
 
 
 def wasted_prefill(engines: Sequence[Engine]) -> int:
-    """Count prompt tokens that had been prefilled somewhere before."""
+    """Count the prompt tokens that were prefilled more than once."""
     computed = [engine.cache.computed for engine in engines]
     distinct = set().union(*computed)
     total = sum(counter.total() for counter in computed)
     return (total - len(distinct)) * BLOCK_TOKENS
 
 
-def _report(ledger: Ledger, verdict: Verdict, cluster: Cluster) -> None:
-    _print('')
-    _print('tier       sent   done  not run   first token median      p95')
+def _print_report(ledger: Ledger, verdict: Verdict, cluster: Cluster) -> None:
+    _print_line('')
+    _print_line('tier       sent   done  not run   first token median      p95')
     for tier in Tier:
-        _print(_row(tier, ledger.of_tier(tier)))
+        _print_line(_format_row(tier, ledger.of_tier(tier)))
     engines = cluster.runners.engines
     prefilled = sum(
         engine.cache.computed.total() * BLOCK_TOKENS for engine in engines
     )
     wasted = wasted_prefill(engines)
-    _print('')
-    _print(f'prefilled {prefilled} prompt tokens, wasted {wasted}')
+    _print_line('')
+    _print_line(f'prefilled {prefilled} prompt tokens, wasted {wasted}')
     for reason in verdict.reasons:
-        _print(f'not done: {reason}')
-    for fault in verdict.wrong[:WRONG_SHOWN]:
-        _print(f'wrong: {fault}')
+        _print_line(f'not done: {reason}')
+    for fault in verdict.wrong[:MAX_FAULTS_SHOWN]:
+        _print_line(f'wrong: {fault}')
 
 
-def _row(tier: Tier, records: Sequence[Record]) -> str:
+def _format_row(tier: Tier, records: Sequence[Record]) -> str:
     done = [each for each in records if each.outcome is Outcome.DONE]
     not_run = [each for each in records if each.outcome is Outcome.NOT_RUN]
     waits = sorted(each.first_token_s for each in done)
@@ -115,10 +120,10 @@
 
 
 async def _linger(cluster: Cluster, linger_s: float) -> None:
-    _print(f'up for {linger_s:g} s more')
-    _print(f'log service {cluster.log.url}  VM list {cluster.vm_list.url}')
+    _print_line(f'up for {linger_s:g} s more')
+    _print_line(f'log service {cluster.log.url}  VM list {cluster.vm_list.url}')
     for vm in cluster.vms:
-        _print(
+        _print_line(
             f'{vm.name:<12} http {vm.endpoint}  '
             f'address {vm.settings.address}  pids '
             + ' '.join(str(each.pid) for each in vm.processes),
@@ -126,11 +131,11 @@
     await asyncio.sleep(linger_s)
 
 
-def _print(line: str) -> None:
+def _print_line(line: str) -> None:
     print(line, flush=True)  # noqa: WPS421
 
 
-async def _until_terminated(linger_s: float) -> Verdict:
+async def _run_until_terminated(linger_s: float) -> Verdict:
     task = asyncio.current_task()
     assert task is not None
     loop = asyncio.get_running_loop()
@@ -149,13 +154,13 @@
     )
     cfg = flags.parse_args()
     try:
-        verdict = asyncio.run(_until_terminated(cfg.linger))
+        verdict = asyncio.run(_run_until_terminated(cfg.linger))
     except (KeyboardInterrupt, asyncio.CancelledError):
         return ExitStatus.INTERRUPTED
     except (ProcessEndedError, TimeoutError) as exc:
-        _print(f'the system did not come up: {exc}')
+        _print_line(f'the system did not come up: {exc}')
         return ExitStatus.ERROR
-    _print(f'demo: {verdict}')
+    _print_line(f'demo: {verdict}')
     return ExitStatus.OK if verdict.is_clean else ExitStatus.ERROR
 
 
--- a/tests/utils/endless_bytes.py
+++ b/tests/utils/endless_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes that are no message and have no end."""
+"""Byte sequences of HTTP messages that never end, for limit tests."""
 
 from types import MappingProxyType
 from typing import Final
@@ -8,10 +8,10 @@
 OK: Final = b'HTTP/1.1 200 OK\r\n'
 CHUNKED: Final = b'Transfer-Encoding: chunked\r\n\r\n'
 FRAMED: Final = OK + CHUNKED
-READ: Final = 65_536  # bytes that are fed at once
-PROCESSOR_S: Final = 1.0  # that one message may cost, whatever is sent
+READ: Final = 65_536  # bytes passed to the parser per call
+PROCESSOR_S: Final = 1.0  # maximum processor time that one message may cost
 
-# What comes first, and what then comes for ever.
+# Each entry is a prefix that is sent once and a sequence that is repeated.
 HEADS: Final = MappingProxyType(
     {
         'one header line': (b'%bX-Long: ' % OK, b'a' * 512),
--- a/tests/utils/engine.py
+++ b/tests/utils/engine.py
@@ -14,7 +14,7 @@
 from tests.utils.engine_batch import Batch, Run, RunState
 from tests.utils.engine_cache import CacheFeed, PrefixCache
 from tests.utils.engine_weights import Weights
-from tests.utils.faults import MILLISECONDS, Chance, Faults, FaultyServer
+from tests.utils.faults import MILLISECONDS, FaultSampler, Faults, FaultyServer
 from tests.utils.http_server import (
     DropConnectionError,
     HttpRequest,
@@ -82,7 +82,7 @@
             self.cfg.load_s,
         )
         rng = Random(seed)
-        self._chance = Chance(rng)
+        self._fault_sampler = FaultSampler(rng)
         self._feed = CacheFeed(rng, self.cfg.cache_lag_s, self.cfg.cache_drop)
         self.cache = PrefixCache(self.cfg.cache_blocks, self._feed)
         self.batch = Batch(
@@ -189,7 +189,7 @@
         return await self._respond_when_done(admitted)
 
     async def _respond_when_done(self, admitted: Run) -> HttpResponse:
-        await admitted.wait_until_over()
+        await admitted.wait_until_ended()
         if admitted.state is not RunState.DONE:
             raise DropConnectionError
         text = expected_text(admitted.prompt, admitted.max_tokens)
@@ -209,9 +209,12 @@
     async def _events(
         self, admitted: Run, start: int
     ) -> AsyncGenerator[bytes, None]:
-        is_cut = admitted.cuts < MAX_STREAM_CUTS and self._chance.strikes(
-            self.faults,
-            'cut_streams',
+        is_cut = (
+            admitted.cuts < MAX_STREAM_CUTS
+            and self._fault_sampler.should_occur(
+                self.faults,
+                'cut_streams',
+            )
         )
         admitted.cuts += is_cut
         cut_at = start + (admitted.max_tokens - start) // 2
@@ -240,8 +243,8 @@
             return json_response({'fence': self._fence}, HTTPStatus.CONFLICT)
         self._fence = max(self._fence, fence)
         self.orders.append(order)
-        self.weights.take(order, self.faults.unloadable)
-        if self._chance.strikes(self.faults, 'lose_order_replies'):
+        self.weights.execute_order(order, self.faults.unloadable)
+        if self._fault_sampler.should_occur(self.faults, 'lose_order_replies'):
             raise DropConnectionError
         return json_response({'fence': self._fence})
 
--- a/tests/utils/engine_batch.py
+++ b/tests/utils/engine_batch.py
@@ -1,4 +1,8 @@
-"""Continuous batching: slots, one shared prefill budget, steady decoding."""
+"""Continuous batching of the stand-in engine.
+
+A batch has a number of slots, a prefill rate that all runs share, and a
+constant decode rate for each run.
+"""
 
 import asyncio
 import json
@@ -23,7 +27,7 @@
 
 
 class RunState(StrEnum):
-    """How far a run has come, and how it ended."""
+    """The progress or final state of a run."""
 
     WAITING = 'waiting'
     RUNNING = 'running'
@@ -37,7 +41,7 @@
 
 @dataclass
 class Run:
-    """One admitted run and the events of its stream so far."""
+    """One admitted run with the stream events that it has produced."""
 
     run_id: str
     prompt: str
@@ -47,36 +51,36 @@
     cached_tokens: int = 0
     prefill_left: float = 0
     decoded: float = 0
-    cuts: int = 0  # how often its stream was broken off as a fault
+    cuts: int = 0  # injected disconnects of its stream
     admitted_at: float = field(default_factory=time.time)
-    started_at: float = 0  # wall time, to hold against logged events
+    started_at: float = 0  # wall time, comparable to logged events
     ended_at: float = 0
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def __post_init__(self) -> None:
-        """Hash the prompt once."""
+        """Compute the hashes and the token count of the prompt."""
         self.prompt_hash = content_hash(self.prompt.encode())
         self.prefixes = prefix_hashes(self.prompt)
         self.prompt_tokens = prompt_tokens(self.prompt)
 
     @property
     def is_live(self) -> bool:
-        """Whether more events may come."""
+        """Whether the run may produce more events."""
         return self.state in LIVE_STATES
 
     def finish(self, state: RunState) -> None:
-        """End the run and wake its readers."""
+        """End the run and notify the readers of its stream."""
         self.state = state
         self.ended_at = time.time()
         self.notify()
 
     def notify(self) -> None:
-        """Wake every reader of the stream."""
+        """Notify all readers of the stream that the run has changed."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     def decode(self, tokens: float) -> None:
-        """Add the tokens of one step to the stream."""
+        """Append the tokens of one step to the stream; may end the run."""
         self.decoded = min(self.decoded + tokens, self.max_tokens)
         for index in range(len(self.events), int(self.decoded)):
             text = token_text(self.prompt_hash, index)
@@ -107,14 +111,14 @@
                 return
             await changed.wait()
 
-    async def wait_until_over(self) -> None:
-        """Return once no more events can come."""
+    async def wait_until_ended(self) -> None:
+        """Wait until the run has ended."""
         while self.is_live:
             await self.changed.wait()
 
 
 class Batch:
-    """Runs up to `slots` runs at once, the others wait in order."""
+    """Executes up to `slots` runs at once; the others queue in order."""
 
     def __init__(
         self,
@@ -123,7 +127,11 @@
         decode_tps: float,
         cache: PrefixCache,
     ) -> None:
-        """Start empty; `advance` moves it on."""
+        """Create an empty batch; `run_forever` executes its runs.
+
+        The rates are in tokens per second: `prefill_tps` over all runs,
+        `decode_tps` for each run.
+        """
         self.slots = slots
         self.running: list[Run] = []
         self.waiting: deque[Run] = deque()
@@ -139,14 +147,14 @@
         self._wake.set()
 
     def remove(self, run: Run) -> None:
-        """Take a cancelled run out, wherever it is."""
+        """Remove a cancelled run, whether it is running or waiting."""
         if run in self.running:
             self.running.remove(run)
         elif run in self.waiting:
             self.waiting.remove(run)
 
     def crash(self) -> None:
-        """Lose every run."""
+        """Drop all runs, in the crashed state."""
         lost = (*self.running, *self.waiting)
         self.running.clear()
         self.waiting.clear()
@@ -154,18 +162,18 @@
             run.finish(RunState.CRASHED)
 
     async def run_forever(self, on_start: Callable[[Run], None]) -> None:
-        """Step while there is work; `on_start` sees each run that starts."""
-        before = time.monotonic()
+        """Execute runs; `on_start` is called with each run that starts."""
+        last_step_at = time.monotonic()
         while True:
             if not self.running and not self.waiting:
                 self._wake.clear()
                 await self._wake.wait()
-                before = time.monotonic()
+                last_step_at = time.monotonic()
             await asyncio.sleep(STEP_S)
             now = time.monotonic()
             self._admit(on_start)
-            self._step((now - before) / self.slowdown)
-            before = now
+            self._execute_step((now - last_step_at) / self.slowdown)
+            last_step_at = now
 
     def _admit(self, on_start: Callable[[Run], None]) -> None:
         while self.waiting and len(self.running) < self.slots:
@@ -177,7 +185,7 @@
             self.running.append(run)
             on_start(run)
 
-    def _step(self, elapsed: float) -> None:
+    def _execute_step(self, elapsed: float) -> None:
         budget = elapsed * self._prefill_tps
         for run in tuple(self.running):
             if run.prefill_left:
--- a/tests/utils/engine_cache.py
+++ b/tests/utils/engine_cache.py
@@ -1,4 +1,7 @@
-"""An engine's prefix cache and its late, gappy feed of cache events."""
+"""The prefix cache of the stand-in engine and its feed of cache events.
+
+The feed shows events late and loses some of them.
+"""
 
 import time
 from collections import Counter, OrderedDict
@@ -28,7 +31,7 @@
         self._events: list[_Event] = []
 
     def publish(self, kind: str, prefix: str) -> None:
-        """Number the event, then perhaps lose it."""
+        """Assign the next sequence number; then add the event or drop it."""
         seq = self._next_seq
         self._next_seq += 1
         if self._rng.random() >= self._drop:
@@ -36,34 +39,34 @@
             self._events.append(_Event(seq, kind, prefix, visible_at))
 
     def read(self, start: int) -> dict[str, Any]:
-        """Return the events from `start` on that are visible by now."""
+        """Return the visible events from sequence number `start` on."""
         now = time.monotonic()
-        shown = [
+        visible = [
             event
             for event in self._events
             if event.seq >= start and event.visible_at <= now
         ]
         return {
-            'next': max([start, *(event.seq + 1 for event in shown)]),
+            'next': max([start, *(event.seq + 1 for event in visible)]),
             'events': [
                 {'seq': event.seq, 'kind': event.kind, 'prefix': event.prefix}
-                for event in shown
+                for event in visible
             ],
         }
 
 
 class PrefixCache:
-    """Keeps the blocks used last, as many as the memory holds."""
+    """An LRU cache of prompt prefix blocks."""
 
     def __init__(self, capacity_blocks: int, feed: CacheFeed) -> None:
-        """Start empty."""
+        """Create an empty cache that publishes its changes to `feed`."""
         self.computed: Counter[str] = Counter()
         self._capacity = capacity_blocks
         self._feed = feed
         self._blocks: OrderedDict[str, None] = OrderedDict()
 
     def match(self, hashes: Sequence[str]) -> int:
-        """Count the leading blocks that need no prefill."""
+        """Count the leading blocks that are cached and need no prefill."""
         count = 0
         for prefix in hashes:
             if prefix not in self._blocks:
@@ -73,7 +76,10 @@
         return count
 
     def store(self, hashes: Sequence[str], matched: int) -> None:
-        """Keep a prefilled prompt; the blocks unused longest give way."""
+        """Cache the blocks of a prefilled prompt, evicting the oldest.
+
+        The first `matched` blocks were cached and not computed again.
+        """
         self.computed.update(hashes[matched:])
         for prefix in hashes:
             if prefix not in self._blocks:
@@ -85,5 +91,5 @@
             self._feed.publish('evicted', evicted)
 
     def clear(self) -> None:
-        """Forget all, as a restart does; say nothing about it."""
+        """Drop all blocks without cache events, as a restart does."""
         self._blocks.clear()
--- a/tests/utils/engine_weights.py
+++ b/tests/utils/engine_weights.py
@@ -1,4 +1,4 @@
-"""What a stand-in engine holds, and its loads of weights."""
+"""The model, adapters and role of the stand-in engine, and their loading."""
 
 import asyncio
 import time
@@ -8,17 +8,20 @@
 
 @dataclass
 class Load:
-    """One load, by the wall clock; `ended_at` is 0 while it lasts."""
+    """One load of a model or adapter, in wall time.
+
+    `ended_at` is 0 while the load is in progress.
+    """
 
     began_at: float
     ended_at: float = 0
 
 
 class Weights:
-    """Model, version, adapters and role; a load takes `load_s`."""
+    """The loaded model and adapters; a load takes `load_s` seconds."""
 
     def __init__(self, model: str, version: str, load_s: float) -> None:
-        """Hold a model from the start."""
+        """Start with a loaded model and no adapters."""
         self.model = model
         self.version = version
         self.load_s = load_s
@@ -29,7 +32,7 @@
 
     @property
     def loading(self) -> bool:
-        """Whether a load is under way."""
+        """Whether a load is in progress."""
         return bool(self.loads) and not self.loads[-1].ended_at
 
     def state(self) -> dict[str, object]:
@@ -42,24 +45,28 @@
             'loading': self.loading,
         }
 
-    def take(self, order: dict[str, Any], unloadable: str) -> None:
-        """Carry an order out; raise `ValueError` for one not understood."""
+    def execute_order(self, order: dict[str, Any], unloadable: str) -> None:
+        """Execute an order.
+
+        Loading the version or adapter `unloadable` fails. Raises ValueError
+        for an unknown order and for a load during another one.
+        """
         match order:
             case {'kind': 'load_model', 'name': name, 'version': version}:
-                self._begin(name, version, unloadable)
+                self._start_load(name, version, unloadable)
             case {'kind': 'load_adapter', 'name': name}:
-                self._begin(self.model, self.version, unloadable, name)
+                self._start_load(self.model, self.version, unloadable, name)
             case {'kind': 'set_role', 'role': role}:
                 self.role = role
             case _:
                 raise ValueError(f'unknown order {order}')
 
     def stop(self) -> None:
-        """End a load under way with its engine."""
+        """Cancel a load in progress."""
         if self._task is not None:
             self._task.cancel()
 
-    def _begin(
+    def _start_load(
         self,
         model: str,
         version: str,
@@ -92,7 +99,7 @@
 
 
 def most_at_once(loads: list[Load]) -> int:
-    """Return how many loads ever overlapped."""
+    """Return the maximum number of loads that overlapped."""
     return max(
         (
             sum(
--- a/tests/utils/faults.py
+++ b/tests/utils/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a test sets on a stand-in while it runs."""
+"""Fault injection for the stand-ins, set by tests at run time."""
 
 import asyncio
 from dataclasses import dataclass, fields
@@ -21,15 +21,15 @@
 
 @dataclass
 class Faults:
-    """Faults every stand-in knows; those of one kind add their own."""
+    """The faults that all stand-ins have; subclasses add further ones."""
 
-    down: bool = False  # every call gets 503
-    hang: bool = False  # calls get no answer until this is cleared
+    down: bool = False  # all calls are answered with 503
+    hang: bool = False  # calls wait until this is cleared
     slow_ms: float = 0
-    refuse_connections_s: float = 0  # once, for this long
+    refuse_connections_s: float = 0  # reset to 0 once it has started
 
     def update(self, **changes: Any) -> None:
-        """Set some of the faults; the others stay as they are."""
+        """Set the given faults and leave the others unchanged."""
         known = {field.name for field in fields(self)}
         unknown = set(changes) - known
         if unknown:
@@ -38,20 +38,26 @@
             setattr(self, name, value)
 
 
-class Chance:
-    """A fault that strikes: a count if 1 or more, else a probability."""
+class FaultSampler:
+    """Decides whether a fault occurs.
+
+    The value of a fault is a count if it is 1 or more, else a probability.
+    """
 
     def __init__(self, rng: Random) -> None:
-        """Draw from `rng`, so that a seed gives the same faults again."""
+        """Draw from `rng`, so that the same seed repeats the faults."""
         self._rng = rng
 
-    def strikes(self, faults: Faults, name: str) -> bool:
-        """Say whether the fault strikes now; a count goes down by one."""
-        amount = float(getattr(faults, name))
-        if amount >= 1:
-            setattr(faults, name, amount - 1)
+    def should_occur(self, faults: Faults, name: str) -> bool:
+        """Return whether the fault occurs now; this decrements a count."""
+        count_or_probability = float(getattr(faults, name))
+        if count_or_probability >= 1:
+            setattr(faults, name, count_or_probability - 1)
             return True
-        return amount > 0 and self._rng.random() < amount
+        return (
+            count_or_probability > 0
+            and self._rng.random() < count_or_probability
+        )
 
 
 class FaultyServer:
@@ -64,31 +70,31 @@
         faults: Faults,
         handler: Handler,
     ) -> None:
-        """Serve `handler` behind `faults`."""
+        """Serve `handler`, subject to `faults`."""
         self.http = HttpServer(host, port, self._handle)
         self._faults = faults
         self._handler = handler
-        self._refusal: asyncio.Task[None] | None = None
+        self._refusal_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Listen."""
         await self.http.start()
 
     async def stop(self) -> None:
-        """Stop, also a refusal under way."""
-        if self._refusal is not None:
-            self._refusal.cancel()
+        """Stop listening; an ongoing `refuse_for` is cancelled."""
+        if self._refusal_task is not None:
+            self._refusal_task.cancel()
         await self.http.stop()
 
     def refuse_for(self, seconds: float) -> None:
-        """Drop all connections and refuse new ones for a while."""
-        self._refusal = asyncio.create_task(self.http.refuse_for(seconds))
+        """Close all connections and refuse new ones for some seconds."""
+        self._refusal_task = asyncio.create_task(self.http.refuse_for(seconds))
 
     async def _handle(self, req: HttpRequest) -> HttpResponse:
         if req.path == '/faults':
             return self._set_faults(req)
         if req.path not in CONTROL_PATHS:
-            await self._delay()
+            await self._apply_delays()
             if self._faults.down:
                 return json_response(
                     {'error': 'down'},
@@ -97,7 +103,7 @@
                 )
         return await self._handler(req)
 
-    async def _delay(self) -> None:
+    async def _apply_delays(self) -> None:
         while self._faults.hang:
             await asyncio.sleep(0.02)
         if self._faults.slow_ms:
--- a/tests/utils/http_server.py
+++ b/tests/utils/http_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server for the stand-ins, one task a connection."""
+"""A small HTTP/1.1 server for the stand-ins, one task per connection."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class HttpRequest:
-    """One request, its body read whole."""
+    """One request with its complete body."""
 
     method: str
     path: str
@@ -29,13 +29,13 @@
     body: bytes
 
     def json(self) -> Any:
-        """Read the body as JSON; an empty one is an empty object."""
+        """Parse the body as JSON; an empty body gives an empty object."""
         return json.loads(self.body or b'{}')
 
 
 @dataclass(frozen=True)
 class HttpResponse:
-    """One answer; `stream` takes the place of `body` when given."""
+    """One answer; `stream`, if given, is sent instead of `body`."""
 
     status: int = HTTPStatus.OK
     body: bytes = b''
@@ -51,7 +51,7 @@
     status: int = HTTPStatus.OK,
     **headers: str,
 ) -> HttpResponse:
-    """Answer with a JSON body."""
+    """Return an answer with `value` as its JSON body."""
     return HttpResponse(
         status,
         json.dumps(value).encode(),
@@ -60,10 +60,10 @@
 
 
 class HttpServer:
-    """Listens on one address and hands every request to a handler."""
+    """Listens on one address and passes each request to a handler."""
 
     def __init__(self, host: str, port: int, handler: Handler) -> None:
-        """Take the address; `start` binds it."""
+        """Set the address; `start` binds it."""
         self.host = host
         self.port = port
         self._handler = handler
@@ -76,7 +76,7 @@
         return f'http://{self.host}:{self.port}'
 
     async def start(self) -> None:
-        """Listen, and learn the port if it was given as 0."""
+        """Listen; a port of 0 is replaced by the one that was bound."""
         self._server = await asyncio.start_server(
             self._serve,
             self.host,
@@ -98,7 +98,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def refuse_for(self, seconds: float) -> None:
-        """Refuse connections for a while, as a machine without the program."""
+        """Stop listening, so that connections are refused, then start again."""
         await self.stop()
         await asyncio.sleep(seconds)
         await self.start()
@@ -123,7 +123,7 @@
 
 
 class _Connection:
-    """Owns one socket; answers its requests one after another."""
+    """Reads and answers the requests of one connection, in order."""
 
     def __init__(
         self,
@@ -141,7 +141,7 @@
             req = await self._read_request()
             if req is None:
                 return
-            await self._answer(await self._handle(req))
+            await self._write_response(await self._handle(req))
             if self._http.our_state is not h11.DONE:
                 return
             if self._http.their_state is not h11.DONE:
@@ -168,7 +168,7 @@
                 body += bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
                 assert head is not None
-                return _request(head, body)
+                return _make_request(head, body)
             else:
                 return None
 
@@ -179,7 +179,7 @@
             event = self._http.next_event()
         return event
 
-    async def _answer(self, resp: HttpResponse) -> None:
+    async def _write_response(self, resp: HttpResponse) -> None:
         headers = dict(resp.headers)
         if resp.stream is None:
             headers['Content-Length'] = str(len(resp.body))
@@ -210,7 +210,7 @@
             self._writer.write(encoded)
 
 
-def _request(head: h11.Request, body: bytes) -> HttpRequest:
+def _make_request(head: h11.Request, body: bytes) -> HttpRequest:
     target = urlsplit(head.target.decode())
     return HttpRequest(
         method=head.method.decode(),
--- a/tests/utils/instants.py
+++ b/tests/utils/instants.py
@@ -1,4 +1,4 @@
-"""Fixed moments for tests with a clock that they move."""
+"""Fixed start times for tests with a manual clock."""
 
 from datetime import UTC, datetime
 from typing import Final
--- a/tests/utils/log_service.py
+++ b/tests/utils/log_service.py
@@ -1,11 +1,11 @@
-"""Stand-in for the platform's log service: streams in memory."""
+"""In-memory stand-in for the platform's log service."""
 
 import asyncio
 from dataclasses import dataclass, field
 from http import HTTPStatus
 from random import Random
 
-from tests.utils.faults import MILLISECONDS, Chance, Faults, FaultyServer
+from tests.utils.faults import MILLISECONDS, FaultSampler, Faults, FaultyServer
 from tests.utils.http_server import (
     DropConnectionError,
     HttpRequest,
@@ -17,12 +17,16 @@
 
 @dataclass
 class LogFaults(Faults):
-    """Faults of the log service; `lose_replies` acts, then says nothing."""
+    """Faults of the log service.
+
+    `lose_replies` appends the records and drops the connection unanswered.
+    """
 
     lose_replies: float = 0  # count if 1 or more, else a probability
-    duplicate_appends: float = 0  # the same records land twice
+    duplicate_appends: float = 0  # append the same records twice
     max_record_bytes: int = 1_000_000
-    keep_last: int = 0  # records a stream keeps; 0 keeps all
+    keep_last: int = 0  # retained records per stream; 0 keeps all
+    # First retained offset, by stream.
     forget_below: dict[str, int] = field(default_factory=dict)
 
 
@@ -30,7 +34,7 @@
 class _Stream:
     first_offset: int = 0
     records: list[str] = field(default_factory=list)
-    grown: asyncio.Event = field(default_factory=asyncio.Event)
+    appended: asyncio.Event = field(default_factory=asyncio.Event)
 
     @property
     def next_offset(self) -> int:
@@ -43,16 +47,16 @@
 
 
 class LogService:
-    """Append-only streams with offsets, and faults on demand."""
+    """Append-only record streams with offsets and injected faults."""
 
     def __init__(self, host: str, port: int, seed: int = 0) -> None:
-        """Take the address; `start` binds it."""
+        """Set the address; `start` binds it."""
         self.faults = LogFaults()
         self.server = FaultyServer(host, port, self.faults, self._handle)
         self.appends = 0
         self.reads = 0
         self._streams: dict[str, _Stream] = {}
-        self._chance = Chance(Random(seed))
+        self._fault_sampler = FaultSampler(Random(seed))
 
     @property
     def url(self) -> str:
@@ -61,7 +65,7 @@
 
     @property
     def stream_names(self) -> list[str]:
-        """Return every stream that was ever appended to or read."""
+        """Return the names of all streams ever appended to or read."""
         return list(self._streams)
 
     async def start(self) -> None:
@@ -73,17 +77,20 @@
         await self.server.stop()
 
     def records(self, stream: str) -> list[str]:
-        """Return what a stream still keeps."""
+        """Return the retained records of a stream."""
         return list(self._stream(stream).records)
 
     def append(self, stream_name: str, records: list[str]) -> int:
-        """Append in memory, past all faults but those of retention."""
+        """Append records; of the faults only retention applies.
+
+        Returns the offset of the first record.
+        """
         stream = self._stream(stream_name)
         offset = stream.next_offset
         stream.records.extend(records)
         self.appends += 1
-        stream.grown.set()
-        stream.grown = asyncio.Event()
+        stream.appended.set()
+        stream.appended = asyncio.Event()
         return offset
 
     async def _handle(self, req: HttpRequest) -> HttpResponse:
@@ -104,9 +111,9 @@
                 HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
             )
         offset = self.append(name, records)
-        if self._chance.strikes(self.faults, 'duplicate_appends'):
+        if self._fault_sampler.should_occur(self.faults, 'duplicate_appends'):
             self.append(name, records)
-        if self._chance.strikes(self.faults, 'lose_replies'):
+        if self._fault_sampler.should_occur(self.faults, 'lose_replies'):
             raise DropConnectionError
         return json_response({'offset': offset})
 
@@ -136,7 +143,7 @@
     async def _wait(self, stream: _Stream, wait_ms: float) -> None:
         try:
             async with asyncio.timeout(wait_ms / MILLISECONDS):
-                await stream.grown.wait()
+                await stream.appended.wait()
         except TimeoutError:
             return
 
--- a/tests/utils/own_loop.py
+++ b/tests/utils/own_loop.py
@@ -1,7 +1,7 @@
-"""Writes down how late the test's own event loop was, beside the VMs' logs.
+"""Logs the lag of the test's own event loop next to the VMs' logs.
 
-Callers and stand-ins live on that loop: late, they look like a platform that
-is down or a runner that is slow.
+Callers and stand-ins run on that loop. If it lags, they look like a platform
+that is down or a slow runner.
 """
 
 import asyncio
@@ -25,20 +25,20 @@
 
 
 @contextlib.contextmanager
-def watched_loop(run_dir: Path) -> Iterator[None]:
-    """Watch the running loop while the body runs."""
+def log_loop_lag(run_dir: Path) -> Iterator[None]:
+    """Log the lag of the running event loop during the body."""
     clock = SystemClock()
-    with (run_dir / LOG_NAME).open('a') as log, _events_to(log):
+    with (run_dir / LOG_NAME).open('a') as log, _log_events_to(log):
         watch = LoopWatch(EventLog(PROCESS, run_dir.name, clock), clock)
-        watching = asyncio.create_task(watch.work())
+        watch_task = asyncio.create_task(watch.work())
         try:
             yield
         finally:
-            watching.cancel()
+            watch_task.cancel()
 
 
 @contextlib.contextmanager
-def _events_to(stream: LineStream) -> Iterator[None]:
+def _log_events_to(stream: LineStream) -> Iterator[None]:
     logger = logging.getLogger(EVENT_LOGGER)
     handler = line_handler(stream)
     level = logger.level
--- a/tests/utils/plain_service.py
+++ b/tests/utils/plain_service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service that records every call it ran."""
+"""Stand-in for a plain service, which records the calls that it ran."""
 
 import asyncio
 import time
@@ -8,7 +8,7 @@
 from random import Random
 
 from tests.utils.answers import content_hash, expected_body
-from tests.utils.faults import MILLISECONDS, Chance, Faults, FaultyServer
+from tests.utils.faults import MILLISECONDS, FaultSampler, Faults, FaultyServer
 from tests.utils.http_server import (
     DropConnectionError,
     HttpRequest,
@@ -20,14 +20,17 @@
 
 @dataclass
 class PlainFaults(Faults):
-    """Faults of a plain service; `die_after_effect` ran, then is silent."""
+    """Faults of a plain service.
+
+    `die_after_effect` runs a call and drops its connection unanswered.
+    """
 
     die_after_effect: float = 0  # count if 1 or more, else a probability
 
 
 @dataclass(frozen=True)
 class Call:
-    """One call that took effect."""
+    """One call that was run."""
 
     run_id: str
     body_hash: str
@@ -35,7 +38,7 @@
 
 
 class PlainService:
-    """Runs each call for a while, up to `slots` at once."""
+    """Runs each call for `latency_ms`, up to `slots` at once."""
 
     def __init__(
         self,
@@ -45,14 +48,14 @@
         latency_ms: float = 20,
         slots: int = 64,
     ) -> None:
-        """Take the address; `start` binds it."""
+        """Set the address; `start` binds it."""
         self.faults = PlainFaults()
         self.server = FaultyServer(host, port, self.faults, self._handle)
         self.calls: list[Call] = []
         self.running = 0
         self._latency_s = latency_ms / MILLISECONDS
         self._slots = slots
-        self._chance = Chance(Random(seed))
+        self._fault_sampler = FaultSampler(Random(seed))
 
     @property
     def url(self) -> str:
@@ -68,7 +71,7 @@
         await self.server.stop()
 
     def runs_of(self) -> Counter[str]:
-        """Return how often each body ran here."""
+        """Count the runs of each body hash."""
         return Counter(call.body_hash for call in self.calls)
 
     async def _handle(self, req: HttpRequest) -> HttpResponse:
@@ -85,7 +88,7 @@
         return await self._run(req)
 
     async def _run(self, req: HttpRequest) -> HttpResponse:
-        # Recorded first: a call that is cut off midway had its effect.
+        # Recorded first, as a call whose connection breaks midway also ran.
         run_id = req.headers['x-run-id']
         self.calls.append(Call(run_id, content_hash(req.body)))
         self.running += 1
@@ -93,7 +96,7 @@
             await asyncio.sleep(self._latency_s)
         finally:
             self.running -= 1
-        if self._chance.strikes(self.faults, 'die_after_effect'):
+        if self._fault_sampler.should_occur(self.faults, 'die_after_effect'):
             raise DropConnectionError
         return HttpResponse(
             body=expected_body(req.body),
--- a/tests/utils/platform_store.py
+++ b/tests/utils/platform_store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's metadata store, keyed topics alone."""
+"""Stand-in for the platform's metadata store, with keyed topics only."""
 
 import asyncio
 import base64
@@ -19,7 +19,11 @@
 
 @dataclass
 class Topic:
-    """One partition: its records, the first kept, the newest of each key."""
+    """A topic of one partition.
+
+    `first` is the first retained offset; `newest` has the last offset and
+    content of each key.
+    """
 
     records: list[tuple[str, bytes]] = field(default_factory=list)
     first: int = 0
@@ -27,7 +31,7 @@
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def put(self, key: str, content: bytes) -> None:
-        """Append; without content the key is gone."""
+        """Append a record; empty content deletes the key."""
         offset = len(self.records)
         self.records.append((key, content))
         if content:
@@ -39,10 +43,10 @@
 
 
 class PlatformStore:
-    """Answers reads of keyed topics; faults are set by the tests."""
+    """Serves keyed topics; tests set its faults through its attributes."""
 
     def __init__(self, host: str) -> None:
-        """Listen on a free port of an address."""
+        """Set the address; the server listens on a free port."""
         self.topics: dict[str, Topic] = {}
         self.calls: list[str] = []
         self.page_size = 500
@@ -52,11 +56,11 @@
         self.server = HttpServer(host, 0, self._handle)
 
     def topic(self, name: str) -> Topic:
-        """Return a topic, created on first use."""
+        """Return a topic; the first use creates it."""
         return self.topics.setdefault(name, Topic())
 
     def put(self, name: str, key: str, value: object) -> None:
-        """Write a JSON record."""
+        """Append a record with `value` as JSON."""
         self.topic(name).put(key, json.dumps(value).encode())
 
     async def _handle(self, req: HttpRequest) -> HttpResponse:
@@ -76,7 +80,7 @@
     def _append(self, topic: Topic, body: bytes) -> HttpResponse:
         offset = len(topic.records)
         size = struct.unpack_from('>I', body)[0]
-        assert len(body) == size + 4, 'one record a call'
+        assert len(body) == size + 4, 'an append must have exactly one record'
         name = body[5 : 5 + body[4]].decode()
         topic.put(name, body[5 + body[4] :])
         return json_response({'offset': offset, 'end': offset + 1})
--- a/tests/utils/program.py
+++ b/tests/utils/program.py
@@ -1,4 +1,4 @@
-"""Runs one stand-in as a program of its own."""
+"""The command line entry point that all stand-ins share."""
 
 import argparse
 import asyncio
@@ -8,17 +8,17 @@
 
 
 class StandIn(Protocol):
-    """What every stand-in can do."""
+    """The interface of a stand-in."""
 
     async def start(self) -> None:
         """Listen."""
 
     async def stop(self) -> None:
-        """Stop listening and drop every connection."""
+        """Stop listening and close all connections."""
 
 
 def parser(description: str) -> argparse.ArgumentParser:
-    """Return the flags that all stand-ins share."""
+    """Return an argument parser with the flags that all stand-ins share."""
     flags = argparse.ArgumentParser(description=description)
     flags.add_argument('--host', default='127.0.0.1')
     flags.add_argument('--port', type=int, required=True)
@@ -27,16 +27,16 @@
 
 
 def run(make: Callable[[], StandIn]) -> None:
-    """Serve until SIGTERM or SIGINT."""
-    asyncio.run(_serve(make))
+    """Run the stand-in that `make` returns until SIGTERM or SIGINT."""
+    asyncio.run(_serve_until_signal(make))
 
 
-async def _serve(make: Callable[[], StandIn]) -> None:
+async def _serve_until_signal(make: Callable[[], StandIn]) -> None:
     standin = make()
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopped.set)
     await standin.start()
     await stopped.wait()
     await standin.stop()
--- a/tests/utils/queueing_fake.py
+++ b/tests/utils/queueing_fake.py
@@ -1,9 +1,9 @@
-"""A deterministic fake of engines under virtual time.
+"""A deterministic simulation of engines, in virtual seconds.
 
-An engine shares its capacity between its running requests (a lone prefill
-may use all of it, a decode at most one slot's part), caches prompt segments
-in limited memory, and queues in order of arrival beyond its batch. It knows
-no tiers. Times are virtual seconds; nothing here reads a clock.
+An engine divides its capacity among its running requests: a single prefill
+may use all of it, a decode at most the share of one slot. It caches prompt
+segments in limited memory. Requests beyond its slots queue in order of
+arrival, as an engine has no tiers. Nothing here reads a real clock.
 """
 
 import heapq
@@ -15,12 +15,12 @@
 from bramleybend.decisions.runs import COMPLETION_COST
 from bramleybend.models import Repeat, Tier
 
-TINY = 1e-9
+EPSILON = 1e-9
 
 
 @dataclass(frozen=True)
 class Segment:
-    """A part of a prompt; equal names are equal text."""
+    """A part of a prompt; segments of the same name have the same text."""
 
     name: str
     tokens: int
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Job:
-    """A caller's request."""
+    """A request of a caller; times are virtual seconds."""
 
     job_id: str
     workspace: str
@@ -38,7 +38,7 @@
     deadline: float
     segments: tuple[Segment, ...]
     completion: int
-    entry: int  # the entry VM its caller is connected to
+    entry: int  # index of the entry VM that receives it
 
     @property
     def prompt(self) -> int:
@@ -47,11 +47,11 @@
 
     @property
     def work(self) -> float:
-        """Return the work without any cache."""
+        """Return the cost in work units if nothing is cached."""
         return self.prompt + self.completion * COMPLETION_COST
 
     def prefixes(self) -> tuple[str, ...]:
-        """Name the prefixes as a gateway's hashes would."""
+        """Return a name for each prefix that a gateway would hash."""
         names = []
         index = 0
         end = 0
@@ -64,7 +64,7 @@
 
 
 class VirtualTime:
-    """An event loop over virtual seconds."""
+    """An event queue over virtual seconds."""
 
     def __init__(self) -> None:
         self.now = float(0)
@@ -86,58 +86,59 @@
 
 
 class PrefixCache:
-    """An engine's cache: segments in order of use, limited in tokens."""
+    """An engine's LRU cache of prompt segments, limited in tokens."""
 
     def __init__(self, capacity: int, copies: Counter[str]) -> None:
         self._capacity = capacity
-        self._copies = copies  # over all engines, to see repeated prefill
-        self._held: OrderedDict[str, int] = OrderedDict()
+        self._copies = copies  # by segment, over all engines
+        self._segments: OrderedDict[str, int] = OrderedDict()
         self._tokens = 0
 
     def held_tokens(self, segments: tuple[Segment, ...]) -> int:
         tokens = 0
         for segment in segments:
-            if segment.name not in self._held:
+            if segment.name not in self._segments:
                 break
             tokens += segment.tokens
         return tokens
 
     def elsewhere(self, segments: tuple[Segment, ...]) -> int:
-        """Count tokens that are not held here but on another engine."""
+        """Count the tokens that only other engines have cached."""
         return sum(
             segment.tokens
             for segment in segments
-            if segment.name not in self._held and self._copies[segment.name]
+            if segment.name not in self._segments and self._copies[segment.name]
         )
 
     def store(self, segments: tuple[Segment, ...]) -> None:
         for segment in segments:
-            if segment.name not in self._held:
-                self._held[segment.name] = segment.tokens
+            if segment.name not in self._segments:
+                self._segments[segment.name] = segment.tokens
                 self._tokens += segment.tokens
                 self._copies[segment.name] += 1
-        # The beginning is used last, as a leaf of the tree goes first.
+        # A prompt's first segments become the most recently used, as a prefix
+        # tree evicts its leaves first.
         for segment in reversed(segments):
-            self._held.move_to_end(segment.name)
+            self._segments.move_to_end(segment.name)
         while self._tokens > self._capacity:
-            self._drop(next(iter(self._held)))
+            self._evict(next(iter(self._segments)))
 
     def clear(self) -> None:
-        for name in tuple(self._held):
-            self._drop(name)
+        for name in tuple(self._segments):
+            self._evict(name)
 
-    def _drop(self, name: str) -> None:
-        self._tokens -= self._held.pop(name)
+    def _evict(self, name: str) -> None:
+        self._tokens -= self._segments.pop(name)
         self._copies[name] -= 1
 
 
 @dataclass
 class EngineRun:
-    """A request on an engine."""
+    """The execution of a request on an engine."""
 
     job: Job
-    on_first: Callable[[int], None]  # told the cached tokens
-    on_end: Callable[[bool], None]  # told whether it ended whole
+    on_first: Callable[[int], None]  # first token; gets cached tokens
+    on_end: Callable[[bool], None]  # gets whether the run completed
     cached: int = 0
     elsewhere: int = 0
     prefill_left: float = 0
@@ -149,7 +150,7 @@
 
 @dataclass
 class FakeEngine:
-    """One engine; `capacity` in work units a second."""
+    """One engine; `capacity` is in work units per second."""
 
     name: str
     time: VirtualTime
@@ -160,17 +161,17 @@
     alive: bool = True
     running: list[EngineRun] = field(default_factory=list)
     waiting: list[EngineRun] = field(default_factory=list)
-    _at: float = 0
+    _advanced_at: float = 0
     _version: int = 0
 
     def send(self, run: EngineRun) -> bool:
-        """Admit a request; false if nothing answers."""
+        """Queue or start a request; return False if the engine is down."""
         if not self.alive:
             return False
         self._advance()
         self.waiting.append(run)
         self._admit()
-        self._plan()
+        self._reschedule()
         return True
 
     def cancel(self, run: EngineRun) -> None:
@@ -180,19 +181,19 @@
         elif run in self.running:
             self.running.remove(run)
             self._admit()
-        self._plan()
+        self._reschedule()
 
     def set_slowdown(self, factor: float) -> None:
         self._advance()
         self.slowdown = factor
-        self._plan()
+        self._reschedule()
 
     def crash(self) -> None:
         self._advance()
         lost = self.running + self.waiting
         self.running, self.waiting, self.alive = [], [], False
         self.cache.clear()
-        self._plan()
+        self._reschedule()
         for run in lost:
             run.on_end(False)
 
@@ -214,55 +215,65 @@
             self.running.append(run)
 
     def _advance(self) -> None:
-        passed = self.time.now - self._at
-        self._at = self.time.now
+        elapsed_s = self.time.now - self._advanced_at
+        self._advanced_at = self.time.now
         for run in self.running:
-            work = run.rate * passed
-            if run.prefill_left > TINY:
+            work = run.rate * elapsed_s
+            if run.prefill_left > EPSILON:
                 run.prefill_left -= work
                 run.prefilled += work
             else:
                 run.decode_left -= work
 
-    def _plan(self) -> None:
-        """Share the capacity out and wake at the next change."""
+    def _reschedule(self) -> None:
+        """Divide the capacity and schedule the next state change."""
         self._version += 1
         if not self.running:
             return
         capacity = self.capacity / self.slowdown
-        filling = [run for run in self.running if run.prefill_left > TINY]
-        decoding = len(self.running) - len(filling)
-        part = min(capacity / len(self.running), capacity / self.slots)
-        rest = capacity - part * decoding
-        soonest = float('inf')
+        prefilling = [run for run in self.running if run.prefill_left > EPSILON]
+        decoding = len(self.running) - len(prefilling)
+        decode_rate = min(capacity / len(self.running), capacity / self.slots)
+        prefill_capacity = capacity - decode_rate * decoding
+        next_change_s = float('inf')
         for run in self.running:
-            if run.prefill_left > TINY:
-                run.rate = rest / len(filling)
-                soonest = min(soonest, run.prefill_left / run.rate)
+            if run.prefill_left > EPSILON:
+                run.rate = prefill_capacity / len(prefilling)
+                next_change_s = min(next_change_s, run.prefill_left / run.rate)
             else:
-                run.rate = part
-                soonest = min(soonest, run.decode_left / part)
+                run.rate = decode_rate
+                next_change_s = min(
+                    next_change_s, run.decode_left / decode_rate
+                )
         version = self._version
-        self.time.after(max(soonest, TINY), lambda: self._wake(version))
+        self.time.after(
+            max(next_change_s, EPSILON), lambda: self._wake(version)
+        )
 
     def _wake(self, version: int) -> None:
         if version != self._version:
             return
-        before = [run for run in self.running if run.prefill_left > TINY]
+        prefilling_runs = [
+            run for run in self.running if run.prefill_left > EPSILON
+        ]
         self._advance()
-        firsts = [run for run in before if run.prefill_left <= TINY * 100]
-        for run in firsts:
+        prefilled_runs = [
+            run for run in prefilling_runs if run.prefill_left <= EPSILON * 100
+        ]
+        for run in prefilled_runs:
             run.prefill_left = 0
             self.cache.store(run.job.segments)
-        ended = [
+        completed_runs = [
             run
             for run in self.running
-            if run.prefill_left <= TINY and run.decode_left <= TINY * 100
+            if run.prefill_left <= EPSILON and run.decode_left <= EPSILON * 100
+        ]
+        self.running = [
+            run for run in self.running if run not in completed_runs
         ]
-        self.running = [run for run in self.running if run not in ended]
         self._admit()
-        self._plan()
-        for run in firsts:
+        self._reschedule()
+        for run in prefilled_runs:
             run.on_first(run.cached)
-        for run in ended:
+        for run in completed_runs:
             run.on_end(True)
--- a/tests/utils/scenario.py
+++ b/tests/utils/scenario.py
@@ -13,7 +13,7 @@
 from tests.utils.http_client import BEFORE_RESPONSE_HEAD
 from tests.utils.ledger import Ledger, Verdict
 from tests.utils.load import Stream, plan, play
-from tests.utils.own_loop import watched_loop
+from tests.utils.own_loop import log_loop_lag
 from tests.utils.waiting import wait_until
 from tests.utils.work import Declaration, WorkFactory
 
@@ -153,7 +153,7 @@
         document = document or EXAMPLE.read_text()
         await cluster.ready(document)
         started_scenario = Scenario(cluster, document)
-        with watched_loop(run_dir):
+        with log_loop_lag(run_dir):
             await started_scenario.wait_until_all_tiers_served()
             yield started_scenario
 
--- a/tests/utils/terms_changes.py
+++ b/tests/utils/terms_changes.py
@@ -1,4 +1,4 @@
-"""Changed terms, and what each VM serves under them."""
+"""Helpers to change the published terms and to check what VMs serve."""
 
 import asyncio
 import time
@@ -17,9 +17,9 @@
 
 
 def with_profile(name: str) -> str:
-    """Return the example with one more profile, for everybody."""
+    """Return the example terms with one more profile, for all workspaces."""
     document: dict[str, Any] = yaml.safe_load(EXAMPLE.read_text())
-    # Highest tier, so that only the terms decide whether it is served.
+    # In the highest tier only the terms decide whether a request is served.
     profile = {**document['profiles']['availability'], 'tier': 1}
     document['profiles'][name] = profile
     for workspace in document['workspaces'].values():
@@ -28,13 +28,16 @@
 
 
 async def ask_under(vm: EntryVm, profile: str) -> Reading | None:
-    """Send one request under a profile to this VM, as its home."""
-    make = WorkFactory(Declaration.load(with_profile(profile)))
-    work = make.plain(LARGE_SCHOOL, profile)
+    """Send one request of a profile to a VM, with a ticket of that VM.
+
+    Returns None if the VM gave no ticket or the connection broke.
+    """
+    factory = WorkFactory(Declaration.load(with_profile(profile)))
+    work = factory.plain(LARGE_SCHOOL, profile)
     try:
-        told = await call_json('GET', f'{vm.url}/v1/address')
+        address_reply = await call_json('GET', f'{vm.url}/v1/address')
         return await post(
-            f'{told["ticket"]}/{work.key}',
+            f'{address_reply["ticket"]}/{work.key}',
             work,
             vm.endpoint,
             time.monotonic() + 5,
@@ -44,7 +47,7 @@
 
 
 async def in_force(scene: Scenario, profile: str) -> bool:
-    """Whether every VM serves the profile."""
+    """Whether every VM serves requests of the profile."""
     readings = await asyncio.gather(
         *(ask_under(vm, profile) for vm in scene.cluster.vms),
     )
@@ -55,7 +58,7 @@
 
 
 async def assert_void(scene: Scenario, profile: str) -> None:
-    """Every VM rejects the profile of a publish that is not in force."""
+    """Assert that every VM rejects a profile that isn't in force."""
     for vm in scene.cluster.vms:
         reading = await ask_under(vm, profile)
         assert reading is not None
--- a/tests/utils/test_callers.py
+++ b/tests/utils/test_callers.py
@@ -1,4 +1,4 @@
-"""The load tool itself sees what it is there to see."""
+"""The test callers and the ledger detect faulty answers."""
 
 import asyncio
 import json
@@ -21,10 +21,10 @@
 from tests.utils.ledger import Ledger
 from tests.utils.work import Work
 
-DONE = {'Bramleybend-Outcome': 'done'}
+DONE_HEADERS = {'Bramleybend-Outcome': 'done'}
 
 
-def _plain(deadline_s: float = 5) -> Work:
+def _plain_work(deadline_s: float = 5) -> Work:
     return Work(
         'a-club',
         'booking-app',
@@ -36,7 +36,7 @@
     )
 
 
-def _streamed() -> Work:
+def _streamed_work() -> Work:
     return Work(
         'a-club',
         'briefing-llm',
@@ -52,7 +52,10 @@
 
 
 class _FakeGateway:
-    """Answers `/v1/requests` from a script, one step a request."""
+    """Answers each request to `/v1/requests` with the next of a script.
+
+    A step of None drops the connection.
+    """
 
     def __init__(self) -> None:
         self.script: list[HttpResponse | None] = []
@@ -80,7 +83,7 @@
 
 @pytest.fixture
 async def gateway() -> AsyncIterator[_FakeGateway]:
-    """A gateway that does what a test says."""
+    """A gateway whose answers the test sets."""
     fake = _FakeGateway()
     await fake.server.start()
     yield fake
@@ -91,28 +94,30 @@
     return Caller([f'127.0.0.1:{gateway.server.port}'], ledger)
 
 
-async def _events(work: Work, *ends: str) -> AsyncGenerator[bytes, None]:
+async def _stream_events(
+    work: Work, *final_events: str
+) -> AsyncGenerator[bytes, None]:
     for index in range(work.max_tokens):
         token = {'index': index, 'text': token_text(work.content, index)}
         yield f'data: {json.dumps(token)}\n\n'.encode()
-    for end in ends:
-        yield end.encode()
+    for final_event in final_events:
+        yield final_event.encode()
 
 
-def _stream(work: Work, *ends: str) -> HttpResponse:
+def _stream_response(work: Work, *final_events: str) -> HttpResponse:
     return HttpResponse(
         headers={'Content-Type': 'text/event-stream'},
-        stream=_events(work, *ends),
+        stream=_stream_events(work, *final_events),
     )
 
 
 async def test_a_broken_connection_is_sent_again_under_its_id(
     gateway: _FakeGateway,
 ) -> None:
-    """One id, so that the system can tell a resend from a new request."""
-    work = _plain()
-    whole = HttpResponse(body=expected_body(work.body), headers=DONE)
-    gateway.script = [None, None, whole]
+    """Under the same id the system can tell a resend from a new request."""
+    work = _plain_work()
+    done = HttpResponse(body=expected_body(work.body), headers=DONE_HEADERS)
+    gateway.script = [None, None, done]
     ledger = Ledger()
     record = await _caller(gateway, ledger).send(work)
     assert record.outcome is Outcome.DONE
@@ -123,15 +128,15 @@
 async def test_a_request_not_run_comes_back_under_a_new_id(
     gateway: _FakeGateway,
 ) -> None:
-    """The old id is void; the request counts once."""
-    work = _plain()
-    told = json_response(
+    """The old id stays rejected; the ledger counts one request."""
+    work = _plain_work()
+    not_run = json_response(
         {'outcome': 'not_run', 'reason': 'log down', 'retry_after_s': 0.1},
         503,
         **{'Bramleybend-Outcome': 'not_run', 'Retry-After': '0.1'},
     )
-    whole = HttpResponse(body=expected_body(work.body), headers=DONE)
-    gateway.script = [told, whole]
+    done = HttpResponse(body=expected_body(work.body), headers=DONE_HEADERS)
+    gateway.script = [not_run, done]
     ledger = Ledger()
     await _caller(gateway, ledger).send(work)
     assert len(set(gateway.ids)) == 2
@@ -141,19 +146,19 @@
 async def test_a_return_that_is_never_sent_leaves_the_answer_before(
     gateway: _FakeGateway,
 ) -> None:
-    """A caller told "not run" has its final answer, though it meant to return.
+    """A `not_run` answer is final if the retry is never sent.
 
-    It is told when to come back, asks for an address then, and gets one only
-    after its deadline; nothing is sent under the second id.
+    The caller waits for `retry_after_s`, then resolves an address, which
+    takes until after its deadline. Nothing is sent under the second id.
     """
-    told = json_response(
+    not_run = json_response(
         {'outcome': 'not_run', 'reason': 'log down', 'retry_after_s': 0.3},
         503,
         **{'Bramleybend-Outcome': 'not_run', 'Retry-After': '0.3'},
     )
-    gateway.script = [told]
+    gateway.script = [not_run]
     gateway.address_delays_s = [0, 0.6]
-    record = await _caller(gateway, Ledger()).send(_plain(deadline_s=0.5))
+    record = await _caller(gateway, Ledger()).send(_plain_work(deadline_s=0.5))
     assert record.outcome is Outcome.NOT_RUN
     assert len(record.attempts) == 1
 
@@ -161,14 +166,14 @@
 async def test_a_second_send_without_an_answer_leaves_none(
     gateway: _FakeGateway,
 ) -> None:
-    """What was sent again may have run, so the first "not run" isn't final."""
-    told = json_response(
+    """A retry without an answer may have run, so `not_run` isn't final."""
+    not_run = json_response(
         {'outcome': 'not_run', 'reason': 'log down', 'retry_after_s': 0.1},
         503,
         **{'Bramleybend-Outcome': 'not_run', 'Retry-After': '0.1'},
     )
-    gateway.script = [told, *[None] * 40]
-    record = await _caller(gateway, Ledger()).send(_plain(deadline_s=0.5))
+    gateway.script = [not_run, *[None] * 40]
+    record = await _caller(gateway, Ledger()).send(_plain_work(deadline_s=0.5))
     assert record.outcome is None
     assert len(record.attempts) == 2
 
@@ -176,10 +181,13 @@
 async def test_a_stream_without_its_outcome_is_not_whole(
     gateway: _FakeGateway,
 ) -> None:
-    """The caller asks for a replay instead of taking a torn answer."""
-    work = _streamed()
-    end = 'event: outcome\ndata: {"outcome": "done"}\n\n'
-    gateway.script = [_stream(work), _stream(work, end)]
+    """The caller sends again instead of accepting an incomplete answer."""
+    work = _streamed_work()
+    final_event = 'event: outcome\ndata: {"outcome": "done"}\n\n'
+    gateway.script = [
+        _stream_response(work),
+        _stream_response(work, final_event),
+    ]
     record = await _caller(gateway, Ledger()).send(work)
     assert record.attempts[0].sends == 2
     assert record.final is not None
@@ -187,20 +195,20 @@
 
 
 async def test_wrong_answers_are_found(gateway: _FakeGateway) -> None:
-    """A foreign answer, a second run and a false `not_run` all show."""
-    work = _plain(deadline_s=1)
-    foreign = HttpResponse(body=expected_body(b'slot 8'), headers=DONE)
+    """The ledger finds a foreign answer, a second run and a false `not_run`."""
+    work = _plain_work(deadline_s=1)
+    foreign = HttpResponse(body=expected_body(b'slot 8'), headers=DONE_HEADERS)
     gateway.script = [foreign]
     ledger = Ledger()
     await _caller(gateway, ledger).send(work)
     assert len(ledger.judge(Counter({work.content: 2})).wrong) == 2
 
-    told = json_response(
+    not_run = json_response(
         {'outcome': 'not_run', 'reason': '', 'retry_after_s': 9},
         503,
         **{'Bramleybend-Outcome': 'not_run'},
     )
-    gateway.script = [told]
+    gateway.script = [not_run]
     false_claim = Ledger()
     await _caller(gateway, false_claim).send(work)
     assert len(false_claim.judge(Counter({work.content: 1})).wrong) == 1
@@ -209,8 +217,8 @@
 async def test_a_request_without_an_answer_is_lost(
     gateway: _FakeGateway,
 ) -> None:
-    """A deadline that passes in silence is no answer."""
+    """A request without an answer by its deadline counts as lost."""
     gateway.script = [None] * 100
     ledger = Ledger()
-    await _caller(gateway, ledger).send(_plain(deadline_s=0.3))
+    await _caller(gateway, ledger).send(_plain_work(deadline_s=0.3))
     assert ledger.judge(Counter()).lost == 1
--- a/tests/utils/test_harness.py
+++ b/tests/utils/test_harness.py
@@ -1,4 +1,4 @@
-"""The harness leaves no process behind, and its relay cuts as told."""
+"""Tests of the harness: child processes end, and the relay blocks bytes."""
 
 import asyncio
 import os
@@ -15,9 +15,9 @@
 from tests.utils.relay import Cut, Relay
 from tests.utils.waiting import wait_until
 
-STANDIN = 'tests.utils.log_service'
+STANDIN_MODULE = 'tests.utils.log_service'
 # Starts a stand-in as the harness does, prints its pid, then waits.
-HARNESS = """
+HARNESS_SCRIPT = """
 import asyncio, pathlib, sys
 from tests.utils.processes import Process
 async def main():
@@ -30,7 +30,7 @@
 
 
 def _argv(prefix: str) -> list[str]:
-    return [STANDIN, '--host', f'{prefix}.9', '--port', '7100']
+    return [STANDIN_MODULE, '--host', f'{prefix}.9', '--port', '7100']
 
 
 def _is_alive(pid: int) -> bool:
@@ -42,7 +42,7 @@
 
 
 async def test_a_frozen_process_is_ended(tmp_path: Path) -> None:
-    """SIGKILL needs no thaw."""
+    """SIGKILL ends a stopped process without SIGCONT."""
     process = Process('log', _argv(free_prefix()), tmp_path / 'log')
     await process.start()
     process.send_signal(signal.SIGSTOP)
@@ -53,26 +53,26 @@
 
 
 async def test_a_killed_harness_takes_its_processes_along() -> None:
-    """Children of a harness that can't clean up end all the same."""
+    """The children of a killed harness end, though it can't clean up."""
     harness = await asyncio.create_subprocess_exec(
         sys.executable,
         '-c',
-        HARNESS,
+        HARNESS_SCRIPT,
         *_argv(free_prefix()),
         cwd=ROOT,
         env={**os.environ, 'PYTHONPATH': str(ROOT)},
         stdout=asyncio.subprocess.PIPE,
     )
     assert harness.stdout is not None
-    child = int(await harness.stdout.readline())
-    assert _is_alive(child)
+    child_pid = int(await harness.stdout.readline())
+    assert _is_alive(child_pid)
     harness.kill()
     await harness.wait()
-    await wait_until(lambda: not _is_alive(child), 'the child has ended')
+    await wait_until(lambda: not _is_alive(child_pid), 'the child has ended')
 
 
 async def test_a_cut_holds_bytes_until_it_heals() -> None:
-    """A request sent into a cut arrives late; its caller had given up."""
+    """A cut blocks a reply until the caller times out; `heal` ends it."""
     prefix = free_prefix()
     log = LogService(f'{prefix}.2', 7100)
     relay = Relay(f'{prefix}.3', 7100, f'{prefix}.2', 7100)
--- a/tests/utils/test_standins.py
+++ b/tests/utils/test_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins keep to docs/PLATFORM.md, and their faults strike."""
+"""The stand-ins behave as docs/PLATFORM.md says, and their faults work."""
 
 import json
 from collections.abc import AsyncIterator
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 async def log() -> AsyncIterator[LogService]:
-    """A log service of its own."""
+    """A new log service."""
     service = LogService(HOST, 0)
     await service.start()
     yield service
@@ -35,7 +35,7 @@
 
 @pytest.fixture
 async def engine() -> AsyncIterator[Engine]:
-    """A fast engine of one slot and one place to wait."""
+    """A fast engine with one slot and a queue of one request."""
     cfg = EngineConfig(
         slots=1,
         max_waiting=1,
@@ -68,7 +68,7 @@
     return int(reply['offset'])
 
 
-async def _stream(
+async def _complete_stream(
     engine: Engine,
     run_id: str,
     prompt: str = PROMPT,
@@ -79,10 +79,10 @@
     headers = {'X-Run-Id': run_id}
     reply = await call('POST', url, headers, json.dumps(body).encode())
     assert reply.status == 200
-    return _data(reply.body)
+    return _event_data(reply.body)
 
 
-def _data(body: bytes) -> list[str]:
+def _event_data(body: bytes) -> list[str]:
     return [
         line.removeprefix('data: ')
         for line in body.decode().split('\n')
@@ -90,12 +90,12 @@
     ]
 
 
-def _text(events: list[str]) -> str:
+def _joined_text(events: list[str]) -> str:
     return ''.join(json.loads(event).get('text', '') for event in events)
 
 
 async def test_the_log_gives_offsets_and_reads_back(log: LogService) -> None:
-    """Records of one append lie next to each other."""
+    """The records of one append have consecutive offsets."""
     assert await _append(log, 'a', 'b') == 0
     assert await _append(log, 'c') == 2
     batch = await call_json('GET', f'{log.url}/streams/s/records?from=1')
@@ -104,7 +104,7 @@
 
 
 async def test_a_lost_reply_leaves_its_record(log: LogService) -> None:
-    """The append took effect though its caller got no answer."""
+    """An append takes effect although its reply is lost."""
     await call_json('POST', f'{log.url}/faults', {'lose_replies': 1})
     with pytest.raises(BrokenCallError):
         await _append(log, 'a')
@@ -115,7 +115,7 @@
 async def test_a_forgotten_record_moves_the_first_offset(
     log: LogService,
 ) -> None:
-    """A read below the first kept record starts there."""
+    """A read below the first retained record starts at that record."""
     await _append(log, 'a', 'b', 'c')
     await call_json('POST', f'{log.url}/faults', {'keep_last': 1})
     batch = await call_json('GET', f'{log.url}/streams/s/records?from=0')
@@ -124,7 +124,7 @@
 
 
 async def test_a_large_record_is_refused_whole(log: LogService) -> None:
-    """Nothing of an append lands when one record is too large."""
+    """An append with one record that is too large appends none."""
     log.faults.max_record_bytes = 3
     reply = await call(
         'POST',
@@ -136,7 +136,7 @@
 
 
 async def test_a_log_that_is_down_says_so(log: LogService) -> None:
-    """A 503 means that nothing was appended."""
+    """A call that is answered with 503 appends nothing."""
     log.faults.down = True
     reply = await call('POST', f'{log.url}/streams/s/records', body=b'{}')
     assert reply.status == 503
@@ -144,7 +144,7 @@
 
 
 async def test_the_list_lags() -> None:
-    """A change is not seen before its lag is over."""
+    """A change is not visible before the lag has passed."""
     service = VmListService(HOST, 0)
     await service.start()
     await call_json('PUT', f'{service.url}/vms', {'vms': [VM]})
@@ -156,16 +156,16 @@
 
 
 async def test_an_engine_streams_the_expected_answer(engine: Engine) -> None:
-    """Tokens, then usage, then the end mark."""
-    events = await _stream(engine, 'r1')
+    """The stream has the tokens, then the usage, then `[DONE]`."""
+    events = await _complete_stream(engine, 'r1')
     assert events[-1] == '[DONE]'
-    assert _text(events[:-1]) == expected_text(PROMPT, 10)
+    assert _joined_text(events[:-1]) == expected_text(PROMPT, 10)
 
 
 async def test_a_repeated_prompt_comes_from_the_cache(engine: Engine) -> None:
-    """The second run of a prompt prefills only its tail."""
-    await _stream(engine, 'r1')
-    events = await _stream(engine, 'r2')
+    """The second run prefills only the last, incomplete block."""
+    await _complete_stream(engine, 'r1')
+    events = await _complete_stream(engine, 'r2')
     usage = json.loads(events[-2])['usage']
     assert usage['cached_tokens'] == 448
     feed = await call_json('GET', f'{engine.url}/v1/cache-events?from=0')
@@ -173,8 +173,8 @@
 
 
 async def test_a_known_run_id_is_refused(engine: Engine) -> None:
-    """An engine admits a run id once."""
-    await _stream(engine, 'r1')
+    """An engine admits a run id only once."""
+    await _complete_stream(engine, 'r1')
     url = f'{engine.url}/v1/completions'
     reply = await call('POST', url, {'X-Run-Id': 'r1'}, b'{}')
     assert reply.status == 409
@@ -182,12 +182,12 @@
 
 
 async def test_a_cut_stream_is_resumed_where_it_broke(engine: Engine) -> None:
-    """The run goes on while nobody reads it."""
+    """The run continues while no client reads its stream."""
     engine.faults.cut_streams = 1
     with pytest.raises(BrokenCallError):
-        await _stream(engine, 'r1')
+        await _complete_stream(engine, 'r1')
     reply = await call('GET', f'{engine.url}/v1/runs/r1/events?from=3')
-    events = _data(reply.body)
+    events = _event_data(reply.body)
     assert json.loads(events[0])['index'] == 3
     assert events[-1] == '[DONE]'
 
@@ -195,7 +195,7 @@
 async def test_a_cancelled_run_ends_without_the_end_mark(
     engine: Engine,
 ) -> None:
-    """Its reader can't take it for whole."""
+    """Without `[DONE]` a reader can't regard the stream as complete."""
     body = {'prompt': PROMPT, 'max_tokens': 10_000, 'stream': True}
     async with exchange(
         'POST',
@@ -212,9 +212,9 @@
 async def test_poison_breaks_every_run_and_is_forgotten(
     engine: Engine,
 ) -> None:
-    """A crash drops connections; the engine comes back empty."""
+    """A crash drops the connections, and the engine restarts empty."""
     with pytest.raises(BrokenCallError):
-        await _stream(engine, 'r1', f'{POISON} {PROMPT}')
+        await _complete_stream(engine, 'r1', f'{POISON} {PROMPT}')
     assert [run.state for run in engine.admitted] == ['crashed']
     assert not engine.batch.running
 
@@ -222,14 +222,14 @@
 async def test_a_plain_service_records_what_it_ran(
     plain: PlainService,
 ) -> None:
-    """Also a call whose answer never came."""
+    """The service also records a call whose answer was lost."""
     url = f'{plain.url}/call'
     reply = await call('POST', url, {'X-Run-Id': 'r1'}, b'slot 1')
     assert reply.body == expected_body(b'slot 1')
     plain.faults.die_after_effect = 1
     with pytest.raises(BrokenCallError):
         await call('POST', url, {'X-Run-Id': 'r2'}, b'slot 2')
-    assert [ran.body_hash for ran in plain.calls] == [
+    assert [recorded.body_hash for recorded in plain.calls] == [
         content_hash(b'slot 1'),
         content_hash(b'slot 2'),
     ]
--- a/tests/utils/vm_list.py
+++ b/tests/utils/vm_list.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's VM list, which lags."""
+"""Stand-in for the platform's VM list, whose changes appear late."""
 
 import time
 from dataclasses import asdict, dataclass
@@ -12,18 +12,18 @@
 
 
 @dataclass
-class ListFaults(Faults):
-    """Faults of the list; a change shows only `lag_s` after it was made."""
+class VmListFaults(Faults):
+    """Faults of the VM list; a change is visible `lag_s` after it was made."""
 
     lag_s: float = 0
 
 
 class VmListService:
-    """Shows the VMs as they were put, late if told so."""
+    """Serves the VM list, with the delay that its faults set."""
 
     def __init__(self, host: str, port: int, seed: int = 0) -> None:
-        """Take the address; `start` binds it."""
-        self.faults = ListFaults()
+        """Set the address; `start` binds it."""
+        self.faults = VmListFaults()
         self.server = FaultyServer(host, port, self.faults, self._handle)
         self._versions: list[tuple[float, list[dict[str, Any]]]] = [(0, [])]
 
@@ -41,20 +41,20 @@
         await self.server.stop()
 
     def put(self, vms: list[Vm]) -> None:
-        """Set the list; callers see it once the lag is over."""
-        self._put([asdict(vm) for vm in vms])
+        """Replace the list; the change is visible after the lag."""
+        self._replace([asdict(vm) for vm in vms])
 
     def add(self, vm: Vm) -> None:
-        """Add or replace the VM of this name."""
-        self._put([*self._without(vm.name), asdict(vm)])
+        """Add a VM or replace the one of the same name."""
+        self._replace([*self._without(vm.name), asdict(vm)])
 
     def remove(self, name: str) -> None:
-        """Drop the VM of this name."""
-        self._put(self._without(name))
+        """Remove the VM of this name."""
+        self._replace(self._without(name))
 
     def mark_leaving(self, name: str) -> None:
-        """Show a VM as leaving."""
-        self._put(
+        """Set the state of a VM to leaving."""
+        self._replace(
             [
                 {**vm, 'state': str(RunnerState.LEAVING)}
                 if vm['name'] == name
@@ -66,19 +66,21 @@
     def _without(self, name: str) -> list[dict[str, Any]]:
         return [vm for vm in self._versions[-1][1] if vm['name'] != name]
 
-    def _put(self, vms: list[dict[str, Any]]) -> None:
+    def _replace(self, vms: list[dict[str, Any]]) -> None:
         self._versions.append((time.monotonic() + self.faults.lag_s, vms))
 
-    def _visible(self) -> list[dict[str, Any]]:
+    def _visible_vms(self) -> list[dict[str, Any]]:
         now = time.monotonic()
-        return [vms for at, vms in self._versions if at <= now][-1]
+        return [vms for visible_at, vms in self._versions if visible_at <= now][
+            -1
+        ]
 
     async def _handle(self, req: HttpRequest) -> HttpResponse:
         if req.path != '/vms':
             return json_response({}, HTTPStatus.NOT_FOUND)
         if req.method == 'PUT':
-            self._put(list(req.json()['vms']))
-        return json_response({'vms': self._visible()})
+            self._replace(list(req.json()['vms']))
+        return json_response({'vms': self._visible_vms()})
 
 
 def main() -> None:
