--- a/tests/direct/test_endless_answers.py
+++ b/tests/direct/test_endless_answers.py
@@ -28,7 +28,7 @@
     manifest,
     running_cluster,
 )
-from tests.utils.endless_bytes import (
+from tests.utils.endless_messages import (
     CHUNKED,
     EVENTS,
     FRAMED,
--- a/tests/direct/test_feeds.py
+++ b/tests/direct/test_feeds.py
@@ -22,7 +22,7 @@
 from bramleybend.platform.runner_entry import decode_runner
 from bramleybend.platform.store import StoreClient
 from tests.direct.cluster import HOST, manifest, route
-from tests.utils.instants import START
+from tests.utils.start_times import START
 from tests.utils.platform_store import PlatformStore
 
 ENTRY = {
--- a/tests/direct/test_limit_news.py
+++ b/tests/direct/test_limit_news.py
@@ -14,7 +14,7 @@
     RunnerLimits,
 )
 from bramleybend.events import EventLog
-from tests.utils.instants import START
+from tests.utils.start_times import START
 
 
 @pytest.fixture
--- a/tests/direct/test_owner_batches.py
+++ b/tests/direct/test_owner_batches.py
@@ -19,7 +19,7 @@
 from bramleybend.direct.models import RunnerEntry, RunnerState
 from bramleybend.direct.owner import SWITCHES, ServiceQueue, make_queue
 from bramleybend.models import Ask, Service, ServiceKind, Tier
-from tests.utils.instants import START
+from tests.utils.start_times import START
 
 SERVICE = 'lm'
 SLOTS = 2
--- a/tests/test_endless_messages.py
+++ b/tests/test_endless_messages.py
@@ -17,7 +17,7 @@
 from bramleybend.errors import ProblemError
 from bramleybend.gateway.caller_connection import CallerConnection
 from tests.direct.cluster import KEY, running_cluster
-from tests.utils.endless_bytes import (
+from tests.utils.endless_messages import (
     EVENTS,
     FRAMED,
     FRAMING,
--- a/tests/utils/demo.py
+++ b/tests/utils/demo.py
@@ -12,7 +12,7 @@
 from bramleybend.answers import Outcome
 from bramleybend.models import Tier
 from bramleybend.status import ExitStatus
-from tests.utils.answers import BLOCK_TOKENS
+from tests.utils.expected_answers import BLOCK_TOKENS
 from tests.utils.callers import Caller
 from tests.utils.cluster import EXAMPLE, Cluster, Layout
 from tests.utils.engine import Engine, EngineConfig
--- a/tests/utils/engine.py
+++ b/tests/utils/engine.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Any, Final
 
-from tests.utils.answers import expected_text
+from tests.utils.expected_answers import expected_text
 from tests.utils.engine_batch import Batch, Run, RunState
 from tests.utils.engine_cache import CacheFeed, PrefixCache
 from tests.utils.engine_weights import Weights
@@ -21,7 +21,7 @@
     HttpResponse,
     json_response,
 )
-from tests.utils.program import parser, run
+from tests.utils.standin_program import parser, run
 
 POISON: Final = 'POISON'
 LOAD_SAMPLE_S: Final = 0.05
--- a/tests/utils/engine_batch.py
+++ b/tests/utils/engine_batch.py
@@ -13,7 +13,7 @@
 from enum import StrEnum
 from typing import Final
 
-from tests.utils.answers import (
+from tests.utils.expected_answers import (
     BLOCK_TOKENS,
     content_hash,
     prefix_hashes,
--- a/tests/utils/log_service.py
+++ b/tests/utils/log_service.py
@@ -12,7 +12,7 @@
     HttpResponse,
     json_response,
 )
-from tests.utils.program import parser, run
+from tests.utils.standin_program import parser, run
 
 
 @dataclass
--- a/tests/utils/peer_network.py
+++ b/tests/utils/peer_network.py
@@ -29,7 +29,7 @@
 from bramleybend.direct.placing import Placer
 from bramleybend.direct.queues import make_queues
 from bramleybend.events import EventLog
-from tests.utils.instants import START
+from tests.utils.start_times import START
 
 PORT = 7600
 DELAY_S = 0.0005
--- a/tests/utils/plain_service.py
+++ b/tests/utils/plain_service.py
@@ -7,7 +7,7 @@
 from http import HTTPStatus
 from random import Random
 
-from tests.utils.answers import content_hash, expected_body
+from tests.utils.expected_answers import content_hash, expected_body
 from tests.utils.faults import MILLISECONDS, FaultSampler, Faults, FaultyServer
 from tests.utils.http_server import (
     DropConnectionError,
@@ -15,7 +15,7 @@
     HttpResponse,
     json_response,
 )
-from tests.utils.program import parser, run
+from tests.utils.standin_program import parser, run
 
 
 @dataclass
--- a/tests/utils/scenario.py
+++ b/tests/utils/scenario.py
@@ -13,7 +13,7 @@
 from tests.utils.http_client import BEFORE_RESPONSE_HEAD
 from tests.utils.ledger import Ledger, Verdict
 from tests.utils.load import Stream, plan, play
-from tests.utils.own_loop import log_loop_lag
+from tests.utils.event_loop_lag import log_loop_lag
 from tests.utils.waiting import wait_until
 from tests.utils.work import Declaration, WorkFactory
 
--- a/tests/utils/test_callers.py
+++ b/tests/utils/test_callers.py
@@ -9,7 +9,7 @@
 
 from bramleybend.answers import Outcome
 from bramleybend.models import Repeat, Tier
-from tests.utils.answers import expected_body, token_text
+from tests.utils.expected_answers import expected_body, token_text
 from tests.utils.callers import Caller
 from tests.utils.http_server import (
     DropConnectionError,
--- a/tests/utils/test_standins.py
+++ b/tests/utils/test_standins.py
@@ -5,7 +5,11 @@
 
 import pytest
 
-from tests.utils.answers import content_hash, expected_body, expected_text
+from tests.utils.expected_answers import (
+    content_hash,
+    expected_body,
+    expected_text,
+)
 from tests.utils.engine import POISON, Engine, EngineConfig
 from tests.utils.http_client import BrokenCallError, call, call_json, exchange
 from tests.utils.log_service import LogService
--- a/tests/utils/vm_list.py
+++ b/tests/utils/vm_list.py
@@ -8,7 +8,7 @@
 from bramleybend.models import RunnerState, Vm
 from tests.utils.faults import Faults, FaultyServer
 from tests.utils.http_server import HttpRequest, HttpResponse, json_response
-from tests.utils.program import parser, run
+from tests.utils.standin_program import parser, run
 
 
 @dataclass
--- a/tests/utils/work.py
+++ b/tests/utils/work.py
@@ -9,7 +9,11 @@
 import yaml
 
 from bramleybend.models import Repeat, ServiceKind, Tier
-from tests.utils.answers import content_hash, expected_body, expected_text
+from tests.utils.expected_answers import (
+    content_hash,
+    expected_body,
+    expected_text,
+)
 
 WORDS: Final = ('stall', 'flare', 'crosswind', 'circuit', 'trim', 'glide')
 
