--- a/tests/utils/engine.py
+++ b/tests/utils/engine.py
@@ -26,7 +26,7 @@
 POISON: Final = 'POISON'
 LOAD_SAMPLE_S: Final = 0.05
 LOAD_SAMPLES: Final = 400
-MAX_STREAM_CUTS: Final = 2  # per run; with more, clients suspect the engine
+MAX_STREAM_CUTS: Final = 2  # per run; more look like a dead engine
 
 
 @dataclass
@@ -35,7 +35,7 @@
 
     slowdown: float = 1  # factor by which steps take longer
     cut_streams: float = 0  # count if 1 or more, else a probability
-    lose_order_replies: float = 0  # order runs, but the connection breaks
+    lose_order_replies: float = 0  # accepted, but the connection breaks
     unloadable: str = ''  # version or adapter that fails to load
 
 
@@ -52,7 +52,7 @@
     cache_lag_s: float = 0.5
     cache_drop: float = 0.1
     checks_fence: bool = False
-    poison_exits: bool = False  # else it drops its connections and runs
+    poison_exits: bool = False  # else it drops all runs and restarts
     restart_s: float = 0.5
     model: str = 'model-a'
     version: str = '1'
--- a/tests/utils/expected_answers.py
+++ b/tests/utils/expected_answers.py
@@ -40,8 +40,8 @@
 
 def token_text(prompt_hash: str, index: int) -> str:
     """Return the token at `index` of the answer to a prompt."""
-    word = hashlib.sha256(f'{prompt_hash}/{index}'.encode()).hexdigest()
-    return f'{word[:WORD_LENGTH]} '
+    digest = hashlib.sha256(f'{prompt_hash}/{index}'.encode()).hexdigest()
+    return f'{digest[:WORD_LENGTH]} '
 
 
 def expected_text(prompt: str, max_tokens: int) -> str:
--- a/tests/utils/ledger.py
+++ b/tests/utils/ledger.py
@@ -83,7 +83,7 @@
         retry. The answer to the attempt before is then final, as no attempt
         is left that may have run.
         """
-        self.attempts = [one for one in self.attempts if one.sends]
+        self.attempts = [attempt for attempt in self.attempts if attempt.sends]
 
     def finish(self, reading: Reading) -> None:
         """Set the final answer."""
--- a/tests/utils/log_service.py
+++ b/tests/utils/log_service.py
@@ -81,7 +81,7 @@
         return list(self._stream(stream).records)
 
     def append(self, stream_name: str, records: list[str]) -> int:
-        """Append records; of the faults only retention applies.
+        """Append records; only the retention faults apply.
 
         Returns the offset of the first record.
         """
--- a/tests/utils/peer_network.py
+++ b/tests/utils/peer_network.py
@@ -107,7 +107,8 @@
         now = self.clock.monotonic()
         running = {vm.name for vm in self.up()}
         return all(
-            {one.vm for one in vm.members.alive(now)} == running - {vm.name}
+            {member.vm for member in vm.members.alive(now)}
+            == running - {vm.name}
             for vm in self.up()
         )
 
--- a/tests/utils/queueing_fake.py
+++ b/tests/utils/queueing_fake.py
@@ -138,7 +138,7 @@
 
     job: Job
     on_first: Callable[[int], None]  # first token; gets cached tokens
-    on_end: Callable[[bool], None]  # gets whether the run completed
+    on_end: Callable[[bool], None]  # gets whether it completed
     cached: int = 0
     elsewhere: int = 0
     prefill_left: float = 0
--- a/tests/utils/test_harness.py
+++ b/tests/utils/test_harness.py
@@ -72,7 +72,10 @@
 
 
 async def test_a_cut_holds_bytes_until_it_heals() -> None:
-    """A cut blocks a reply until the caller times out; `heal` ends it."""
+    """A cut holds back the reply to an append that took effect.
+
+    Its caller times out; after `heal` calls are answered again.
+    """
     prefix = free_prefix()
     log = LogService(f'{prefix}.2', 7100)
     relay = Relay(f'{prefix}.3', 7100, f'{prefix}.2', 7100)
--- a/tests/utils/test_standins.py
+++ b/tests/utils/test_standins.py
@@ -128,7 +128,7 @@
 
 
 async def test_a_large_record_is_refused_whole(log: LogService) -> None:
-    """An append with one record that is too large appends none."""
+    """An append with a record that is too large appends nothing."""
     log.faults.max_record_bytes = 3
     reply = await call(
         'POST',
--- a/tests/utils/waiting.py
+++ b/tests/utils/waiting.py
@@ -6,14 +6,14 @@
 from collections.abc import Awaitable, Callable
 from typing import Final
 
-POLL_S: Final = 0.02
-LIMIT_S: Final = 15
+POLL_PERIOD_S: Final = 0.02
+DEFAULT_LIMIT_S: Final = 15
 
 
 async def wait_until(
     condition: Callable[[], bool | Awaitable[bool]],
     what: str,
-    limit_s: float = LIMIT_S,
+    limit_s: float = DEFAULT_LIMIT_S,
 ) -> float:
     """Poll `condition` until it holds; return the seconds that it took.
 
@@ -21,8 +21,8 @@
     """
     started = time.monotonic()
     while time.monotonic() - started < limit_s:
-        held = condition()
-        if await held if inspect.isawaitable(held) else held:
+        is_met = condition()
+        if await is_met if inspect.isawaitable(is_met) else is_met:
             return time.monotonic() - started
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_PERIOD_S)
     raise TimeoutError(f'not within {limit_s} s: {what}')
