--- a/tests/utils/http_client.py
+++ b/tests/utils/http_client.py
@@ -68,7 +68,7 @@
         await self._writer.drain()
         head = await self._next_event()
         if not isinstance(head, h11.Response):
-            raise BrokenCallError('connection closed before the response head')
+            raise BrokenCallError('connection closed without a response')
         self.status = head.status_code
         self.headers = {
             name.decode().lower(): value.decode()
