--- a/tests/direct/test_feeds.py
+++ b/tests/direct/test_feeds.py
@@ -22,8 +22,8 @@
 from bramleybend.platform.runner_entry import decode_runner
 from bramleybend.platform.store_client import StoreClient
 from tests.direct.cluster import HOST, manifest, route
-from tests.utils.instants import START
 from tests.utils.platform_store import PlatformStore
+from tests.utils.start_times import START
 
 ENTRY = {
     'service': 'app',
--- a/tests/direct/test_owner_batches.py
+++ b/tests/direct/test_owner_batches.py
@@ -19,7 +19,7 @@
 from bramleybend.direct.models import RunnerEntry, RunnerState
 from bramleybend.direct.service_queue import SWITCHES, ServiceQueue, make_queue
 from bramleybend.models import Service, ServiceKind, SlotRequest, Tier
-from tests.utils.instants import START
+from tests.utils.start_times import START
 
 SERVICE = 'lm'
 SLOTS = 2
--- a/tests/utils/waiting.py
+++ b/tests/utils/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting on conditions instead of sleeping."""
+"""Polls a condition until it holds, instead of a fixed sleep."""
 
 import asyncio
 import inspect
@@ -6,20 +6,23 @@
 from collections.abc import Awaitable, Callable
 from typing import Final
 
-POLL_S: Final = 0.02
-LIMIT_S: Final = 15
+POLL_PERIOD_S: Final = 0.02
+DEFAULT_LIMIT_S: Final = 15
 
 
 async def wait_until(
     condition: Callable[[], bool | Awaitable[bool]],
     what: str,
-    limit_s: float = LIMIT_S,
+    limit_s: float = DEFAULT_LIMIT_S,
 ) -> float:
-    """Return how long the condition took; fail by name if it never held."""
+    """Poll `condition` until it holds; return the seconds that it took.
+
+    Raises TimeoutError with `what` in its message after `limit_s`.
+    """
     started = time.monotonic()
     while time.monotonic() - started < limit_s:
-        held = condition()
-        if await held if inspect.isawaitable(held) else held:
+        is_met = condition()
+        if await is_met if inspect.isawaitable(is_met) else is_met:
             return time.monotonic() - started
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_PERIOD_S)
     raise TimeoutError(f'not within {limit_s} s: {what}')
