--- a/bramleybend/gateway/home.py
+++ b/bramleybend/gateway/home.py
@@ -29,9 +29,9 @@
 from bramleybend.gateway.run import CallerRequest, Run, finish_on_fault
 from bramleybend.metrics import Metric
 from bramleybend.models import JournalMode, Profile, Terms
-from bramleybend.state.id_table import Expired, Full, IdTable, Known
+from bramleybend.state.id_table import EpochFull, ExpiredId, IdTable, KnownId
 from bramleybend.state.journal_records import encode_intent, encode_outcome
-from bramleybend.state.tickets import RequestId, Ticket, dispatch_mode
+from bramleybend.state.tickets import RequestId, Ticket, resolve_journal_mode
 
 LOG_RETRY_AFTER: Final = timedelta(seconds=2)
 NEW_TICKET_RETRY_AFTER: Final = timedelta(seconds=1)
@@ -75,13 +75,13 @@
     def find_run(self, request_id: RequestId) -> Run | None:
         """Return the run of an id; None for an id that is not known."""
         seen = self._ids.lookup(request_id, self._deps.clock.monotonic())
-        return seen.entry if isinstance(seen, Known) else None
+        return seen.entry if isinstance(seen, KnownId) else None
 
     def expired_answer(self, request_id: RequestId) -> Answer | None:
         """Return `expired` for an id too old to know whether it has run."""
         seen = self._ids.lookup(request_id, self._deps.clock.monotonic())
         return (
-            answer_expired(seen.reason) if isinstance(seen, Expired) else None
+            answer_expired(seen.reason) if isinstance(seen, ExpiredId) else None
         )
 
     def submit(
@@ -116,9 +116,9 @@
         )
         run = Run(replace(req, deadline=min(req.deadline, max_deadline)))
         added = self._ids.add(request_id, run, self._deps.clock.monotonic())
-        if isinstance(added, Expired):
+        if isinstance(added, ExpiredId):
             return answer_expired(added.reason)
-        if isinstance(added, Full):
+        if isinstance(added, EpochFull):
             return answer_not_run(
                 'this VM holds too many ids', NEW_TICKET_RETRY_AFTER
             )
@@ -165,7 +165,7 @@
         )
 
     async def _run_to_outcome(self, request_id: RequestId, job: Job) -> Answer:
-        mode = dispatch_mode(request_id, job.profile.journal)
+        mode = resolve_journal_mode(request_id, job.profile.journal)
         if mode is JournalMode.BEFORE_DISPATCH:
             if not await self._write_intent_in_time(request_id, job):
                 return self._intent_refusal()
--- a/bramleybend/gateway/journal_writer.py
+++ b/bramleybend/gateway/journal_writer.py
@@ -18,7 +18,7 @@
 from bramleybend.errors import ErrorKind
 from bramleybend.events import EventLog
 from bramleybend.metrics import Metric, Metrics
-from bramleybend.state.journal_records import encode_seal, stream_of
+from bramleybend.state.journal_records import encode_seal, journal_stream
 from bramleybend.state.journal_rules import HomeJournal
 
 # Delays each waiting request so that intents are batched. 5 ms allow a home at
@@ -60,7 +60,7 @@
         self.journal = HomeJournal()
         self.log_ok = True
         self._log = log
-        self._stream = stream_of(incarnation)
+        self._stream = journal_stream(incarnation)
         self._incarnation = incarnation
         self._events = events
         self._metrics = metrics
@@ -72,7 +72,7 @@
     @property
     def is_sealed(self) -> bool:
         """Whether a seal has been read, so that no intent counts any more."""
-        return self.journal.sealed
+        return self.journal.is_sealed
 
     def queue_record(self, record: str) -> None:
         """Queue a record to be written later."""
--- a/bramleybend/gateway/lost_home.py
+++ b/bramleybend/gateway/lost_home.py
@@ -19,7 +19,7 @@
 from bramleybend.state.journal_records import (
     OutcomeRecord,
     encode_seal,
-    stream_of,
+    journal_stream,
 )
 from bramleybend.state.journal_rules import (
     Ended,
@@ -101,16 +101,16 @@
     ) -> Answer:
         if not await self._read_to_tail(request_id, view):
             return answer_unknown(LOG_DOWN_REASON)
-        if request_id.ticket.intent_first and not view.sealed:
+        if request_id.ticket.intent_first and not view.is_sealed:
             # If the home is still alive, it reads the seal back before its
             # next dispatch, and dispatches nothing reported as `not_run` here.
             await self._seal(request_id)
             if (
                 not await self._read_to_tail(request_id, view)
-                or not view.sealed
+                or not view.is_sealed
             ):
                 return answer_unknown(LOG_DOWN_REASON)
-        match view.fate(request_id):
+        match view.resolve_request(request_id):
             case Ended(record):
                 return _repeat_outcome(record, run)
             case NotRun():
@@ -132,12 +132,12 @@
         self, request_id: RequestId, view: JournalView
     ) -> bool:
         """Read the journal to its end; false if the log gave an error."""
-        stream = stream_of(request_id.ticket.incarnation)
+        stream = journal_stream(request_id.ticket.incarnation)
         while True:
             batch = await self._read_batch(stream, view.next_offset)
             if batch is None:
                 return False
-            view.add(batch.records)
+            view.apply(batch.records)
             if not batch.records:
                 return view.next_offset >= batch.next_offset
 
@@ -152,7 +152,7 @@
         return None
 
     async def _seal(self, request_id: RequestId) -> None:
-        stream = stream_of(request_id.ticket.incarnation)
+        stream = journal_stream(request_id.ticket.incarnation)
         # The result of the append is ignored: the next read shows whether the
         # seal was written, and a second seal changes nothing.
         await self._log.append(stream, (encode_seal(self._vm),))
--- a/bramleybend/gateway/view.py
+++ b/bramleybend/gateway/view.py
@@ -234,7 +234,7 @@
             fresh_at=max(asked_at - reply.age_s, self.view.fresh_at),
         )
         self._owner_candidates = tuple(
-            member for member in self.view.members if member.may_own
+            member for member in self.view.members if member.can_own_shards
         )
         self._view_received.set()
         self._view_received = asyncio.Event()
--- a/bramleybend/scheduler/gossip.py
+++ b/bramleybend/scheduler/gossip.py
@@ -1,7 +1,7 @@
 """The task that probes peers and exchanges gossip between schedulers.
 
-It owns the `Members` state: all code here runs on one event loop, and no await
-stands between reading that state and writing it.
+It owns the `Membership` state: all code here runs on one event loop, and no
+await stands between reading that state and writing it.
 """
 
 import asyncio
--- a/bramleybend/scheduler/peers.py
+++ b/bramleybend/scheduler/peers.py
@@ -150,7 +150,9 @@
 
     def list_owner_candidates(self) -> tuple[Member, ...]:
         """Return the members that may own shards."""
-        return tuple(each for each in self.list_contacts() if each.may_own)
+        return tuple(
+            each for each in self.list_contacts() if each.can_own_shards
+        )
 
     def list_contacts(self) -> tuple[Member, ...]:
         """Return every member, and listed VMs while this process joins.
@@ -182,7 +184,7 @@
         return terms_age_s(
             self._sources.terms.log_age_s,
             self._sources.terms.peer_age_s,
-            sum(member.may_own for member in members),
+            sum(member.can_own_shards for member in members),
             len(members),
         )
 
--- a/bramleybend/state/id_table.py
+++ b/bramleybend/state/id_table.py
@@ -11,7 +11,7 @@
 from bramleybend.state.tickets import RequestId
 
 EPOCH_S: Final = 300.0
-GRACE_S: Final = 600.0
+RETENTION_GRACE_S: Final = 600.0
 IDS_PER_EPOCH: Final = 100_000  # 5 minutes of 333 requests/s at one home
 # A ticket issued at the end of an epoch stays usable for one more epoch.
 OPEN_EPOCHS: Final = 2
@@ -20,26 +20,26 @@
 
 
 @dataclass(frozen=True)
-class Known(Generic[Entry]):
+class KnownId(Generic[Entry]):
     """The id was seen: join its running request or repeat its answer."""
 
     entry: Entry
 
 
 @dataclass(frozen=True)
-class New:
+class NewId:
     """The id was never seen by this home and may be added."""
 
 
 @dataclass(frozen=True)
-class Expired:
+class ExpiredId:
     """The id may have been seen and evicted, or belongs to another home."""
 
     reason: str
 
 
 @dataclass(frozen=True)
-class Full:
+class EpochFull:
     """The epoch accepts no more ids, ever: single ids are never evicted."""
 
 
@@ -48,11 +48,11 @@
     """How long ids are kept, and how many per epoch."""
 
     epoch_s: float = EPOCH_S
-    grace_s: float = GRACE_S
+    grace_s: float = RETENTION_GRACE_S
     capacity: int = IDS_PER_EPOCH
 
 
-_Ids: TypeAlias = dict[int, dict[RequestId, Known[Entry]]]
+_Ids: TypeAlias = dict[int, dict[RequestId, KnownId[Entry]]]
 
 
 class IdTable(Generic[Entry]):
@@ -91,34 +91,34 @@
         self,
         request_id: RequestId,
         now: float,
-    ) -> Known[Entry] | New | Expired | Full:
+    ) -> KnownId[Entry] | NewId | ExpiredId | EpochFull:
         """Return whether the id is known, may be added, or is refused."""
         current = self.current_epoch(now)
         epoch = request_id.ticket.epoch
         if request_id.ticket.incarnation != self._incarnation:
-            return Expired('the id belongs to another incarnation')
+            return ExpiredId('the id belongs to another incarnation')
         ids = self._epochs.get(epoch, {})
         known = ids.get(request_id)
         if known is not None:
             return known
         if epoch > current:
-            return Expired('the id is under a ticket not given yet')
+            return ExpiredId('the id is under a ticket not given yet')
         if epoch <= current - OPEN_EPOCHS:
-            return Expired('the ticket is too old for new ids')
-        return Full() if len(ids) >= self._limits.capacity else New()
+            return ExpiredId('the ticket is too old for new ids')
+        return EpochFull() if len(ids) >= self._limits.capacity else NewId()
 
     def add(
         self,
         request_id: RequestId,
         entry: Entry,
         now: float,
-    ) -> Known[Entry] | New | Expired | Full:
+    ) -> KnownId[Entry] | NewId | ExpiredId | EpochFull:
         """Add the id if it is new; any other result adds nothing."""
         verdict = self.lookup(request_id, now)
         self._drop_old_epochs()
-        if isinstance(verdict, New):
+        if isinstance(verdict, NewId):
             epoch = request_id.ticket.epoch
-            self._epochs.setdefault(epoch, {})[request_id] = Known(entry)
+            self._epochs.setdefault(epoch, {})[request_id] = KnownId(entry)
         return verdict
 
     def _drop_old_epochs(self) -> None:
--- a/bramleybend/state/journal_records.py
+++ b/bramleybend/state/journal_records.py
@@ -82,7 +82,7 @@
 )
 
 
-def stream_of(incarnation: str) -> str:
+def journal_stream(incarnation: str) -> str:
     """Return the name of the stream that holds an incarnation's journal."""
     return f'{JOURNAL_STREAM_PREFIX}{incarnation}'
 
--- a/bramleybend/state/journal_rules.py
+++ b/bramleybend/state/journal_rules.py
@@ -47,7 +47,7 @@
     reason: str
 
 
-Fate = Ended | NotRun | Unknown
+ProvenResult = Ended | NotRun | Unknown
 
 
 @dataclass(frozen=True)
@@ -102,13 +102,13 @@
     another VM had sealed the stream and reported `not run` to the caller.
     """
 
-    sealed: bool = False
+    is_sealed: bool = False
     _stream: _StreamReader = field(default_factory=_StreamReader)
 
     @classmethod
     def resume(cls, next_offset: int, *, sealed: bool) -> Self:
         """Continue at the offset where an earlier read ended."""
-        return cls(sealed=sealed, _stream=_StreamReader(next_offset))
+        return cls(is_sealed=sealed, _stream=_StreamReader(next_offset))
 
     @property
     def next_offset(self) -> int:
@@ -128,8 +128,8 @@
         """
         dispatchable_ids: set[str] = set()
         for record in self._stream.read(records):
-            self.sealed = self.sealed or _may_be_seal(record)
-            if isinstance(record, IntentRecord) and not self.sealed:
+            self.is_sealed = self.is_sealed or _may_be_seal(record)
+            if isinstance(record, IntentRecord) and not self.is_sealed:
                 dispatchable_ids.add(record.req)
         return frozenset(dispatchable_ids)
 
@@ -142,9 +142,10 @@
     as `Unknown`.
     """
 
-    sealed: bool = False
+    is_sealed: bool = False
     is_gapless_to_seal: bool = True  # all records up to the first seal read
-    complete: bool = False  # the home's last seal covers every dispatch
+    # The home's last seal covers every dispatch.
+    covers_all_dispatches: bool = False
     _is_gapless: bool = True  # no unreadable record so far
     _newest_epoch: int = 0
     _stream: _StreamReader = field(default_factory=_StreamReader)
@@ -163,18 +164,20 @@
         """Return how many records failed to decode."""
         return self._stream.bad_record_count
 
-    def add(self, records: Iterable[LogRecord]) -> None:
+    def apply(self, records: Iterable[LogRecord]) -> None:
         """Apply records from `next_offset` on."""
         for record in self._stream.read(records):
             if isinstance(record, _Unreadable):
                 self._apply_unreadable(record)
             elif isinstance(record, SealRecord):
-                self.sealed = True
-                self.complete |= record.complete and self._is_gapless
+                self.is_sealed = True
+                self.covers_all_dispatches |= (
+                    record.complete and self._is_gapless
+                )
             else:
                 self._store_record(record)
 
-    def fate(self, request_id: RequestId) -> Fate:
+    def resolve_request(self, request_id: RequestId) -> ProvenResult:
         """Return what the journal proves about a request of the lost home.
 
         A missing intent proves `NotRun` only if the home needed an intent for
@@ -189,23 +192,23 @@
             return Unknown('it was about to run when its home was lost')
         if epoch <= self._newest_epoch - RETAINED_EPOCHS:
             return Unknown('its ticket is older than what is remembered')
-        return self._fate_without_record(request_id)
+        return self._resolve_without_record(request_id)
 
-    def _fate_without_record(self, request_id: RequestId) -> Fate:
-        if self.complete:
+    def _resolve_without_record(self, request_id: RequestId) -> ProvenResult:
+        if self.covers_all_dispatches:
             return NotRun()
         if not request_id.ticket.intent_first:
             return Unknown('its home may have run it before telling the log')
-        if self.sealed and self.is_gapless_to_seal:
+        if self.is_sealed and self.is_gapless_to_seal:
             return NotRun()
         return Unknown('the journal of its home has no seal or has gaps')
 
     def _apply_unreadable(self, lost: _Unreadable) -> None:
         # An intent behind the seal allows no dispatch, so records that are
         # unreadable there don't hide a dispatch.
-        self.is_gapless_to_seal = self.is_gapless_to_seal and self.sealed
+        self.is_gapless_to_seal = self.is_gapless_to_seal and self.is_sealed
         self._is_gapless = False
-        self.sealed = self.sealed or lost.may_be_seal
+        self.is_sealed = self.is_sealed or lost.may_be_seal
 
     def _store_record(self, record: IntentRecord | OutcomeRecord) -> None:
         ticket = parse_request_id(record.req).unwrap().ticket
@@ -214,7 +217,7 @@
         if isinstance(record, OutcomeRecord):
             outcomes = self._outcomes.setdefault(epoch, {})
             outcomes.setdefault(record.req, record)
-        elif not (self.sealed and ticket.intent_first):
+        elif not (self.is_sealed and ticket.intent_first):
             # An intent behind the seal doesn't allow the home to dispatch an
             # id under an `intent_first` ticket, so such intents are skipped.
             self._intents.setdefault(epoch, set()).add(record.req)
@@ -222,11 +225,13 @@
         _drop_epochs(self._outcomes, self._newest_epoch - RETAINED_EPOCHS)
 
 
-def fate(records: Iterable[LogRecord], request_id: RequestId) -> Fate:
+def resolve_request(
+    records: Iterable[LogRecord], request_id: RequestId
+) -> ProvenResult:
     """Resolve the request of a lost home from the home's whole journal."""
     view = JournalView()
-    view.add(records)
-    return view.fate(request_id)
+    view.apply(records)
+    return view.resolve_request(request_id)
 
 
 def _may_be_seal(record: JournalRecord | _Unreadable) -> bool:
--- a/bramleybend/state/member.py
+++ b/bramleybend/state/member.py
@@ -40,7 +40,7 @@
     heartbeat: int = 0
 
     @property
-    def may_own(self) -> bool:
+    def can_own_shards(self) -> bool:
         """Whether it may own shards; a suspect may, to avoid flapping."""
         return self.state in {MemberState.ALIVE, MemberState.SUSPECT}
 
--- a/bramleybend/state/terms_follower.py
+++ b/bramleybend/state/terms_follower.py
@@ -200,7 +200,7 @@
                     offset=offset,
                 )
             case Renewed():
-                self._renewal_timer.saw_renewal(self._clock.monotonic())
+                self._renewal_timer.record_renewal(self._clock.monotonic())
             case Ignored(problem):
                 self._metrics.count(Metric.BAD_RECORDS, stream=TERMS_STREAM)
                 self._events.record(
@@ -251,7 +251,7 @@
         # first, the log gets one record more. If the reply is lost, reading
         # on shows whether the renewal landed.
         now = self._clock.monotonic()
-        if not self._renewal_timer.due(now) or not self._deps.is_renewer():
+        if not self._renewal_timer.is_due(now) or not self._deps.is_renewer():
             return
         record = self._state.build_renewal()
         if record is not None and self._next_offset == self._state.next_offset:
--- a/bramleybend/state/terms_rules.py
+++ b/bramleybend/state/terms_rules.py
@@ -22,7 +22,7 @@
     encode_renew,
 )
 
-RENEW_EVERY_S: Final = 60.0
+RENEWAL_INTERVAL_S: Final = 60.0
 MAX_OUTCOMES: Final = 1000
 DocumentValidator: TypeAlias = Callable[[str], Result[object, Problem]]
 
@@ -235,17 +235,18 @@
     was there at the start, and VMs that start later would find no terms.
     """
 
-    every_s: float = RENEW_EVERY_S
+    interval_s: float = RENEWAL_INTERVAL_S
     _renewed_at: float | None = None
 
-    def saw_renewal(self, now: float) -> None:
+    def record_renewal(self, now: float) -> None:
         """Record the time at which a renewal was read at the log's tail."""
         self._renewed_at = now
 
-    def due(self, now: float) -> bool:
-        """Whether no renewal has landed for `every_s`."""
+    def is_due(self, now: float) -> bool:
+        """Whether no renewal has landed for `interval_s`."""
         return (
-            self._renewed_at is None or now - self._renewed_at >= self.every_s
+            self._renewed_at is None
+            or now - self._renewed_at >= self.interval_s
         )
 
 
--- a/bramleybend/state/tickets.py
+++ b/bramleybend/state/tickets.py
@@ -100,7 +100,7 @@
     return parse_ticket(ticket_text).map(lambda ticket: RequestId(ticket, own))
 
 
-def dispatch_mode(
+def resolve_journal_mode(
     request_id: RequestId,
     profile_mode: JournalMode,
 ) -> JournalMode:
--- a/spec/dispatch.py
+++ b/spec/dispatch.py
@@ -1,7 +1,7 @@
 """Model of a request's dispatch: its home, the journal and another reader.
 
 The model encodes real records and evaluates them with the production code:
-`HomeJournal`, `JournalView`, `dispatch_mode`. It adds the environment: appends
+`HomeJournal`, `JournalView`, `resolve_journal_mode`. It adds the environment: appends
 that are lost, late or duplicated, a home that dies or is paused and taken for
 dead, terms that change, a log that drops records, and records that are corrupt
 or from a newer release.
@@ -13,7 +13,7 @@
 
 from bramleybend.models import JournalMode
 from bramleybend.state.journal_rules import Ended, NotRun
-from bramleybend.state.tickets import RequestId, dispatch_mode
+from bramleybend.state.tickets import RequestId, resolve_journal_mode
 from spec.checking import Model, Step, Transitions
 from spec.dispatch_rules import (
     COMPLETE_SEAL,
@@ -24,8 +24,8 @@
     SEAL,
     State,
     make_request_id,
-    read_fate,
     read_journal,
+    resolve_as_reader,
 )
 
 MAX_LOG: Final = 4
@@ -60,7 +60,7 @@
     mutant: str,
 ) -> Iterator[Step]:
     """Yield the first step of a new request at its home."""
-    mode = dispatch_mode(req, state.mode)
+    mode = resolve_journal_mode(req, state.mode)
     if mutant == 'home follows the terms against the mark':
         mode = state.mode
     if mode is JournalMode.BEFORE_DISPATCH:
@@ -120,7 +120,7 @@
     if SEAL not in state.log + state.in_flight:
         yield 'another VM seals', send_append(state, SEAL)
     for newer in (False, True):
-        fate = read_fate(
+        fate = resolve_as_reader(
             state.log,
             state.first_offset,
             state.mode,
--- a/spec/dispatch_rules.py
+++ b/spec/dispatch_rules.py
@@ -11,7 +11,11 @@
     encode_outcome,
     encode_seal,
 )
-from bramleybend.state.journal_rules import Fate, HomeJournal, JournalView
+from bramleybend.state.journal_rules import (
+    HomeJournal,
+    JournalView,
+    ProvenResult,
+)
 from bramleybend.state.tickets import RequestId, Ticket
 
 INTENT: Final = 'intent'
@@ -106,11 +110,11 @@
             for item in unread
         ]
     dispatchable_ids = journal.read(unread)
-    return journal.next_offset, journal.sealed, str(req) in dispatchable_ids
+    return journal.next_offset, journal.is_sealed, str(req) in dispatchable_ids
 
 
 @lru_cache(maxsize=None)
-def read_fate(
+def resolve_as_reader(
     log: tuple[str, ...],
     first_offset: int,
     mode: JournalMode,
@@ -118,7 +122,7 @@
     mutant: str,
     *,
     newer: bool,
-) -> Fate:
+) -> ProvenResult:
     """Return what another VM concludes from the whole journal."""
     entries = list(enumerate(log))[first_offset:]
     if newer:
@@ -136,5 +140,5 @@
         marked = mode is JournalMode.BEFORE_DISPATCH
         req = make_request_id(marked=marked)
     view = JournalView()
-    view.add(LogRecord(at, encode_token(it, req)) for at, it in entries)
-    return view.fate(req)
+    view.apply(LogRecord(at, encode_token(it, req)) for at, it in entries)
+    return view.resolve_request(req)
--- a/spec/resends.py
+++ b/spec/resends.py
@@ -10,11 +10,11 @@
 from typing import Any, Final, NamedTuple
 
 from bramleybend.state.id_table import (
-    Expired,
-    Full,
+    EpochFull,
+    ExpiredId,
     IdTable,
-    Known,
-    New,
+    KnownId,
+    NewId,
     TableLimits,
 )
 from bramleybend.state.tickets import RequestId, Ticket
@@ -61,7 +61,7 @@
     def lookup(self, request_id: RequestId, now: float) -> Any:
         verdict = super().lookup(request_id, now)
         given = request_id.ticket.epoch <= self.current_epoch(now)
-        return New() if isinstance(verdict, Expired) and given else verdict
+        return NewId() if isinstance(verdict, ExpiredId) and given else verdict
 
 
 class _EvictingTable(IdTable[int]):
@@ -69,9 +69,9 @@
 
     def lookup(self, request_id: RequestId, now: float) -> Any:
         verdict = super().lookup(request_id, now)
-        if isinstance(verdict, Full):
+        if isinstance(verdict, EpochFull):
             self._epochs.clear()
-            return New()
+            return NewId()
         return verdict
 
 
@@ -105,7 +105,7 @@
     ids._latest_now = latest
     for known in kept:
         epoch = REQUEST_IDS[known].ticket.epoch
-        ids._epochs.setdefault(epoch, {})[REQUEST_IDS[known]] = Known(known)
+        ids._epochs.setdefault(epoch, {})[REQUEST_IDS[known]] = KnownId(known)
     reply = ids.add(REQUEST_IDS[index], index, clock_reading)
     kept_ids_left = [
         known.entry
@@ -149,11 +149,14 @@
     """Run a new id, or refuse the message, or join a running request."""
     added = add_id((state.latest_now, state.kept_ids), index, reading, mutant)
     state = state._replace(latest_now=added.latest_now, kept_ids=added.kept_ids)
-    if isinstance(added.reply, New):
+    if isinstance(added.reply, NewId):
         run_counts = list(state.run_counts)
         run_counts[index] += 1
         return state._replace(run_counts=tuple(run_counts))
-    if isinstance(added.reply, Expired | Full) and not state.run_counts[index]:
+    if (
+        isinstance(added.reply, ExpiredId | EpochFull)
+        and not state.run_counts[index]
+    ):
         is_refused = list(state.is_refused)
         is_refused[index] = True
         return state._replace(is_refused=tuple(is_refused))
--- a/tests/decisions/test_floor.py
+++ b/tests/decisions/test_floor.py
@@ -9,7 +9,7 @@
     is_grant_usable,
 )
 from bramleybend.models import Tier
-from bramleybend.state.terms_rules import RENEW_EVERY_S, RenewalTimer
+from bramleybend.state.terms_rules import RENEWAL_INTERVAL_S, RenewalTimer
 
 POOL = 'bend-lm'
 DURING_PERMIT = (FLOOR_HOLD_S - MARGIN_S) / 2
@@ -92,8 +92,8 @@
 
 def test_renewal_is_due_until_one_is_seen() -> None:
     timer = RenewalTimer()
-    assert timer.due(10)
-    timer.saw_renewal(10)
+    assert timer.is_due(10)
+    timer.record_renewal(10)
 
-    assert not timer.due(11)
-    assert timer.due(10 + RENEW_EVERY_S)
+    assert not timer.is_due(11)
+    assert timer.is_due(10 + RENEWAL_INTERVAL_S)
--- a/tests/test_conformance.py
+++ b/tests/test_conformance.py
@@ -75,15 +75,17 @@
             if label == 'home reads its journal':
                 unread = read_journal(after, home.next_offset, req)
                 may_dispatch = str(req) in home.read(unread) or may_dispatch
-                assert home.sealed == after.sealed
+                assert home.is_sealed == after.sealed
                 assert may_dispatch == after.may_dispatch
             if label == 'another VM says not run':
                 whole = JournalView()
-                whole.add(read_journal(before, 0, req))
-                assert isinstance(whole.fate(req), NotRun)
+                whole.apply(read_journal(before, 0, req))
+                assert isinstance(whole.resolve_request(req), NotRun)
                 not_run_count += 1
-            peer.add(read_journal(after, peer.next_offset, req))
-            is_denied = is_denied or isinstance(peer.fate(req), NotRun)
+            peer.apply(read_journal(after, peer.next_offset, req))
+            is_denied = is_denied or isinstance(
+                peer.resolve_request(req), NotRun
+            )
             assert not (is_denied and after.dispatch_count)
     assert not_run_count
 
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -16,7 +16,7 @@
 from bramleybend.gateway.request_checks import ReceivedRequest
 from bramleybend.metric_types import Labels
 from bramleybend.metrics import Metric, NullMetrics
-from bramleybend.state.id_table import EPOCH_S, GRACE_S, IdTable
+from bramleybend.state.id_table import EPOCH_S, RETENTION_GRACE_S, IdTable
 from bramleybend.state.tickets import Ticket
 
 CLOCK = ManualClock(datetime(2026, 12, 2, tzinfo=UTC))
@@ -59,7 +59,7 @@
     intake = Intake(
         IntakeDeps(unused, unused, _home, CLOCK, EVENTS, NullMetrics(), 10),
     )
-    CLOCK.advance(EPOCH_S * 3 + GRACE_S)
+    CLOCK.advance(EPOCH_S * 3 + RETENTION_GRACE_S)
     for draining in (False, True):
         intake.is_draining = draining
         for left in (timedelta(seconds=-1), timedelta(seconds=5)):
--- a/tests/test_journal_rules.py
+++ b/tests/test_journal_rules.py
@@ -21,13 +21,13 @@
     JournalView,
     NotRun,
     Unknown,
-    fate,
+    resolve_request,
 )
 from bramleybend.state.tickets import (
     RequestId,
-    dispatch_mode,
     parse_request_id,
     parse_ticket,
+    resolve_journal_mode,
 )
 
 
@@ -78,9 +78,9 @@
 def test_mark_outlasts_a_change_of_terms() -> None:
     plain = parse_id('10.0.0.1:8080:a1:0/slot-7')
 
-    assert dispatch_mode(plain, JournalMode.BEHIND) is JournalMode.BEHIND
+    assert resolve_journal_mode(plain, JournalMode.BEHIND) is JournalMode.BEHIND
     assert (
-        dispatch_mode(parse_id(), JournalMode.BEHIND)
+        resolve_journal_mode(parse_id(), JournalMode.BEHIND)
         is JournalMode.BEFORE_DISPATCH
     )
 
@@ -91,7 +91,7 @@
         parse_id(), Outcome.DONE, body=b'x' * (MAX_BODY_BYTES + 1)
     )
 
-    ended = fate(make_records(small), parse_id())
+    ended = resolve_request(make_records(small), parse_id())
     assert isinstance(ended, Ended)
     assert (ended.record.status, ended.record.answer) == (200, b'\xff')
     lost = decode_journal_record(large).unwrap()
@@ -117,7 +117,7 @@
     assert decode_journal_record(text).unwrap_err().kind is ErrorKind.BAD_RECORD
     home, view = HomeJournal(), JournalView()
     home.read(make_records(text))
-    view.add(make_records(text))
+    view.apply(make_records(text))
 
     assert (home.bad_record_count, view.bad_record_count) == (1, 1)
     assert not view.is_gapless_to_seal
@@ -143,14 +143,16 @@
     home = HomeJournal()
 
     assert home.read(read) == frozenset()
-    assert home.sealed
+    assert home.is_sealed
 
 
 def test_seal_without_intent_proves_not_run() -> None:
     late = make_records(encode_seal('b2'), encode_intent(parse_id()))
 
-    assert fate(late, parse_id()) == NotRun()
-    assert fate(make_records(encode_seal('b2')), parse_id()) == NotRun()
+    assert resolve_request(late, parse_id()) == NotRun()
+    assert (
+        resolve_request(make_records(encode_seal('b2')), parse_id()) == NotRun()
+    )
 
 
 @pytest.mark.parametrize(
@@ -167,7 +169,7 @@
     read: list[LogRecord],
     text: str,
 ) -> None:
-    assert isinstance(fate(read, parse_id(text)), Unknown)
+    assert isinstance(resolve_request(read, parse_id(text)), Unknown)
 
 
 def test_ids_of_old_epochs_are_dropped_and_unknown() -> None:
@@ -178,10 +180,10 @@
         encode_seal('b2'),
     )
 
-    assert isinstance(fate(read, parse_id()), Unknown)
+    assert isinstance(resolve_request(read, parse_id()), Unknown)
 
 
 def test_outcome_not_run_is_told_as_such() -> None:
     read = make_records(encode_outcome(parse_id(), Outcome.NOT_RUN))
 
-    assert fate(read, parse_id()) == NotRun()
+    assert resolve_request(read, parse_id()) == NotRun()
--- a/tests/test_state_machines.py
+++ b/tests/test_state_machines.py
@@ -14,8 +14,8 @@
 from bramleybend.state.id_table import (
     OPEN_EPOCHS,
     IdTable,
-    Known,
-    New,
+    KnownId,
+    NewId,
     TableLimits,
 )
 from bramleybend.state.terms_records import (
@@ -61,10 +61,10 @@
         epoch = max(0, self.table.current_epoch(self.now) - back)
         req = RequestId(Ticket('10.0.0.1', 80, 'a1', epoch), own)
         verdict = self.table.add(req, str(req), self.now + skew)
-        if isinstance(verdict, New):
+        if isinstance(verdict, NewId):
             assert req not in self.ran | self.refused
             self.ran.add(req)
-        elif isinstance(verdict, Known):
+        elif isinstance(verdict, KnownId):
             assert verdict.entry == str(req)
         elif req not in self.ran:
             self.refused.add(req)
@@ -74,7 +74,7 @@
         for incarnation, epoch in (('b2', 0), ('a1', 10**6)):
             ticket = Ticket('10.0.0.1', 80, incarnation, epoch)
             verdict = self.table.add(RequestId(ticket, own), '', self.now)
-            assert not isinstance(verdict, New | Known)
+            assert not isinstance(verdict, NewId | KnownId)
 
     @invariant()
     def memory_is_bounded(self) -> None:
--- a/tests/utils/membership_play.py
+++ b/tests/utils/membership_play.py
@@ -1,6 +1,6 @@
 """Simulation of the membership protocol over an unreliable network.
 
-Time and network are simulated; the nodes run the real `Members`.
+Time and network are simulated; the nodes run the real `Membership`.
 """
 
 import heapq
