--- a/bramleybend/cli/argument_types.py
+++ b/bramleybend/cli/argument_types.py
@@ -7,7 +7,7 @@
 from urllib.parse import urlsplit
 
 from bramleybend.models import Tier
-from bramleybend.settings_types import PORT_LIMIT
+from bramleybend.setting_parsers import PORT_LIMIT
 
 
 @dataclass(frozen=True)
--- a/bramleybend/clients/http.py
+++ b/bramleybend/clients/http.py
@@ -23,7 +23,7 @@
     head_bytes,
 )
 from bramleybend.errors import ErrorKind, Problem, ProblemError
-from bramleybend.patience import patience, within
+from bramleybend.timeouts import timeout_scope, wait_with_timeout
 
 READ_SIZE: Final = 65536
 DEFAULT_PORT: Final = 80
@@ -138,7 +138,7 @@
 async def connect(host: str, port: int) -> Exchange:
     """Open a connection; an `OSError` means that nothing was sent."""
     try:
-        async with patience(CONNECT_TIMEOUT_S):
+        async with timeout_scope(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, port)
     except TimeoutError:
         raise ConnectionError(f'{host}:{port} did not answer') from None
@@ -212,7 +212,7 @@
     is_stall_tolerant: bool,
 ) -> HttpResponse:
     if is_stall_tolerant:
-        return await within(timeout_s, exchanging)
+        return await wait_with_timeout(timeout_s, exchanging)
     async with asyncio.timeout(timeout_s):
         return await exchanging
 
--- a/bramleybend/clients/http_vm_list.py
+++ b/bramleybend/clients/http_vm_list.py
@@ -10,7 +10,7 @@
 from bramleybend.clients.http import HttpApi, HttpResponse
 from bramleybend.clients.vm_list import VmList
 from bramleybend.errors import ErrorKind, Problem
-from bramleybend.models import RunnerState, Vm
+from bramleybend.models import Vm, VmState
 
 LIST_TIMEOUT_S: Final = 2.0
 MAX_PORT: Final = 65535
@@ -24,7 +24,7 @@
     port: int = Field(gt=0, le=MAX_PORT)
     service: str
     domain: str
-    state: RunnerState
+    state: VmState
 
 
 class VmListBody(BaseModel):
--- a/bramleybend/decisions/admission.py
+++ b/bramleybend/decisions/admission.py
@@ -38,7 +38,9 @@
         prompt_tokens=tokens,
         tier=Tier(tier),
         deadline=ask.deadline if isfinite(ask.deadline) else 0,
-        begin_by=0 if isnan(ask.begin_by) else ask.begin_by,
+        latest_answer_start=0
+        if isnan(ask.latest_answer_start)
+        else ask.latest_answer_start,
     )
 
 
@@ -81,5 +83,5 @@
     min_starts_per_s = shard.min_starts_per_s(now)
     if min_starts_per_s:
         wait = min(wait, shard.queue.count_ahead(ask) / min_starts_per_s)
-    time_left_s = min(ask.begin_by, ask.deadline) - now
+    time_left_s = min(ask.latest_answer_start, ask.deadline) - now
     return wait > time_left_s * MAX_WAIT_RATIO
--- a/bramleybend/decisions/placement.py
+++ b/bramleybend/decisions/placement.py
@@ -199,7 +199,7 @@
 
 def time_left(ask: SlotRequest, now: float) -> TimeLeft:
     """Return the time that remains for a request's answer."""
-    return TimeLeft(ask.begin_by - now, ask.deadline - now)
+    return TimeLeft(ask.latest_answer_start - now, ask.deadline - now)
 
 
 def decode_work(ask: SlotRequest) -> float:
--- a/bramleybend/decisions/retries.py
+++ b/bramleybend/decisions/retries.py
@@ -14,7 +14,7 @@
 from datetime import timedelta
 from random import Random
 
-from bramleybend.models import Repeat
+from bramleybend.models import Idempotency
 
 TOKENS_PER_SUCCESS = 0.1  # tokens earned by a success
 MAX_TOKENS = 10  # retries possible without a previous success
@@ -50,13 +50,13 @@
 
     def try_spend(
         self,
-        repeat: Repeat,
+        repeat: Idempotency,
         workspace: str,
         service: str,
         now: float,
     ) -> bool:
         """Spend a retry, if the request may run again and both buckets allow."""
-        if repeat is not Repeat.IDEMPOTENT:
+        if repeat is not Idempotency.IDEMPOTENT:
             return False
         buckets = self._workspace_and_service(workspace, service, now)
         if any(bucket.tokens < 1 for bucket in buckets):
--- a/bramleybend/decisions/shard_policy.py
+++ b/bramleybend/decisions/shard_policy.py
@@ -61,7 +61,7 @@
         if ask.request_id in self._shard.queue_for(ask):
             return []
         ask = sanitize_ask(ask)
-        if min(ask.begin_by, ask.deadline) <= moment:
+        if min(ask.latest_answer_start, ask.deadline) <= moment:
             return [self._refuse(ask, 'deadline_past', shed=False)]
         reason = (
             self._refusal_reason(ask, moment) if self._has_runner_list else None
--- a/bramleybend/decisions/waiting_queue.py
+++ b/bramleybend/decisions/waiting_queue.py
@@ -84,10 +84,10 @@
         # Even with a wrong estimate, half of the time remains for a start.
         min_total_s = min(min_time.total_s, max(ask.deadline - now, 0) / 2)
         min_first_token_s = min(
-            min_time.first_token_s, max(ask.begin_by - now, 0) / 2
+            min_time.first_token_s, max(ask.latest_answer_start - now, 0) / 2
         )
         latest_start = min(
-            ask.begin_by - min_first_token_s * EXPIRY_FACTOR,
+            ask.latest_answer_start - min_first_token_s * EXPIRY_FACTOR,
             ask.deadline - min_total_s * EXPIRY_FACTOR,
         )
         max_ageing_s = max(latest_start - now, 0) * MAX_AGEING_SHARE
@@ -96,7 +96,7 @@
             now,
             latest_start,
             min(
-                ask.begin_by - min_first_token_s * URGENCY_FACTOR,
+                ask.latest_answer_start - min_first_token_s * URGENCY_FACTOR,
                 ask.deadline - min_total_s * URGENCY_FACTOR,
             )
             - PREEMPTION_LEAD_S,
--- a/bramleybend/declarations.py
+++ b/bramleybend/declarations.py
@@ -21,9 +21,9 @@
 )
 from bramleybend.errors import Problem
 from bramleybend.models import (
+    Idempotency,
     JournalMode,
     Profile,
-    Repeat,
     Service,
     ServiceKind,
     Terms,
@@ -87,7 +87,7 @@
 
     service: str
     tier: int = Field(ge=1, le=LOWEST_TIER)
-    repeat: Repeat = Field(strict=False)
+    repeat: Idempotency = Field(strict=False)
     journal: JournalMode = Field(strict=False)
     timeout_s: float = Field(gt=0, le=MAX_TIMEOUT_S, allow_inf_nan=False)
     hedge: bool = False
@@ -248,7 +248,7 @@
                 'which is not declared',
                 _suggest_name(profile.service, declaration.services),
             )
-        if profile.hedge and profile.repeat is not Repeat.IDEMPOTENT:
+        if profile.hedge and profile.repeat is not Idempotency.IDEMPOTENT:
             yield _Fault(
                 OTHER_RANK,
                 document.line_of((*path, 'hedge')),
--- a/bramleybend/direct/attempt_dispatcher.py
+++ b/bramleybend/direct/attempt_dispatcher.py
@@ -241,7 +241,7 @@
             prompt_tokens=facts.prompt_tokens,
             prefixes=(),
             deadline=self._answer_deadline(job),
-            begin_by=job.next_event_due_at - QUEUE_MARGIN_S,
+            latest_answer_start=job.next_event_due_at - QUEUE_MARGIN_S,
             cancellable=False,
             suspect=self._components.containment.runs_alone(job.fingerprint),
             excluded=self._excluded_runners(job),
--- a/bramleybend/direct/ingress.py
+++ b/bramleybend/direct/ingress.py
@@ -24,7 +24,7 @@
 from bramleybend.direct.models import IngressLimits
 from bramleybend.direct.replies import RawRequest, Reply, own_reply
 from bramleybend.direct.responder import Responder
-from bramleybend.early_listener import BACKLOG, open_listener
+from bramleybend.early_listener import LISTEN_BACKLOG, open_listener
 
 logger = logging.getLogger(__name__)
 
@@ -283,7 +283,7 @@
         self._server = await loop.create_server(
             lambda: CallerConnection(self),
             sock=open_listener(address, port),
-            backlog=BACKLOG,
+            backlog=LISTEN_BACKLOG,
         )
 
     @property
--- a/bramleybend/direct/models.py
+++ b/bramleybend/direct/models.py
@@ -6,7 +6,7 @@
 from types import MappingProxyType
 
 from bramleybend.decisions.runs import DECODE_TOKEN_COST
-from bramleybend.models import Repeat, Tier
+from bramleybend.models import Idempotency, Tier
 
 
 @dataclass(frozen=True)
@@ -24,7 +24,7 @@
     name: str
     host: str
     prefix: str  # begins and ends with a slash
-    repeat: Repeat
+    repeat: Idempotency
     streaming: bool
     resumable: bool  # a broken stream may continue at another runner
     timeout_s: float  # the longest time until an answer is complete
@@ -38,7 +38,7 @@
     @property
     def can_run_again(self) -> bool:
         """Whether a request that may have run may run at another runner."""
-        return self.resumable or self.repeat is Repeat.IDEMPOTENT
+        return self.resumable or self.repeat is Idempotency.IDEMPOTENT
 
 
 @dataclass(frozen=True)
--- a/bramleybend/direct/process.py
+++ b/bramleybend/direct/process.py
@@ -31,10 +31,10 @@
 from bramleybend.direct.queues import make_queues
 from bramleybend.direct.request_handler import RequestHandler
 from bramleybend.direct.suspension import WatchedSleep
-from bramleybend.entry_settings import ENTRY, EntrySettings
+from bramleybend.entry_settings import ENTRY_PROGRAM, EntrySettings
 from bramleybend.events import EventLog
 from bramleybend.identity import make_identity
-from bramleybend.settings_parsing import FILE_FIELD, env_of, parse_program
+from bramleybend.settings_parsing import FILE_FIELD, parse_program, variable_of
 
 SWEEP_EVERY_S: Final = 0.2
 # In a drain, requests are accepted for this long. Callers cache an answer of
@@ -68,7 +68,9 @@
         self._cfg = cfg
         self._clock = clock
         self.identity = make_identity(cfg.vm, cfg.domain, cfg.address)
-        self.events = EventLog(cfg.vm, self.identity.incarnation, clock, kept=0)
+        self.events = EventLog(
+            cfg.vm, self.identity.incarnation, clock, max_kept_events=0
+        )
         self.catalog = Catalog(clock, self.events)
         self.meters = Meters(self._gauges())
         self.members = Members(
@@ -78,7 +80,7 @@
                 cfg.address,
                 f'{cfg.front.host}:{cfg.front.port}',
                 cfg.domain,
-                cfg.capacity(),
+                cfg.capacity_level(),
             )
         )
         self._allotments = make_allotment_ledger(
@@ -157,7 +159,7 @@
         self.spawn(self.peers.run())
         self.spawn(self._sweep_queues())
         self.spawn(self._queues.log.run())
-        self.events.record('started', **self._cfg.shown())
+        self.events.record('started', **self._cfg.logged_fields())
 
     def follow_feed(self, feed: Feed) -> None:
         """Follow a log of the platform and report progress to other VMs."""
@@ -173,8 +175,8 @@
 
     def reload(self) -> None:
         """Read new seeds from the settings; other settings don't change."""
-        variables = {env_of(FILE_FIELD): self._cfg.settings}
-        match parse_program(ENTRY, (), variables):
+        variables = {variable_of(FILE_FIELD): self._cfg.settings}
+        match parse_program(ENTRY_PROGRAM, (), variables):
             case Ok(cfg):
                 self.peers.add_seeds(cfg.seed_addresses())
                 self.events.record('reloaded', seeds=cfg.seeds)
--- a/bramleybend/direct/queue_log.py
+++ b/bramleybend/direct/queue_log.py
@@ -11,7 +11,7 @@
 from typing import Final
 
 from bramleybend.direct.service_queue import ServiceQueue
-from bramleybend.events import MILLISECONDS, EventLog
+from bramleybend.events import MS_PER_S, EventLog
 
 INTERVAL_S: Final = 1.0
 
@@ -43,7 +43,7 @@
                     'queue',
                     service=service,
                     waiting=_format_by_tier(backlog.waiting),
-                    oldest_ms=int(backlog.oldest_wait_s * MILLISECONDS),
+                    oldest_ms=int(backlog.oldest_wait_s * MS_PER_S),
                     running=backlog.running,
                     slots=backlog.slots,
                     open_runners=backlog.free_runners,
--- a/bramleybend/direct/slot_messages.py
+++ b/bramleybend/direct/slot_messages.py
@@ -36,7 +36,7 @@
         sorted(ask.excluded),
         ask.suspect,
         ask.on_time_until - now,
-        ask.begin_by - now,
+        ask.latest_answer_start - now,
         sorted(ask.connected),
     )
 
@@ -56,7 +56,7 @@
         suspect=message.suspect,
         excluded=frozenset(message.excluded),
         on_time_until=now + message.on_time_left_s,
-        begin_by=now + message.begin_left_s,
+        latest_answer_start=now + message.begin_left_s,
         connected=frozenset(message.connected),
     )
 
--- a/bramleybend/direct/suspension.py
+++ b/bramleybend/direct/suspension.py
@@ -10,8 +10,8 @@
 from typing import Final
 
 from bramleybend.clock import Clock
+from bramleybend.event_loop_monitor import EventLoopMonitor
 from bramleybend.events import EventLog
-from bramleybend.loop_watch import LoopWatch
 
 # The two clocks are read a few microseconds apart, and the kernel may schedule
 # another process in between. Suspensions last for seconds.
@@ -53,7 +53,7 @@
     ) -> None:
         """Watch from now on; `unsuspended_clock` returns seconds."""
         self._events = events
-        self._loop_watch = LoopWatch(events, clock)
+        self._loop_watch = EventLoopMonitor(events, clock)
         self._suspensions = SuspensionWatch(clock, unsuspended_clock)
 
     async def sleep(self, seconds: float) -> bool:
--- a/bramleybend/early_listener.py
+++ b/bramleybend/early_listener.py
@@ -16,7 +16,7 @@
 from collections.abc import Mapping
 from typing import Final, TypeAlias
 
-BACKLOG: Final = 1024
+LISTEN_BACKLOG: Final = 1024
 FILE_VARIABLE: Final = 'BRAMLEYBEND_SETTINGS'
 FRONT_VARIABLE: Final = 'BRAMLEYBEND_FRONT'
 
@@ -57,7 +57,7 @@
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((host, port))
-        sock.listen(BACKLOG)
+        sock.listen(LISTEN_BACKLOG)
         sock.setblocking(False)
     except (OSError, OverflowError):
         sock.close()
--- a/bramleybend/entry_setting_parsers.py
+++ b/bramleybend/entry_setting_parsers.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-from bramleybend.settings_types import parse_amount
+from bramleybend.setting_parsers import parse_amount
 
 # With this share for each of the three lower tiers, the highest tier keeps
 # at least a quarter of the starts.
--- a/bramleybend/entry_settings.py
+++ b/bramleybend/entry_settings.py
@@ -18,8 +18,7 @@
     parse_share,
     parse_tier_share,
 )
-from bramleybend.settings_parsing import Program
-from bramleybend.settings_types import (
+from bramleybend.setting_parsers import (
     HostPort,
     address_metadata,
     domain_metadata,
@@ -32,6 +31,7 @@
     setting_metadata,
     vm_name_metadata,
 )
+from bramleybend.settings_parsing import Program
 
 # Defaults taken from the users' contracts; each deployment sets its own.
 DRAIN_TIMEOUT_S: Final = 8
@@ -271,7 +271,7 @@
     )
     log_level: str = field(default='INFO', metadata=log_level_metadata())
 
-    def capacity(self) -> int:
+    def capacity_level(self) -> int:
         """Return the capacity of this VM, as a level on a log2 scale.
 
         VMs of similar capacity get the same level and are then ranked by
@@ -309,7 +309,7 @@
         """Return the memory budget for answers that are being read."""
         return AnswerMemory(self.memory_mb * MEGABYTE * self.answers_share)
 
-    def shown(self) -> dict[str, str]:
+    def logged_fields(self) -> dict[str, str]:
         """Return the settings that the `started` event shows."""
         return {
             'at': f'{self.front.host}:{self.front.port}',
@@ -319,4 +319,6 @@
         }
 
 
-ENTRY: Final = Program('bramleybend-entry', EntrySettings, bounded_log=True)
+ENTRY_PROGRAM: Final = Program(
+    'bramleybend-entry', EntrySettings, bounded_log=True
+)
--- a/bramleybend/loop_watch.py
+++ b/bramleybend/event_loop_monitor.py
@@ -11,13 +11,13 @@
 from typing import Final
 
 from bramleybend.clock import Clock
-from bramleybend.events import MILLISECONDS, EventLog
+from bramleybend.events import MS_PER_S, EventLog
 
 INTERVAL_S: Final = 0.1
-TOLD_FROM_S: Final = 0.2
+MIN_REPORTED_DELAY_S: Final = 0.2
 
 
-class LoopWatch:
+class EventLoopMonitor:
     """Sleeps in short intervals and records each sleep that ended late."""
 
     def __init__(
@@ -42,7 +42,7 @@
         cpu_before = self._cpu_s()
         await asyncio.sleep(seconds)
         late_s = self._clock.monotonic() - before - seconds
-        if late_s >= TOLD_FROM_S:
+        if late_s >= MIN_REPORTED_DELAY_S:
             self._record(late_s, self._cpu_s() - cpu_before)
 
     def _record(self, late_s: float, cpu_s: float) -> None:
@@ -50,6 +50,6 @@
         # scheduled.
         self._events.record(
             'loop_late',
-            late_ms=round(late_s * MILLISECONDS),
-            cpu_ms=round(cpu_s * MILLISECONDS),
+            late_ms=round(late_s * MS_PER_S),
+            cpu_ms=round(cpu_s * MS_PER_S),
         )
--- a/bramleybend/events.py
+++ b/bramleybend/events.py
@@ -21,7 +21,7 @@
 MAX_KEPT_EVENTS: Final = 20_000
 EVENT_LOGGER: Final = 'bramleybend.events'
 LOG_FIELDS: Final = ('at', 'level', 'logger')
-MILLISECONDS: Final = 1000
+MS_PER_S: Final = 1000
 MAX_AHEAD_MS: Final = 60_000
 STAMP_PATTERN: Final = re.compile(r'(\d{1,18})\.(\d{1,18})')
 
@@ -52,7 +52,7 @@
         self._clock = clock
         self._last_stamp = Stamp(0, 0)
 
-    def tick(self) -> Stamp:
+    def next_stamp(self) -> Stamp:
         """Return a stamp later than all issued or received so far."""
         wall_ms = self._wall_ms()
         if wall_ms > self._last_stamp.wall_ms:
@@ -73,7 +73,7 @@
             self._last_stamp = max(self._last_stamp, received)
 
     def _wall_ms(self) -> int:
-        return int(self._clock.now().timestamp() * MILLISECONDS)
+        return int(self._clock.now().timestamp() * MS_PER_S)
 
 
 class EventLog:
@@ -84,20 +84,23 @@
         process: str,
         incarnation: str,
         clock: Clock,
-        kept: int = MAX_KEPT_EVENTS,
+        max_kept_events: int = MAX_KEPT_EVENTS,
     ) -> None:
-        """Log to `bramleybend.events`; keep the last `kept` request events."""
+        """Log to `bramleybend.events`.
+
+        Keeps the last `max_kept_events` events of requests.
+        """
         self._process = process
         self._incarnation = incarnation
-        self.hybrid = HybridClock(clock)
-        self._kept: deque[tuple[str, str]] = deque(maxlen=kept)
+        self.hybrid_clock = HybridClock(clock)
+        self._kept: deque[tuple[str, str]] = deque(maxlen=max_kept_events)
         self._logger = logging.getLogger(EVENT_LOGGER)
         self._sequence_numbers = count()
 
     def record(self, event: str, req: str = '', **fields: object) -> None:
         """Log one event; `fields` must not hold request content."""
         event_fields = {
-            'hlc': str(self.hybrid.tick()),
+            'hlc': str(self.hybrid_clock.next_stamp()),
             'process': self._process,
             'incarnation': self._incarnation,
             # A gap in these numbers shows that lines of the log are missing.
@@ -113,7 +116,9 @@
     def lines_of_request(self, req: str) -> list[str]:
         """Return the kept lines of one request, oldest first."""
         return [
-            event_fields for kept, event_fields in self._kept if kept == req
+            event_fields
+            for max_kept_events, event_fields in self._kept
+            if max_kept_events == req
         ]
 
 
--- a/bramleybend/gateway/gateway_process.py
+++ b/bramleybend/gateway/gateway_process.py
@@ -11,6 +11,7 @@
 from bramleybend.clock import Clock
 from bramleybend.control import ControlService
 from bramleybend.decisions.tier_floor import ShedPermits
+from bramleybend.event_loop_monitor import EventLoopMonitor
 from bramleybend.events import EventLog
 from bramleybend.gateway.floor_round import FloorRounds, FloorRpc
 from bramleybend.gateway.forwarding import (
@@ -28,7 +29,6 @@
 from bramleybend.gateway.slot_client import OwnerRpc, SlotClient
 from bramleybend.gateway.view import ViewFollower
 from bramleybend.identity import Identity, make_identity
-from bramleybend.loop_watch import LoopWatch
 from bramleybend.metrics import Metric, make_metrics
 from bramleybend.settings import Settings
 from bramleybend.state.id_table import IdTable
@@ -101,7 +101,7 @@
         )
         await self._grpc.start()
         self._start_task(self.views.follow())
-        self._start_task(LoopWatch(self.events, self._clock).run())
+        self._start_task(EventLoopMonitor(self.events, self._clock).run())
         await self._http.start(self._cfg.address, self._cfg.http_port)
         self.events.record('started', vm=self._cfg.vm)
 
--- a/bramleybend/gateway/hedge.py
+++ b/bramleybend/gateway/hedge.py
@@ -12,7 +12,7 @@
 from bramleybend.gateway.slot_search import SlotSearch
 from bramleybend.gateway.supervisor import Supervisor
 from bramleybend.metrics import Metric
-from bramleybend.models import Repeat, ServiceKind
+from bramleybend.models import Idempotency, ServiceKind
 from bramleybend.wire.bramleybend_pb2 import Ended
 
 SECOND_RUN_SUFFIX: Final = 'h'
@@ -101,7 +101,7 @@
     # only answers that are read as one body are hedged.
     return (
         job.profile.hedge
-        and job.profile.repeat is Repeat.IDEMPOTENT
+        and job.profile.repeat is Idempotency.IDEMPOTENT
         and not job.run.req.stream
     )
 
--- a/bramleybend/gateway/home.py
+++ b/bramleybend/gateway/home.py
@@ -21,7 +21,7 @@
     answer_not_run,
     answer_rejected,
 )
-from bramleybend.events import MILLISECONDS, EventLog
+from bramleybend.events import MS_PER_S, EventLog
 from bramleybend.gateway.dispatcher import Dispatcher
 from bramleybend.gateway.job import DispatchDeps, Job
 from bramleybend.gateway.journal_writer import JournalWriter
@@ -248,7 +248,7 @@
         late_s = self._deps.clock.monotonic() - job.run.req.deadline
         if late_s <= 0:
             return {}
-        return {'late_ms': round(late_s * MILLISECONDS)}
+        return {'late_ms': round(late_s * MS_PER_S)}
 
 
 def _join_run(run: Run, req: CallerRequest) -> Run | Answer:
--- a/bramleybend/gateway/slot_client.py
+++ b/bramleybend/gateway/slot_client.py
@@ -19,8 +19,8 @@
 )
 from bramleybend.gateway.slot import Slot
 from bramleybend.models import Tier
-from bramleybend.patience import within
 from bramleybend.state.member import Member
+from bramleybend.timeouts import wait_with_timeout
 from bramleybend.wire.bramleybend_pb2 import (
     AskMessage,
     HoldReply,
@@ -211,7 +211,7 @@
         reading = send_and_read_reply(call, self._with_header(first_message))
         reply = None
         try:
-            reply = await within(ACK_TIMEOUT_S, reading)
+            reply = await wait_with_timeout(ACK_TIMEOUT_S, reading)
         except TimeoutError:
             return False
         finally:
--- a/bramleybend/gateway/slot_search.py
+++ b/bramleybend/gateway/slot_search.py
@@ -11,7 +11,7 @@
 from bramleybend.decisions.routing import rank_shards
 from bramleybend.decisions.tier_floor import is_grant_usable
 from bramleybend.errors import Problem
-from bramleybend.events import MILLISECONDS
+from bramleybend.events import MS_PER_S
 from bramleybend.gateway.ask import make_ask_message
 from bramleybend.gateway.attempt import EndKind
 from bramleybend.gateway.job import DispatchDeps, Job
@@ -106,7 +106,7 @@
             job,
             'grant_dropped',
             runner=slot.runner,
-            view_age_ms=round(self._deps.views.view_age_s * MILLISECONDS),
+            view_age_ms=round(self._deps.views.view_age_s * MS_PER_S),
         )
         self._run_in_background(slot.release(Ended(outcome=EndKind.NOT_SENT)))
         await asyncio.sleep(FIRST_RETRY_DELAY_S)
--- a/bramleybend/gateway/supervisor.py
+++ b/bramleybend/gateway/supervisor.py
@@ -9,7 +9,7 @@
 from bramleybend.gateway.job import DispatchDeps, Job
 from bramleybend.gateway.slot import Slot
 from bramleybend.metrics import Metric
-from bramleybend.models import Repeat
+from bramleybend.models import Idempotency
 from bramleybend.wire.bramleybend_pb2 import Ended
 
 LAST_EVENTS_WAIT_S: Final = 0.2
@@ -220,7 +220,7 @@
     engine that did admit an attempt reported as not sent rejects the next.
     """
     base = job.request_id.replace('/', '_').replace(':', '_')
-    if job.profile.repeat is Repeat.IDEMPOTENT:
+    if job.profile.repeat is Idempotency.IDEMPOTENT:
         return f'{base}_{label}'
     return base
 
--- a/bramleybend/metrics.py
+++ b/bramleybend/metrics.py
@@ -13,7 +13,7 @@
 from statsd import StatsClient
 
 from bramleybend.metric_types import Labels, counter, gauge, timer
-from bramleybend.settings_types import HostPort
+from bramleybend.setting_parsers import HostPort
 
 PREFIX: Final = 'bramleybend'
 UNSAFE_CHARS: Final = re.compile('[^A-Za-z0-9_-]')
--- a/bramleybend/models.py
+++ b/bramleybend/models.py
@@ -15,7 +15,7 @@
     BULK = 4
 
 
-class Repeat(StrEnum):
+class Idempotency(StrEnum):
     """Whether a request under a profile may be run again or cancelled."""
 
     NON_IDEMPOTENT = 'non_idempotent'  # runs at most once, never cancelled
@@ -39,7 +39,7 @@
     PLAIN = 'plain'
 
 
-class RunnerState(StrEnum):
+class VmState(StrEnum):
     """State of a VM in the VM list."""
 
     LIVE = 'live'
@@ -79,7 +79,7 @@
     name: str
     service: str
     tier: Tier
-    repeat: Repeat
+    repeat: Idempotency
     journal: JournalMode
     timeout: timedelta
     hedge: bool = False
@@ -87,7 +87,7 @@
     @property
     def cancellable(self) -> bool:
         """Whether a run may be preempted by a request of a higher tier."""
-        return self.repeat is not Repeat.NON_IDEMPOTENT
+        return self.repeat is not Idempotency.NON_IDEMPOTENT
 
 
 @dataclass(frozen=True)
@@ -132,7 +132,7 @@
     port: int
     service: str
     domain: str
-    state: RunnerState
+    state: VmState
 
     @property
     def endpoint(self) -> str:
@@ -157,6 +157,8 @@
     suspect: bool = False  # its content was in flight when a runner crashed
     excluded: frozenset[str] = field(default_factory=frozenset)
     on_time_until: float = inf  # latest start that is on time, same clock
-    begin_by: float = inf  # the caller leaves unless an answer begins by then
+    latest_answer_start: float = (
+        inf  # the caller leaves unless an answer begins by then
+    )
     # Runners to which the requesting VM has an idle connection.
     connected: frozenset[str] = field(default_factory=frozenset)
--- a/bramleybend/platform/manifest.py
+++ b/bramleybend/platform/manifest.py
@@ -19,7 +19,7 @@
     Target,
 )
 from bramleybend.errors import ErrorKind, Problem
-from bramleybend.models import Repeat, Tier
+from bramleybend.models import Idempotency, Tier
 from bramleybend.platform.manifest_wire import (
     WireLimits,
     WireManifest,
@@ -42,9 +42,9 @@
 
 _REPEAT_BY_KIND: Final = MappingProxyType(
     {
-        'idempotent': Repeat.IDEMPOTENT,
-        'non_idempotent': Repeat.NON_IDEMPOTENT,
-        'streaming': Repeat.AT_MOST_ONCE,
+        'idempotent': Idempotency.IDEMPOTENT,
+        'non_idempotent': Idempotency.NON_IDEMPOTENT,
+        'streaming': Idempotency.AT_MOST_ONCE,
     }
 )
 
--- a/bramleybend/scheduler/core.py
+++ b/bramleybend/scheduler/core.py
@@ -12,9 +12,9 @@
 from bramleybend.decisions.actions import ShardView
 from bramleybend.decisions.ownership import rank_owners
 from bramleybend.decisions.quarantine import CrashRegistry
+from bramleybend.event_loop_monitor import EventLoopMonitor
 from bramleybend.events import EventLog
 from bramleybend.identity import Identity, make_identity
-from bramleybend.loop_watch import LoopWatch
 from bramleybend.metrics import Metric, make_metrics
 from bramleybend.scheduler.order_deps import OrderDeps, OrderSources
 from bramleybend.scheduler.order_manager import OrderManager, make_order_manager
@@ -157,7 +157,7 @@
             self.shard_table.run(),
             self.order_manager.run(),
             self._send_gauges(),
-            LoopWatch(self.events, self._clock).run(),
+            EventLoopMonitor(self.events, self._clock).run(),
         ):
             self._tasks.append(asyncio.create_task(work))
 
--- a/bramleybend/scheduler/order_manager.py
+++ b/bramleybend/scheduler/order_manager.py
@@ -9,7 +9,7 @@
 )
 from bramleybend.decisions.ownership import shard_of
 from bramleybend.metrics import Metric
-from bramleybend.models import RunnerState, Terms, Vm
+from bramleybend.models import Terms, Vm, VmState
 from bramleybend.scheduler.load_permits import LoadPermits
 from bramleybend.scheduler.order_deps import (
     EnginePlan,
@@ -130,7 +130,7 @@
     vms = tuple(
         vm
         for vm in sources.runners()
-        if vm.state is RunnerState.LIVE and _is_in_shard(key, vm)
+        if vm.state is VmState.LIVE and _is_in_shard(key, vm)
     )
     return EnginePlan(
         service.engines, service.checks_fence, terms.weight_store, vms
--- a/bramleybend/scheduler/peers.py
+++ b/bramleybend/scheduler/peers.py
@@ -13,7 +13,7 @@
 from bramleybend.decisions.quarantine import CrashRegistry
 from bramleybend.decisions.terms_age import terms_age_s
 from bramleybend.identity import Identity
-from bramleybend.models import RunnerState, Vm
+from bramleybend.models import Vm, VmState
 from bramleybend.scheduler.gossip import Gossip, GossipDeps
 from bramleybend.scheduler.peer_service import PeerService
 from bramleybend.scheduler.peer_transport import PeerTransport
@@ -166,8 +166,7 @@
         return known + tuple(
             Member(vm.name, vm.address, vm.domain, vm.name)
             for vm in self._sources.listed_vms()
-            if vm.state is RunnerState.LIVE
-            and vm.address not in known_addresses
+            if vm.state is VmState.LIVE and vm.address not in known_addresses
         )
 
     def list_known(self) -> tuple[Member, ...]:
--- a/bramleybend/scheduler/shard_table.py
+++ b/bramleybend/scheduler/shard_table.py
@@ -11,7 +11,7 @@
 from bramleybend.decisions.quarantine import ContentStatus
 from bramleybend.decisions.shard_policy import make_shard_policy
 from bramleybend.decisions.tier_floor import DEFAULT_TIMES
-from bramleybend.models import RunnerState, Service, Terms, Vm
+from bramleybend.models import Service, Terms, Vm, VmState
 from bramleybend.scheduler.pause_detector import PauseDetector
 from bramleybend.scheduler.shard_messages import (
     OwnershipMoved,
@@ -197,7 +197,7 @@
         if task is None:
             return True
         listed = task.runners.get(runner)
-        is_closed = listed is None or listed.state is RunnerState.LEAVING
+        is_closed = listed is None or listed.state is VmState.LEAVING
         return is_closed and runner not in task.runner_by_hold.values()
 
     def release_all(self) -> None:
@@ -280,7 +280,7 @@
         # that are still being served.
         if self._sources.is_schedulable(vm.name):
             return vm
-        return replace(vm, state=RunnerState.LEAVING)
+        return replace(vm, state=VmState.LEAVING)
 
 
 def make_shard_table(sources: ShardSources, deps: ShardDeps) -> ShardTable:
--- a/bramleybend/scheduler/shard_task.py
+++ b/bramleybend/scheduler/shard_task.py
@@ -24,7 +24,7 @@
 from bramleybend.decisions.tier_floor import DEFAULT_TIMES, TakeoverState
 from bramleybend.events import EventLog
 from bramleybend.metrics import Metric, Metrics
-from bramleybend.models import RunnerState, Tier, Vm
+from bramleybend.models import Tier, Vm, VmState
 from bramleybend.scheduler.crash_tracker import CrashTracker
 from bramleybend.scheduler.reply_sender import ReplySender
 from bramleybend.scheduler.shard_messages import (
@@ -231,7 +231,7 @@
         self.runners = {vm.name: vm for vm in runners}
         return self.policy.update_runners(
             [
-                RunnerInfo(vm.name, vm.state is RunnerState.LEAVING)
+                RunnerInfo(vm.name, vm.state is VmState.LEAVING)
                 for vm in runners
             ],
             now,
--- a/bramleybend/scheduler/vm_list_poller.py
+++ b/bramleybend/scheduler/vm_list_poller.py
@@ -10,7 +10,7 @@
 from bramleybend.clock import Clock
 from bramleybend.events import EventLog
 from bramleybend.metrics import Metric, Metrics
-from bramleybend.models import RunnerState, Vm
+from bramleybend.models import Vm, VmState
 
 # A list service that lags may show a VM as live that was leaving a moment ago.
 # If the VM's state went back to live, requests would go to an upstream that is
@@ -93,11 +93,11 @@
     def _keep_leaving(self, vm: Vm, now: float) -> Vm:
         """Return the VM as leaving if it was leaving a short time ago."""
         key = f'{vm.name}@{vm.endpoint}'
-        if vm.state is RunnerState.LEAVING:
+        if vm.state is VmState.LEAVING:
             self._leaving_seen_at[key] = now
             return vm
         leaving_seen_at = self._leaving_seen_at.get(key)
         if leaving_seen_at is None or now - leaving_seen_at > MIN_LEAVING_S:
             self._leaving_seen_at.pop(key, None)
             return vm
-        return replace(vm, state=RunnerState.LEAVING)
+        return replace(vm, state=VmState.LEAVING)
--- a/bramleybend/settings.py
+++ b/bramleybend/settings.py
@@ -12,8 +12,7 @@
 from result import Result
 
 from bramleybend.errors import Problem
-from bramleybend.settings_parsing import Program, Setting, parse_program
-from bramleybend.settings_types import (
+from bramleybend.setting_parsers import (
     HostPort,
     address_metadata,
     domain_metadata,
@@ -25,6 +24,7 @@
     setting_metadata,
     vm_name_metadata,
 )
+from bramleybend.settings_parsing import Program, Setting, parse_program
 
 HTTP_PORT: Final = 8080
 GATEWAY_PORT: Final = 7001
--- a/bramleybend/settings_page.py
+++ b/bramleybend/settings_page.py
@@ -3,9 +3,9 @@
 import sys
 from typing import Final
 
-from bramleybend.entry_settings import ENTRY
+from bramleybend.entry_settings import ENTRY_PROGRAM
 from bramleybend.settings import GATEWAY_ONLY, ProcessKind, settings_of
-from bramleybend.settings_parsing import Setting, env_of, flag_of
+from bramleybend.settings_parsing import Setting, flag_of, variable_of
 
 INTRODUCTION: Final = """# Settings of the serving programs
 
@@ -38,7 +38,7 @@
 def settings_page() -> str:
     """Return the whole page."""
     both = ''.join(map(_shared_row, settings_of(ProcessKind.GATEWAY)))
-    entry = ''.join(map(_entry_row, ENTRY.offered_settings()))
+    entry = ''.join(map(_entry_row, ENTRY_PROGRAM.offered_settings()))
     return INTRODUCTION + both + ENTRY_INTRODUCTION + entry
 
 
@@ -54,7 +54,7 @@
     default = str(setting.default or 'none')
     cells = [
         f'`{flag_of(setting.name)}`',
-        f'`{env_of(setting.name)}`',
+        f'`{variable_of(setting.name)}`',
         programs,
         'required' if setting.is_required else default,
         f'`{setting.info.example}`',
--- a/bramleybend/settings_parsing.py
+++ b/bramleybend/settings_parsing.py
@@ -14,7 +14,7 @@
 from result import Err, Ok, Result
 
 from bramleybend.errors import ErrorKind, Problem, ProblemError
-from bramleybend.settings_types import INFO_KEY, SettingInfo
+from bramleybend.setting_parsers import INFO_KEY, SettingInfo
 
 ENV_PREFIX: Final = 'BRAMLEYBEND_'
 FILE_FIELD: Final = 'settings'  # field with the path of the settings file
@@ -65,7 +65,7 @@
     return f'--{hyphened}'
 
 
-def env_of(name: str) -> str:
+def variable_of(name: str) -> str:
     """Return the environment variable of a field."""
     return ENV_PREFIX + name.upper()
 
@@ -105,7 +105,7 @@
     env: Mapping[str, str],
 ) -> Any:
     """Return a setting's value; an empty variable counts as unset."""
-    flag, variable = flag_of(setting.name), env_of(setting.name)
+    flag, variable = flag_of(setting.name), variable_of(setting.name)
     example = setting.info.example
     text = flags.get(setting.name)
     source = f'{flag} {text}'
@@ -165,7 +165,9 @@
     if setting.is_required:
         shown = 'required'
     description, example = setting.info.description, setting.info.example
-    return f'{description} ({env_of(setting.name)}; {shown}; e.g. {example})'
+    return (
+        f'{description} ({variable_of(setting.name)}; {shown}; e.g. {example})'
+    )
 
 
 def _format_example(program: Program[Model]) -> str:
@@ -184,7 +186,7 @@
     env: Mapping[str, str],
 ) -> Mapping[str, str]:
     """Return the variables, with unset ones taken from the settings file."""
-    path = file_flag or env.get(env_of(FILE_FIELD))
+    path = file_flag or env.get(variable_of(FILE_FIELD))
     has_file = any(setting.name == FILE_FIELD for setting in settings)
     if not has_file or not path:
         return env
@@ -213,7 +215,7 @@
 def _unknown_variable(
     settings: Sequence[Setting], env: Mapping[str, str]
 ) -> Problem | None:
-    known = [env_of(setting.name) for setting in settings]
+    known = [variable_of(setting.name) for setting in settings]
     prefixed = {variable for variable in env if variable.startswith(ENV_PREFIX)}
     unknown = sorted(prefixed.difference(known))
     if not unknown:
--- a/bramleybend/state/member.py
+++ b/bramleybend/state/member.py
@@ -5,7 +5,7 @@
 from types import MappingProxyType
 from typing import Final
 
-from bramleybend.models import RunnerState
+from bramleybend.models import VmState
 
 
 class MemberState(StrEnum):
@@ -77,13 +77,13 @@
         heartbeat = self.member.heartbeat + 1
         self.member = replace(self.member, state=state, heartbeat=heartbeat)
 
-    def on_listed_state(self, state: RunnerState) -> None:
+    def on_listed_state(self, state: VmState) -> None:
         """Leave when this VM changes from live to leaving on the VM list.
 
         If the VM is listed as leaving from the start, the outdated list still
         describes a predecessor of the same name.
         """
-        if state is RunnerState.LIVE:
+        if state is VmState.LIVE:
             self._was_listed_live = True
         elif self._was_listed_live:
             self._was_listed_live = False
--- a/bramleybend/timeline/text.py
+++ b/bramleybend/timeline/text.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from bramleybend.cli.output import replace_unprintable
-from bramleybend.events import MILLISECONDS, Stamp
+from bramleybend.events import MS_PER_S, Stamp
 from bramleybend.timeline.merge import Merged
 from bramleybend.timeline.read import Event
 
@@ -32,7 +32,7 @@
     """Return a stamp's time of day in UTC, or `?` if it is out of range."""
     if stamp.wall_ms > MAX_WALL_MS:
         return '?'
-    at = datetime.fromtimestamp(stamp.wall_ms / MILLISECONDS, UTC)
+    at = datetime.fromtimestamp(stamp.wall_ms / MS_PER_S, UTC)
     return at.time().isoformat('milliseconds')
 
 
--- a/bramleybend/patience.py
+++ b/bramleybend/timeouts.py
@@ -15,7 +15,7 @@
 Returned = TypeVar('Returned')
 
 
-async def within(
+async def wait_with_timeout(
     limit_s: float, work: Coroutine[Any, Any, Returned]
 ) -> Returned:
     """Return the result of `work`; raise `TimeoutError` after `limit_s`.
@@ -35,11 +35,12 @@
 
 
 @asynccontextmanager
-async def patience(limit_s: float) -> AsyncIterator[None]:
+async def timeout_scope(limit_s: float) -> AsyncIterator[None]:
     """Raise `TimeoutError` in a body that takes more than `limit_s` seconds.
 
-    The limit is counted as in `within`. The body runs in the caller's own
-    task, so resources that it opens aren't lost if that task is cancelled.
+    The limit is counted as in `wait_with_timeout`. The body runs in the
+    caller's own task, so resources that it opens aren't lost if that task is
+    cancelled.
     """
     async with asyncio.timeout(None) as limit:
         counting = asyncio.create_task(_count(limit, limit_s))
--- a/bramleybend/wire/headers.py
+++ b/bramleybend/wire/headers.py
@@ -35,14 +35,14 @@
             vm=self._identity.vm,
             incarnation=self._identity.incarnation,
             terms_version=self._terms_version(),
-            hlc=str(self._events.hybrid.tick()),
+            hlc=str(self._events.hybrid_clock.next_stamp()),
         )
 
     def observe(self, header: Header) -> None:
         """Advance this process's clock past the sender's timestamp."""
         sender_stamp = parse_stamp(header.hlc)
         if sender_stamp is not None:
-            self._events.hybrid.observe(sender_stamp)
+            self._events.hybrid_clock.observe(sender_stamp)
 
     async def accept(self, header: Header, context: Context) -> None:
         """Process a request's header; abort on a protocol mismatch."""
--- a/tests/benchmarks/baselines.py
+++ b/tests/benchmarks/baselines.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Protocol
 
-from bramleybend.models import Repeat
+from bramleybend.models import Idempotency
 from tests.benchmarks.fleet import Fleet, RequestState
 from tests.benchmarks.measures import Scores
 from tests.benchmarks.patterns import ENTRY_VMS
@@ -115,7 +115,7 @@
         request.is_finished = True
 
     def on_caller_gone(self, request: RequestState) -> None:
-        if request.run and request.job.repeat is not Repeat.NON_IDEMPOTENT:
+        if request.run and request.job.repeat is not Idempotency.NON_IDEMPOTENT:
             self._fleet.engines_by_name[request.engine_name].cancel(request.run)
             self._finish_run(request, is_useful=False)
 
@@ -137,7 +137,8 @@
         if is_useful:
             self._scores.record_answered(request.job)
         elif (
-            request.job.repeat is Repeat.IDEMPOTENT and not request.is_finished
+            request.job.repeat is Idempotency.IDEMPOTENT
+            and not request.is_finished
         ):
             if not request.is_retried:
                 request.is_retried = True
--- a/tests/benchmarks/capacity_control.py
+++ b/tests/benchmarks/capacity_control.py
@@ -24,12 +24,12 @@
 from bramleybend.identity import Identity
 from bramleybend.metrics import make_metrics
 from bramleybend.models import (
-    RunnerState,
     Service,
     ServiceKind,
     SlotRequest,
     Tier,
     Vm,
+    VmState,
 )
 from bramleybend.scheduler.shard_table import ShardSources, ShardTable
 from bramleybend.scheduler.shard_task import ShardDeps
@@ -205,7 +205,7 @@
             9000,
             f'model-{index % MODEL_COUNT}',
             f'domain-{index % 7}',
-            RunnerState.LIVE,
+            VmState.LIVE,
         )
         for index in range(int(nodes * RUNNERS_PER_NODE))
     )
--- a/tests/benchmarks/capacity_many.py
+++ b/tests/benchmarks/capacity_many.py
@@ -16,7 +16,7 @@
 
 from bramleybend.clients.log_service import TERMS_STREAM
 from bramleybend.clients.vm_list import ENTRY_SERVICE
-from bramleybend.models import RunnerState, Vm
+from bramleybend.models import Vm, VmState
 from bramleybend.wire.bramleybend_pb2 import StatusRequest
 from bramleybend.wire.bramleybend_pb2_grpc import ControlStub
 from tests.benchmarks.capacity_processes import (
@@ -151,7 +151,7 @@
         SCHEDULER_PORT,
         ENTRY_SERVICE,
         f'domain-{index % 7}',
-        RunnerState.LIVE,
+        VmState.LIVE,
     )
 
 
--- a/tests/benchmarks/gateways.py
+++ b/tests/benchmarks/gateways.py
@@ -16,7 +16,7 @@
 from bramleybend.decisions.routing import rank_shards
 from bramleybend.decisions.shard_policy import ShardPolicy, make_shard_policy
 from bramleybend.decisions.switches import PolicySwitches
-from bramleybend.models import Repeat, Service, ServiceKind, SlotRequest
+from bramleybend.models import Idempotency, Service, ServiceKind, SlotRequest
 from tests.benchmarks.fleet import Fleet, RequestState
 from tests.benchmarks.measures import Scores
 from tests.benchmarks.patterns import ENTRY_VMS, RequestProfile, estimate_cost
@@ -74,7 +74,7 @@
             prompt_tokens=job.prompt,
             prefixes=job.prefixes() if self._affinity else (),
             deadline=job.deadline,
-            cancellable=job.repeat is not Repeat.NON_IDEMPOTENT,
+            cancellable=job.repeat is not Idempotency.NON_IDEMPOTENT,
             excluded=frozenset(request.tried_engines),
         )
         self._requests[job.job_id] = request
@@ -83,7 +83,7 @@
     def on_caller_gone(self, request: RequestState) -> None:
         if request.run is None:
             self._withdraw(request)
-        elif request.job.repeat is not Repeat.NON_IDEMPOTENT:
+        elif request.job.repeat is not Idempotency.NON_IDEMPOTENT:
             self._fleet.engines_by_name[request.engine_name].cancel(request.run)
             self._finish_run(request, RunReport('cancelled'), is_useful=False)
 
@@ -158,7 +158,7 @@
             return
         self._fleet.engines_by_name[request.engine_name].cancel(request.run)
         self._finish_run(request, RunReport('cancelled'), is_useful=False)
-        if request.job.repeat is Repeat.IDEMPOTENT:
+        if request.job.repeat is Idempotency.IDEMPOTENT:
             self._time.after(
                 NETWORK_DELAY_S * 4, lambda: self._resubmit(request)
             )
@@ -201,7 +201,7 @@
             for other in self._requests.values()
             if other.run is not None
             and other.job.tier > job.tier
-            and other.job.repeat is not Repeat.NON_IDEMPOTENT
+            and other.job.repeat is not Idempotency.NON_IDEMPOTENT
         ]
         self._scores.inversions[job.tier] += bool(lower_runs)
 
@@ -233,7 +233,10 @@
         if is_useful:
             self._scores.record_answered(request.job)
             request.is_finished = True
-        elif request.job.repeat is Repeat.IDEMPOTENT and not request.is_retried:
+        elif (
+            request.job.repeat is Idempotency.IDEMPOTENT
+            and not request.is_retried
+        ):
             request.is_retried = True
             self._retry(request)
         else:
--- a/tests/benchmarks/patterns.py
+++ b/tests/benchmarks/patterns.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from bramleybend.decisions.runs import DECODE_TOKEN_COST
-from bramleybend.models import Repeat, Tier
+from bramleybend.models import Idempotency, Tier
 from tests.utils.queueing_fake import Job, Segment
 
 ARRIVAL_PERIOD_S = 40.0
@@ -45,7 +45,7 @@
 
     name: str
     tier: Tier
-    repeat: Repeat
+    repeat: Idempotency
     share: float
     # Prompt tokens that all requests on one document share.
     document_tokens: tuple[int, int]
@@ -73,7 +73,7 @@
     RequestProfile(
         'booking',
         Tier.CRITICAL,
-        Repeat.NON_IDEMPOTENT,
+        Idempotency.NON_IDEMPOTENT,
         0.4,
         (0, 0),
         (60, 200),
@@ -83,7 +83,7 @@
     RequestProfile(
         'logbook-check',
         Tier.HIGH,
-        Repeat.AT_MOST_ONCE,
+        Idempotency.AT_MOST_ONCE,
         0.15,
         (4000, 12_000),
         (100, 400),
@@ -93,7 +93,7 @@
     RequestProfile(
         'debrief',
         Tier.NORMAL,
-        Repeat.AT_MOST_ONCE,
+        Idempotency.AT_MOST_ONCE,
         0.35,
         (1000, 3000),
         (400, 1200),
@@ -103,7 +103,7 @@
     RequestProfile(
         'summary',
         Tier.BULK,
-        Repeat.IDEMPOTENT,
+        Idempotency.IDEMPOTENT,
         0.1,
         (2000, 8000),
         (200, 600),
@@ -115,7 +115,7 @@
     RequestProfile(
         'rights-check',
         Tier.CRITICAL,
-        Repeat.AT_MOST_ONCE,
+        Idempotency.AT_MOST_ONCE,
         0.25,
         (1500, 6000),
         (200, 800),
@@ -125,7 +125,7 @@
     RequestProfile(
         'royalty-reply',
         Tier.HIGH,
-        Repeat.NON_IDEMPOTENT,
+        Idempotency.NON_IDEMPOTENT,
         0.2,
         (4000, 14_000),
         (100, 300),
@@ -135,7 +135,7 @@
     RequestProfile(
         'metadata',
         Tier.NORMAL,
-        Repeat.AT_MOST_ONCE,
+        Idempotency.AT_MOST_ONCE,
         0.45,
         (1000, 4000),
         (200, 600),
@@ -145,7 +145,7 @@
     RequestProfile(
         'catalogue',
         Tier.BULK,
-        Repeat.IDEMPOTENT,
+        Idempotency.IDEMPOTENT,
         0.1,
         (3000, 10_000),
         (300, 900),
--- a/tests/cli/fakes.py
+++ b/tests/cli/fakes.py
@@ -21,7 +21,7 @@
 from bramleybend.clock import ManualClock
 from bramleybend.errors import ErrorKind, Problem
 from bramleybend.exit_status import ExitStatus
-from bramleybend.models import RunnerState, Vm
+from bramleybend.models import Vm, VmState
 
 EXAMPLES = Path(__file__).parent.parent.parent / 'examples'
 PARWAZ = str(EXAMPLES / 'parwaz.yaml')
@@ -175,7 +175,7 @@
         for number in (1, 2):
             name, address = f'entry-{number}', f'10.0.0.{number}'
             self.vms.append(
-                Vm(name, address, 80, 'bramleybend', 'a', RunnerState.LIVE),
+                Vm(name, address, 80, 'bramleybend', 'a', VmState.LIVE),
             )
             for kind, port in (('gateway', 7001), ('scheduler', 7002)):
                 process = FakeProcess(name, kind)
--- a/tests/decisions/engine_simulation.py
+++ b/tests/decisions/engine_simulation.py
@@ -182,7 +182,7 @@
             deadline=self._now + kind.deadline_s * (1 - DEADLINE_RESERVE),
             cancellable=False,
             on_time_until=self._now + kind.objective_s,
-            begin_by=self._now + min(PATIENCE_S, kind.deadline_s),
+            latest_answer_start=self._now + min(PATIENCE_S, kind.deadline_s),
         )
         run = Run(kind, ask, prompt, answer)
         run.is_counted = self._now >= self._counts_from
--- a/tests/decisions/test_choice.py
+++ b/tests/decisions/test_choice.py
@@ -88,7 +88,7 @@
         left = TimeLeft(inf, inf)
         is_tried = has_slot_for_each and entry.urgent_at <= NOW
         if shard.switches.expiry and not is_tried:
-            left = TimeLeft(ask.begin_by - NOW, ask.deadline - NOW)
+            left = TimeLeft(ask.latest_answer_start - NOW, ask.deadline - NOW)
         eligible = [
             one for one in snapshots if one.runner.name not in ask.excluded
         ]
@@ -148,7 +148,7 @@
         prompt_tokens=prompt,
         prefixes=tuple(rng.sample(PREFIXES, rng.randint(0, 4))),
         deadline=NOW + rng.choice([0.2, 1, 5, 60]),
-        begin_by=NOW + rng.choice([0.1, 0.5, 2, inf]),
+        latest_answer_start=NOW + rng.choice([0.1, 0.5, 2, inf]),
         cancellable=False,
         excluded=frozenset(rng.sample(['r0', 'r1', 'r2'], rng.randint(0, 2))),
         on_time_until=NOW + rng.choice([0.1, 0.5, 2, inf]),
--- a/tests/decisions/test_free_slots.py
+++ b/tests/decisions/test_free_slots.py
@@ -93,7 +93,7 @@
         deadline=NOW + 20,
         cancellable=False,
         on_time_until=NOW + 10,
-        begin_by=NOW + 10,
+        latest_answer_start=NOW + 10,
     )
 
 
--- a/tests/decisions/test_incremental_decisions.py
+++ b/tests/decisions/test_incremental_decisions.py
@@ -48,7 +48,7 @@
         deadline=now + rng.choice([1, 4, 12]),
         cancellable=False,
         on_time_until=now + rng.choice([0.2, 0.5, inf]),
-        begin_by=now + rng.choice([0.5, 2, inf]),
+        latest_answer_start=now + rng.choice([0.5, 2, inf]),
     )
 
 
--- a/tests/decisions/test_overload.py
+++ b/tests/decisions/test_overload.py
@@ -116,7 +116,7 @@
         (),
         now + 3 * PATIENCE_S,
         cancellable=False,
-        begin_by=now + PATIENCE_S,
+        latest_answer_start=now + PATIENCE_S,
         on_time_until=now + OBJECTIVE_S,
     )
 
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -10,14 +10,14 @@
     RetryBudgets,
     backoff_delay,
 )
-from bramleybend.models import Repeat
+from bramleybend.models import Idempotency
 
 
 @pytest.mark.parametrize(
     'repeat',
-    [Repeat.NON_IDEMPOTENT, Repeat.AT_MOST_ONCE],
+    [Idempotency.NON_IDEMPOTENT, Idempotency.AT_MOST_ONCE],
 )
-def test_work_that_may_run_once_is_never_retried(repeat: Repeat) -> None:
+def test_work_that_may_run_once_is_never_retried(repeat: Idempotency) -> None:
     assert not RetryBudgets().try_spend(repeat, 'north', 'lm', 0)
 
 
@@ -29,7 +29,7 @@
     """
     budgets = RetryBudgets()
     allowed = sum(
-        budgets.try_spend(Repeat.IDEMPOTENT, 'north', 'lm', 0)
+        budgets.try_spend(Idempotency.IDEMPOTENT, 'north', 'lm', 0)
         for _ in range(1000)
     )
     assert allowed == MAX_TOKENS
@@ -38,11 +38,11 @@
 def test_successes_earn_a_tenth_as_many_retries() -> None:
     budgets = RetryBudgets()
     for _ in range(MAX_TOKENS):
-        assert budgets.try_spend(Repeat.IDEMPOTENT, 'north', 'lm', 0)
+        assert budgets.try_spend(Idempotency.IDEMPOTENT, 'north', 'lm', 0)
     for _ in range(51):
         budgets.record_success('north', 'lm', 0)
     allowed = sum(
-        budgets.try_spend(Repeat.IDEMPOTENT, 'north', 'lm', 0)
+        budgets.try_spend(Idempotency.IDEMPOTENT, 'north', 'lm', 0)
         for _ in range(100)
     )
     assert allowed == 5
@@ -51,17 +51,17 @@
 def test_service_without_budget_stops_all_workspaces() -> None:
     budgets = RetryBudgets()
     for number in range(MAX_TOKENS):
-        assert budgets.try_spend(Repeat.IDEMPOTENT, f'w{number}', 'lm', 0)
-    assert not budgets.try_spend(Repeat.IDEMPOTENT, 'other', 'lm', 0)
-    assert budgets.try_spend(Repeat.IDEMPOTENT, 'other', 'booking-app', 0)
+        assert budgets.try_spend(Idempotency.IDEMPOTENT, f'w{number}', 'lm', 0)
+    assert not budgets.try_spend(Idempotency.IDEMPOTENT, 'other', 'lm', 0)
+    assert budgets.try_spend(Idempotency.IDEMPOTENT, 'other', 'booking-app', 0)
 
 
 def test_clock_that_jumps_back_earns_nothing() -> None:
     budgets = RetryBudgets()
     for _ in range(MAX_TOKENS):
-        assert budgets.try_spend(Repeat.IDEMPOTENT, 'north', 'lm', 100)
-    assert not budgets.try_spend(Repeat.IDEMPOTENT, 'north', 'lm', -5000)
-    assert not budgets.try_spend(Repeat.IDEMPOTENT, 'north', 'lm', 100)
+        assert budgets.try_spend(Idempotency.IDEMPOTENT, 'north', 'lm', 100)
+    assert not budgets.try_spend(Idempotency.IDEMPOTENT, 'north', 'lm', -5000)
+    assert not budgets.try_spend(Idempotency.IDEMPOTENT, 'north', 'lm', 100)
 
 
 def test_backoff_grows_and_is_spread() -> None:
--- a/tests/decisions/test_waiting_queue.py
+++ b/tests/decisions/test_waiting_queue.py
@@ -57,7 +57,7 @@
 def test_long_request_is_overtaken_for_a_share_of_its_wait() -> None:
     """If overtaken for longer than its caller waits, it would never start."""
     queue = WaitingQueue({})
-    long = make_ask('long', cost=20_000, deadline=900, begin_by=4)
+    long = make_ask('long', cost=20_000, deadline=900, latest_answer_start=4)
     queue.add(long, 0, MIN_TIME)
     queue.add(make_ask('short', cost=100, deadline=900), 0.3, MIN_TIME)
     queue.add(make_ask('late', cost=100, deadline=900), 1, MIN_TIME)
--- a/tests/direct/cluster.py
+++ b/tests/direct/cluster.py
@@ -15,7 +15,7 @@
     PlatformProcess,
     make_platform_process,
 )
-from bramleybend.settings_types import HostPort
+from bramleybend.setting_parsers import HostPort
 from tests.utils.platform_store import PlatformStore
 from tests.utils.raw_runner import Behaviour, RawRunner, answers
 from tests.utils.waiting import wait_until
--- a/tests/direct/test_ask_messages.py
+++ b/tests/direct/test_ask_messages.py
@@ -31,7 +31,7 @@
     suspect=True,
     excluded=frozenset(('r1', 'r2')),
     on_time_until=100.5,
-    begin_by=102.0,
+    latest_answer_start=102.0,
 )
 
 
@@ -45,7 +45,7 @@
     assert isinstance(told, SlotRequestMessage)
     received = slot_request_from(told, 7.0)
     assert received == replace(
-        ASK, deadline=15.0, on_time_until=7.5, begin_by=9.0
+        ASK, deadline=15.0, on_time_until=7.5, latest_answer_start=9.0
     )
 
 
@@ -57,10 +57,14 @@
     told = decode(msgspec.msgpack.encode(fields[:-missing]))
     assert isinstance(told, SlotRequestMessage)
     read = slot_request_from(told, 7.0)
-    expected = replace(ASK, deadline=15.0, on_time_until=7.5, begin_by=inf)
+    expected = replace(
+        ASK, deadline=15.0, on_time_until=7.5, latest_answer_start=inf
+    )
     if missing == 1:
-        expected = replace(expected, begin_by=read.begin_by)
-        assert read.begin_by < inf
+        expected = replace(
+            expected, latest_answer_start=read.latest_answer_start
+        )
+        assert read.latest_answer_start < inf
     assert read == expected
 
 
--- a/tests/direct/test_asking_owners.py
+++ b/tests/direct/test_asking_owners.py
@@ -40,7 +40,7 @@
     def __init__(self) -> None:
         """Register members that were heard long enough to be asked."""
         clock = SystemClock()
-        events = EventLog('vm', 'i', clock, kept=0)
+        events = EventLog('vm', 'i', clock, max_kept_events=0)
         members = Members(OwnVm('vm', 'i', 'vm', 'vm:80'))
         now = clock.monotonic() + 60
         for vm, capacity in CAPACITIES.items():
--- a/tests/direct/test_containment.py
+++ b/tests/direct/test_containment.py
@@ -169,7 +169,9 @@
 def test_only_new_or_refused_crash_records_are_sent() -> None:
     """Heartbeats stay small when many connections break."""
     clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
-    containment = Containment(clock, EventLog('vm', 'i', clock, kept=0))
+    containment = Containment(
+        clock, EventLog('vm', 'i', clock, max_kept_events=0)
+    )
     for number in range(REFUSAL_CRASHES):
         containment.record_crash('refused', runner(number))
     containment.record_crash('broken', runner(0))
@@ -184,7 +186,9 @@
 def test_content_is_told_apart_by_caller_target_and_body() -> None:
     """Content differs by key, path or body, but not by attempt id."""
     clock = ManualClock(datetime(2026, 1, 1, tzinfo=UTC))
-    containment = Containment(clock, EventLog('vm', 'i', clock, kept=0))
+    containment = Containment(
+        clock, EventLog('vm', 'i', clock, max_kept_events=0)
+    )
 
     def name(key: str, target: bytes, body: bytes) -> str:
         req = RawRequest(b'POST', target, (), body, 0)
--- a/tests/direct/test_event_log.py
+++ b/tests/direct/test_event_log.py
@@ -9,7 +9,7 @@
 
 from bramleybend.direct.process import SWEEP_EVERY_S
 from bramleybend.direct.traffic import LARGE_BYTES
-from bramleybend.loop_watch import TOLD_FROM_S
+from bramleybend.event_loop_monitor import MIN_REPORTED_DELAY_S
 from tests.direct.cluster import PLAIN, running_cluster
 from tests.utils.peer_network import started
 from tests.utils.raw_runner import Seen, answers
@@ -33,9 +33,12 @@
     caplog.set_level(logging.INFO)
     async with running_cluster():
         await asyncio.sleep(SWEEP_EVERY_S / 2)
-        _block_event_loop(SWEEP_EVERY_S + 2 * TOLD_FROM_S)
+        _block_event_loop(SWEEP_EVERY_S + 2 * MIN_REPORTED_DELAY_S)
         await asyncio.sleep(2 * SWEEP_EVERY_S)
-    assert _events(caplog, 'loop_late')[0]['late_ms'] >= TOLD_FROM_S * 1000
+    assert (
+        _events(caplog, 'loop_late')[0]['late_ms']
+        >= MIN_REPORTED_DELAY_S * 1000
+    )
 
 
 async def test_a_caller_that_leaves_is_told_with_what_became_of_its_request(
--- a/tests/direct/test_feeds.py
+++ b/tests/direct/test_feeds.py
@@ -16,7 +16,7 @@
 from bramleybend.direct.runner_list import RunnerList
 from bramleybend.errors import Problem
 from bramleybend.events import EventLog
-from bramleybend.models import Repeat, Tier
+from bramleybend.models import Idempotency, Tier
 from bramleybend.platform.manifest import decode_manifest
 from bramleybend.platform.record_format import pack_page, unpack_page
 from bramleybend.platform.runner_entry import decode_runner
@@ -59,8 +59,8 @@
     assert long_route is not None
     assert short_route is not None
     assert (long_route.repeat, short_route.repeat) == (
-        Repeat.NON_IDEMPOTENT,
-        Repeat.IDEMPOTENT,
+        Idempotency.NON_IDEMPOTENT,
+        Idempotency.IDEMPOTENT,
     )
     assert long_route.tier is Tier.HIGH
     assert found.find_route('other.example', '/a/b/c') is None
@@ -165,7 +165,7 @@
 async def test_a_lapse_without_an_outage_counts_at_once() -> None:
     """A runner whose entry ends without an outage is gone at once."""
     clock = ManualClock(START)
-    catalog = Catalog(clock, EventLog('vm', 'i', clock, kept=0))
+    catalog = Catalog(clock, EventLog('vm', 'i', clock, max_kept_events=0))
     runners = RunnerList(catalog, decode_runner, EventLog('vm', 'i', clock, 0))
     runners.apply_page(page(record(0, 'r1', ENTRY), whole=True))
     assert [one.name for one in catalog.runners_by_service['app']] == ['r1']
--- a/tests/direct/test_owner_batches.py
+++ b/tests/direct/test_owner_batches.py
@@ -133,7 +133,7 @@
         1,
         (),
         now + 600,
-        begin_by=now + 2,
+        latest_answer_start=now + 2,
         cancellable=False,
     )
 
--- a/tests/direct/test_queue_log.py
+++ b/tests/direct/test_queue_log.py
@@ -30,7 +30,7 @@
 async def queues() -> Queues:
     """Return the queues of a VM that knows one runner with one slot."""
     clock = SystemClock()
-    events = EventLog('vm', 'i', clock, kept=0)
+    events = EventLog('vm', 'i', clock, max_kept_events=0)
     members = Members(OwnVm('vm', 'i', '127.0.0.1', '127.0.0.1:80'))
     queues = make_queues(
         Catalog(clock, events), members, clock, events, Random(1)
@@ -53,7 +53,9 @@
 ) -> None:
     """The event tells full runners, a late owner and a holding policy apart."""
     caplog.set_level(logging.INFO, logger=EVENT_LOGGER)
-    log = QueueLog(queues, EventLog('vm', 'i', SystemClock(), kept=0))
+    log = QueueLog(
+        queues, EventLog('vm', 'i', SystemClock(), max_kept_events=0)
+    )
     queue = queues.queue_for(SERVICE)
     for name, tier in (('a', Tier.HIGH), ('b', Tier.HIGH), ('c', Tier.NORMAL)):
         queue.request_slot(ask(name, tier), lambda action: None)
@@ -78,7 +80,9 @@
 ) -> None:
     """An empty queue is not logged."""
     caplog.set_level(logging.INFO, logger=EVENT_LOGGER)
-    log = QueueLog(queues, EventLog('vm', 'i', SystemClock(), kept=0))
+    log = QueueLog(
+        queues, EventLog('vm', 'i', SystemClock(), max_kept_events=0)
+    )
     queue = queues.queue_for(SERVICE)
     queue.request_slot(ask('a', Tier.HIGH), lambda action: None)
     queue.release('a', RunReport('done'))
--- a/tests/failures/test_large_manifest.py
+++ b/tests/failures/test_large_manifest.py
@@ -82,7 +82,7 @@
     It reads the store only while its copy is stale, or after a peer failed to
     send a page that it had announced.
     """
-    events = EventLog(name, 'i', clock, kept=0)
+    events = EventLog(name, 'i', clock, max_kept_events=0)
     book = Catalog(clock, events)
     clients: dict[str, StoreClient] = {}
 
--- a/tests/test_declarations.py
+++ b/tests/test_declarations.py
@@ -11,7 +11,7 @@
 from bramleybend.models import (
     EngineRole,
     EngineTarget,
-    Repeat,
+    Idempotency,
     ServiceKind,
     Tier,
     WeightStore,
@@ -232,4 +232,4 @@
 ) -> None:
     """A slot claim and a royalty reply run at most once."""
     terms = parse_terms((EXAMPLES / f'{name}.yaml').read_text(), 1).unwrap()
-    assert terms.profiles[profile].repeat is Repeat.NON_IDEMPOTENT
+    assert terms.profiles[profile].repeat is Idempotency.NON_IDEMPOTENT
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -11,17 +11,17 @@
 def test_a_stamp_seen_from_a_faster_clock_is_passed() -> None:
     """A VM whose wall clock lags still stamps an effect after its cause."""
     hybrid = HybridClock(ManualClock(datetime(2026, 1, 1, tzinfo=UTC)))
-    ahead_stamp = Stamp(hybrid.tick().wall_ms + 5000, 3)
+    ahead_stamp = Stamp(hybrid.next_stamp().wall_ms + 5000, 3)
     hybrid.observe(ahead_stamp)
-    assert hybrid.tick() > ahead_stamp
+    assert hybrid.next_stamp() > ahead_stamp
 
 
 def test_a_stamp_from_a_broken_clock_is_not_believed() -> None:
     """One VM years ahead must not advance the stamps of all others."""
     hybrid = HybridClock(ManualClock(datetime(2026, 1, 1, tzinfo=UTC)))
-    first = hybrid.tick()
+    first = hybrid.next_stamp()
     hybrid.observe(Stamp(first.wall_ms * 2, 0))
-    assert hybrid.tick().wall_ms == first.wall_ms
+    assert hybrid.next_stamp().wall_ms == first.wall_ms
 
 
 def test_a_stamp_is_read_as_it_was_written() -> None:
@@ -47,7 +47,7 @@
     _headers(owner).observe(request_headers)
     stamp = parse_stamp(request_headers.hlc)
     assert stamp
-    assert owner.hybrid.tick() > stamp
+    assert owner.hybrid_clock.next_stamp() > stamp
 
 
 def _headers(events: EventLog) -> Headers:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -11,7 +11,7 @@
 import pytest
 
 from bramleybend.clock import ManualClock, SystemClock
-from bramleybend.models import RunnerState, Vm
+from bramleybend.models import Vm, VmState
 from bramleybend.scheduler.gossip import Gossip, GossipDeps
 from bramleybend.scheduler.peer_service import PeerService
 from bramleybend.scheduler.peer_transport import GrpcPeerTransport
@@ -155,7 +155,7 @@
     prefix = free_prefix()
     addresses = [f'{prefix}.{index + 11}' for index in range(size)]
     vms = [
-        Vm(addr, addr, PORT, 'bramleybend', 'walton', RunnerState.LIVE)
+        Vm(addr, addr, PORT, 'bramleybend', 'walton', VmState.LIVE)
         for addr in addresses
     ]
     nodes = [GossipNode(addr, vms, seed) for seed, addr in enumerate(addresses)]
--- a/tests/test_loop_watch.py
+++ b/tests/test_loop_watch.py
@@ -7,10 +7,14 @@
 import pytest
 
 from bramleybend.clock import SystemClock
+from bramleybend.event_loop_monitor import (
+    INTERVAL_S,
+    MIN_REPORTED_DELAY_S,
+    EventLoopMonitor,
+)
 from bramleybend.events import EventLog
-from bramleybend.loop_watch import INTERVAL_S, TOLD_FROM_S, LoopWatch
 
-STALL_S = 2 * (INTERVAL_S + TOLD_FROM_S)
+STALL_S = 2 * (INTERVAL_S + MIN_REPORTED_DELAY_S)
 
 
 def _delay_events(caplog: pytest.LogCaptureFixture) -> list[dict[str, object]]:
@@ -23,7 +27,7 @@
     clock = SystemClock()
     caplog.set_level(logging.INFO)
     monitor = asyncio.create_task(
-        LoopWatch(EventLog('test', 'a', clock), clock).run()
+        EventLoopMonitor(EventLog('test', 'a', clock), clock).run()
     )
     await asyncio.sleep(INTERVAL_S / 2)
     deadline = time.monotonic() + STALL_S
@@ -36,14 +40,16 @@
     await asyncio.sleep(2 * INTERVAL_S)
     monitor.cancel()
     first = _delay_events(caplog)[0]
-    assert int(str(first['late_ms'])) >= TOLD_FROM_S * 1000
+    assert int(str(first['late_ms'])) >= MIN_REPORTED_DELAY_S * 1000
     return int(str(first['cpu_ms']))
 
 
 async def test_a_loop_that_was_not_run_is_told_with_little_processor_time(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    assert await _block_loop(caplog, busy=False) < TOLD_FROM_S * 1000 / 4
+    assert (
+        await _block_loop(caplog, busy=False) < MIN_REPORTED_DELAY_S * 1000 / 4
+    )
 
 
 async def test_a_loop_that_kept_itself_busy_is_told_with_its_processor_time(
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from bramleybend.models import RunnerState, Vm
+from bramleybend.models import Vm, VmState
 from bramleybend.state.member import Member, MemberState
 from bramleybend.state.member_table import (
     DEAD_RETENTION_S,
@@ -49,7 +49,7 @@
     return {record.vm: record.state for record in members.list_records(now)}
 
 
-def _make_listed_vm(index: int, state: RunnerState) -> Vm:
+def _make_listed_vm(index: int, state: VmState) -> Vm:
     return Vm(
         f'entry-{index}', f'10.0.0.{index}', 1, 'bramleybend', 'walton', state
     )
@@ -343,22 +343,22 @@
 
 def test_a_vm_leaves_when_the_list_says_so_of_itself() -> None:
     members = _make_membership()
-    members.update_listed_vms([_make_listed_vm(0, RunnerState.LIVE)], 0)
-    members.update_listed_vms([_make_listed_vm(0, RunnerState.LEAVING)], 1)
+    members.update_listed_vms([_make_listed_vm(0, VmState.LIVE)], 0)
+    members.update_listed_vms([_make_listed_vm(0, VmState.LEAVING)], 1)
 
     assert members.own.member.state is MemberState.LEAVING
 
 
 def test_a_stale_list_does_not_make_a_successor_leave() -> None:
     members = _make_membership()
-    members.update_listed_vms([_make_listed_vm(0, RunnerState.LEAVING)], 0)
+    members.update_listed_vms([_make_listed_vm(0, VmState.LEAVING)], 0)
 
     assert members.own.member.state is MemberState.ALIVE
 
 
 def test_a_listed_vm_is_tried_but_no_member_until_it_answers() -> None:
     members = _make_membership()
-    members.update_listed_vms([_make_listed_vm(1, RunnerState.LIVE)], 0)
+    members.update_listed_vms([_make_listed_vm(1, VmState.LIVE)], 0)
 
     assert [sent.target for sent in members.tick(1)] == ['10.0.0.1']
     assert len(members.owner_candidates(1)) == 1
@@ -366,7 +366,7 @@
 
 def test_a_dead_vm_is_forgotten_once_it_is_long_unlisted() -> None:
     members = _make_membership()
-    members.update_listed_vms([_make_listed_vm(1, RunnerState.LIVE)], 0)
+    members.update_listed_vms([_make_listed_vm(1, VmState.LIVE)], 0)
     members.on_records([_make_member(1, state=MemberState.SUSPECT)], 0)
     now = float(0)
     while now < DEAD_RETENTION_S:
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -6,7 +6,7 @@
 
 from bramleybend.metrics import Metric, make_metrics
 from bramleybend.metrics_page import metrics_page
-from bramleybend.settings_types import HostPort
+from bramleybend.setting_parsers import HostPort
 
 PAGE = Path(__file__).parent.parent / 'docs' / 'operators' / 'METRICS.md'
 LOOPBACK = '127.0.0.1'
--- a/tests/test_order_issuer.py
+++ b/tests/test_order_issuer.py
@@ -22,8 +22,8 @@
 from bramleybend.models import (
     EngineRole,
     EngineTarget,
-    RunnerState,
     Vm,
+    VmState,
     WeightStore,
 )
 from bramleybend.scheduler.engine_changes import RETRY_DELAY_S
@@ -159,7 +159,7 @@
         count: int = 8,
     ) -> list[Order]:
         """Run some rounds; return the orders that the engine accepted."""
-        vm = Vm('e', '127.0.0.1', 1, 'llm', 'walton', RunnerState.LIVE)
+        vm = Vm('e', '127.0.0.1', 1, 'llm', 'walton', VmState.LIVE)
         plan = EnginePlan(target, checks_fence, WeightStore(), (vm,))
         before = len(self.engines.orders)
         for _ in range(count):
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -11,7 +11,7 @@
 from result import Ok
 
 from bramleybend.clients.http import CONNECT_TIMEOUT_S, HttpApi, connect
-from bramleybend.patience import patience, within
+from bramleybend.timeouts import timeout_scope, wait_with_timeout
 
 LIMIT_S = 0.5
 STALL_S = 1.0
@@ -77,7 +77,7 @@
 async def test_a_silent_peer_is_given_up_in_time() -> None:
     started_at = time.monotonic()
     with pytest.raises(TimeoutError):
-        await within(LIMIT_S, asyncio.sleep(30))
+        await wait_with_timeout(LIMIT_S, asyncio.sleep(30))
     assert LIMIT_S <= time.monotonic() - started_at < 4 * LIMIT_S
 
 
@@ -85,14 +85,14 @@
     """Guards against a connection attempt to a dead host that never ends."""
     started_at = time.monotonic()
     with pytest.raises(TimeoutError):
-        async with patience(LIMIT_S):
+        async with timeout_scope(LIMIT_S):
             await asyncio.sleep(30)
     assert LIMIT_S <= time.monotonic() - started_at < 4 * LIMIT_S
 
 
 async def test_a_body_that_ends_in_time_is_left_alone() -> None:
     """Guards against a timeout that fires after its body has ended."""
-    async with patience(0.1):
+    async with timeout_scope(0.1):
         await asyncio.sleep(0)
     await asyncio.sleep(0.2)
 
@@ -101,7 +101,7 @@
     """Guards against reporting a caller's cancellation as a timeout."""
 
     async def _wait() -> None:
-        async with patience(LIMIT_S):
+        async with timeout_scope(LIMIT_S):
             await asyncio.sleep(30)
 
     waiting = asyncio.create_task(_wait())
@@ -121,5 +121,5 @@
             cancelled.set()
 
     with pytest.raises(TimeoutError):
-        await within(0.1, _work())
+        await wait_with_timeout(0.1, _work())
     await asyncio.wait_for(cancelled.wait(), 1)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -9,7 +9,7 @@
 from bramleybend.clock import ManualClock
 from bramleybend.decisions.quarantine import CrashRegistry
 from bramleybend.identity import Identity
-from bramleybend.models import RunnerState, Vm
+from bramleybend.models import Vm, VmState
 from bramleybend.scheduler.peer_transport import PeerTransport
 from bramleybend.scheduler.peers import JOIN_PERIOD_S, Peers, PeerSources
 from bramleybend.state.member import Member, MemberState
@@ -75,7 +75,7 @@
     peers: Peers
 
 
-def _vm(index: int, state: RunnerState = RunnerState.LIVE) -> Vm:
+def _vm(index: int, state: VmState = VmState.LIVE) -> Vm:
     return Vm(
         f'entry-{index}',
         f'10.0.0.{index + 1}',
@@ -114,7 +114,7 @@
     If it ranked only itself, it would own every shard alongside the actual
     owners. So it counts the listed VMs until gossip has brought the members.
     """
-    fixture = _make_fixture(_vm(0), _vm(1), _vm(2, RunnerState.LEAVING))
+    fixture = _make_fixture(_vm(0), _vm(1), _vm(2, VmState.LEAVING))
 
     assert _owner_candidates(fixture) == {'entry-0', 'entry-1'}
     fixture.clock.advance(JOIN_PERIOD_S + 1)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -4,16 +4,16 @@
 
 import pytest
 
-from bramleybend.entry_settings import ENTRY
+from bramleybend.entry_settings import ENTRY_PROGRAM
 from bramleybend.errors import ErrorKind
+from bramleybend.setting_parsers import HostPort
 from bramleybend.settings import (
     ProcessKind,
     parse_settings,
     settings_of,
 )
 from bramleybend.settings_page import settings_page
-from bramleybend.settings_parsing import env_of, flag_of, parse_program
-from bramleybend.settings_types import HostPort
+from bramleybend.settings_parsing import flag_of, parse_program, variable_of
 
 PAGE = Path(__file__).parent.parent / 'docs' / 'operators' / 'SETTINGS.md'
 ENV = {
@@ -73,8 +73,8 @@
 def required_variables() -> dict[str, str]:
     """Return variables with example values of all required settings."""
     return {
-        env_of(setting.name): setting.info.example
-        for setting in ENTRY.offered_settings()
+        variable_of(setting.name): setting.info.example
+        for setting in ENTRY_PROGRAM.offered_settings()
         if setting.is_required
     }
 
@@ -86,9 +86,9 @@
     A restart mistaken for a first start grants all bursts a second time.
     """
     variables = required_variables()
-    assert parse_program(ENTRY, [], variables).is_ok()
+    assert parse_program(ENTRY_PROGRAM, [], variables).is_ok()
     args = ['--first-start', text]
-    problem = parse_program(ENTRY, args, variables).unwrap_err()
+    problem = parse_program(ENTRY_PROGRAM, args, variables).unwrap_err()
     assert f'--first-start {text}' in problem.detail
     assert "'true' or 'false'" in problem.detail
 
@@ -97,7 +97,9 @@
 def test_lower_tiers_can_not_be_given_all_starts(text: str) -> None:
     """Otherwise the highest tier would wait for the three lower ones."""
     args = ['--min-tier-share', text]
-    problem = parse_program(ENTRY, args, required_variables()).unwrap_err()
+    problem = parse_program(
+        ENTRY_PROGRAM, args, required_variables()
+    ).unwrap_err()
     assert f'--min-tier-share {text}' in problem.detail
 
 
@@ -120,7 +122,7 @@
     assert exit_info.value.code == 0
     for setting in settings_of(ProcessKind.GATEWAY):
         assert flag_of(setting.name) in help_text
-        assert env_of(setting.name) in help_text
+        assert variable_of(setting.name) in help_text
 
 
 def test_the_operators_page_matches_the_code() -> None:
--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -12,7 +12,7 @@
 from bramleybend.gateway.slot import Slot
 from bramleybend.gateway.supervisor import Supervisor
 from bramleybend.metrics import make_metrics
-from bramleybend.models import Repeat, ServiceKind, Tier
+from bramleybend.models import Idempotency, ServiceKind, Tier
 from bramleybend.wire.bramleybend_pb2 import Ended
 from tests.utils.waiting import wait_until
 
@@ -75,7 +75,9 @@
     job = SimpleNamespace(
         run=Run(req),
         request_id=req.request_id,
-        profile=SimpleNamespace(cancellable=True, repeat=Repeat.AT_MOST_ONCE),
+        profile=SimpleNamespace(
+            cancellable=True, repeat=Idempotency.AT_MOST_ONCE
+        ),
         service=SimpleNamespace(kind=ServiceKind.ENGINE),
         tier=Tier.BULK,
         make_ask=lambda: SimpleNamespace(prompt_tokens=1),
--- a/tests/timeline/test_timeline.py
+++ b/tests/timeline/test_timeline.py
@@ -28,13 +28,13 @@
     setup_logging('INFO', streams[0])
     home.record('started', vm='entry-1')
     home.record('accepted', 't/1', tier=1)
-    asked_stamp = home.hybrid.tick()
+    asked_stamp = home.hybrid_clock.next_stamp()
     home.record('sent', 't/1', runner='r-1', note='<b>"x"</b>\n\x1b[2J')
     home.record('accepted', 't/2', tier=4)
     logging.getLogger('other').warning('not an event')
     setup_logging('INFO', streams[1])
     owner.record('started', vm='entry-2')
-    owner.hybrid.observe(asked_stamp)
+    owner.hybrid_clock.observe(asked_stamp)
     owner.record('granted', 't/1', runner='r-1')
     root.handlers = handlers
     for name, stream in zip(('entry-1', 'entry-2'), streams, strict=True):
--- a/tests/utils/cluster.py
+++ b/tests/utils/cluster.py
@@ -14,7 +14,7 @@
 from typing import Final, Self
 
 from bramleybend.clients.log_service import TERMS_STREAM
-from bramleybend.models import RunnerState, Vm
+from bramleybend.models import Vm, VmState
 from tests.utils.engine import Engine, EngineConfig
 from tests.utils.entry_vm import EntryVm, VmSettings
 from tests.utils.log_service import LogService
@@ -235,7 +235,7 @@
     ) -> None:
         domain = DOMAINS[index % len(DOMAINS)]
         name = f'{service}-{domain}-{index + 1}'
-        vm = Vm(name, address, RUNNER_PORT, service, domain, RunnerState.LIVE)
+        vm = Vm(name, address, RUNNER_PORT, service, domain, VmState.LIVE)
         self.by_name[name] = Runner(vm, standin)
 
     def _make_entry_vm(self, index: int) -> EntryVm:
--- a/tests/utils/entry_vm.py
+++ b/tests/utils/entry_vm.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from bramleybend.clients.vm_list import ENTRY_SERVICE
-from bramleybend.models import RunnerState, Vm
+from bramleybend.models import Vm, VmState
 from tests.utils.http_client import BrokenCallError, call
 from tests.utils.processes import Process
 from tests.utils.relay import Relay
@@ -93,7 +93,7 @@
         """Whether at least one of the processes is running."""
         return any(process.is_running for process in self.processes)
 
-    def listed(self, state: RunnerState = RunnerState.LIVE) -> Vm:
+    def listed(self, state: VmState = VmState.LIVE) -> Vm:
         """Return the VM's entry in the VM list."""
         return Vm(
             self.name,
--- a/tests/utils/event_loop_lag.py
+++ b/tests/utils/event_loop_lag.py
@@ -12,13 +12,13 @@
 from typing import Final
 
 from bramleybend.clock import SystemClock
+from bramleybend.event_loop_monitor import EventLoopMonitor
 from bramleybend.events import (
     EVENT_LOGGER,
     EventLog,
     LineStream,
     make_line_handler,
 )
-from bramleybend.loop_watch import LoopWatch
 
 LOG_NAME: Final = 'test.log'
 PROCESS: Final = 'test'
@@ -29,7 +29,7 @@
     """Log the lag of the running event loop during the body."""
     clock = SystemClock()
     with (run_dir / LOG_NAME).open('a') as log, _log_events_to(log):
-        watch = LoopWatch(EventLog(PROCESS, run_dir.name, clock), clock)
+        watch = EventLoopMonitor(EventLog(PROCESS, run_dir.name, clock), clock)
         watch_task = asyncio.create_task(watch.run())
         try:
             yield
--- a/tests/utils/ledger.py
+++ b/tests/utils/ledger.py
@@ -7,12 +7,12 @@
 from typing import Final
 
 from bramleybend.answers import Outcome
-from bramleybend.models import Repeat, Tier
+from bramleybend.models import Idempotency, Tier
 from tests.utils.work import Work
 
 NOT_RUN_OUTCOMES: Final = frozenset({Outcome.NOT_RUN, Outcome.REJECTED})
 AT_MOST_ONCE_RULES: Final = frozenset(
-    {Repeat.AT_MOST_ONCE, Repeat.NON_IDEMPOTENT}
+    {Idempotency.AT_MOST_ONCE, Idempotency.NON_IDEMPOTENT}
 )
 
 
--- a/tests/utils/membership_play.py
+++ b/tests/utils/membership_play.py
@@ -9,7 +9,7 @@
 from itertools import count
 from random import Random
 
-from bramleybend.models import RunnerState, Vm
+from bramleybend.models import Vm, VmState
 from bramleybend.state.member import Member, MemberState
 from bramleybend.state.membership import (
     PROBE_PERIOD_S,
@@ -320,7 +320,7 @@
 
     def _listed_vms(self) -> list[Vm]:
         return [
-            Vm(name, address, 7000, 'bramleybend', '', RunnerState.LIVE)
+            Vm(name, address, 7000, 'bramleybend', '', VmState.LIVE)
             for address, name in self._listed.items()
         ]
 
--- a/tests/utils/peer_network.py
+++ b/tests/utils/peer_network.py
@@ -195,7 +195,7 @@
 ) -> Vm:
     clock: Clock = network.clock
     name, address = f'entry-{number}', address_of(number)
-    events = EventLog(name, incarnation, clock, kept=0)
+    events = EventLog(name, incarnation, clock, max_kept_events=0)
     members = Members(
         OwnVm(
             name,
--- a/tests/utils/queueing_fake.py
+++ b/tests/utils/queueing_fake.py
@@ -13,7 +13,7 @@
 
 from bramleybend.decisions.prefixes import prefix_tokens
 from bramleybend.decisions.runs import DECODE_TOKEN_COST
-from bramleybend.models import Repeat, Tier
+from bramleybend.models import Idempotency, Tier
 
 EPSILON = 1e-9
 
@@ -33,7 +33,7 @@
     job_id: str
     workspace: str
     tier: Tier
-    repeat: Repeat
+    repeat: Idempotency
     at: float
     deadline: float
     segments: tuple[Segment, ...]
--- a/tests/utils/test_callers.py
+++ b/tests/utils/test_callers.py
@@ -8,7 +8,7 @@
 import pytest
 
 from bramleybend.answers import Outcome
-from bramleybend.models import Repeat, Tier
+from bramleybend.models import Idempotency, Tier
 from tests.utils.callers import Caller
 from tests.utils.expected_answers import expected_body, token_text
 from tests.utils.http_server import (
@@ -30,7 +30,7 @@
         'booking-app',
         'slot-claim',
         Tier.CRITICAL,
-        Repeat.NON_IDEMPOTENT,
+        Idempotency.NON_IDEMPOTENT,
         b'slot 9',
         deadline_s=deadline_s,
     )
@@ -42,7 +42,7 @@
         'briefing-llm',
         'debrief',
         Tier.NORMAL,
-        Repeat.AT_MOST_ONCE,
+        Idempotency.AT_MOST_ONCE,
         b'{}',
         prompt='how did it go',
         max_tokens=3,
--- a/tests/utils/vm_list.py
+++ b/tests/utils/vm_list.py
@@ -5,7 +5,7 @@
 from http import HTTPStatus
 from typing import Any
 
-from bramleybend.models import RunnerState, Vm
+from bramleybend.models import Vm, VmState
 from tests.utils.faults import Faults, FaultyServer
 from tests.utils.http_server import HttpRequest, HttpResponse, json_response
 from tests.utils.standin_program import parser, run
@@ -56,7 +56,7 @@
         """Set the state of a VM to leaving."""
         self._replace(
             [
-                {**vm, 'state': str(RunnerState.LEAVING)}
+                {**vm, 'state': str(VmState.LEAVING)}
                 if vm['name'] == name
                 else vm
                 for vm in self._versions[-1][1]
--- a/tests/utils/work.py
+++ b/tests/utils/work.py
@@ -8,7 +8,7 @@
 
 import yaml
 
-from bramleybend.models import Repeat, ServiceKind, Tier
+from bramleybend.models import Idempotency, ServiceKind, Tier
 from tests.utils.expected_answers import (
     content_hash,
     expected_body,
@@ -33,9 +33,9 @@
         """Return a profile's tier."""
         return Tier(self.document['profiles'][profile]['tier'])
 
-    def repeat(self, profile: str) -> Repeat:
+    def repeat(self, profile: str) -> Idempotency:
         """Return the repeat rule of a profile."""
-        return Repeat(self.document['profiles'][profile]['repeat'])
+        return Idempotency(self.document['profiles'][profile]['repeat'])
 
     def service(self, profile: str) -> str:
         """Return the service of a profile."""
@@ -63,7 +63,7 @@
     service: str
     profile: str
     tier: Tier
-    repeat: Repeat
+    repeat: Idempotency
     body: bytes
     prompt: str = ''  # empty for plain services
     max_tokens: int = 0
