--- a/tests/benchmarks/capacity_gossip.py
+++ b/tests/benchmarks/capacity_gossip.py
@@ -25,7 +25,7 @@
 from tests.benchmarks.slopes import Series
 from tests.test_gossip import PORT, FakeDelegate
 from tests.utils.cluster import free_prefix
-from tests.utils.membership_play import Play
+from tests.utils.membership_simulation import MembershipSimulation
 
 SIZES = (6, 25, 50, 100, 200, 350)
 WARM_UP_S = 20
@@ -90,7 +90,7 @@
 
 
 def _measure_traffic(size: int) -> tuple[float, float, float]:
-    simulation = Play(size, domains=7)
+    simulation = MembershipSimulation(size, domains=7)
     simulation.run(WARM_UP_S)
     meter = MessageMeter()
     simulation.on_send = meter
@@ -120,7 +120,7 @@
     """Measure the time until all nodes know of a death, join or partition."""
     death_times, join_times, split_times, heal_times = [], [], [], []
     for size in SIZES:
-        simulation = Play(size, domains=2)
+        simulation = MembershipSimulation(size, domains=2)
         simulation.run(WARM_UP_S)
         victim = next(iter(simulation.nodes))
         simulation.kill(victim)
@@ -160,12 +160,14 @@
         yield Series(title, 'nodes', 's', tuple(points), 350)
 
 
-def _is_marked_dead_by_all(simulation: Play, victim: str) -> bool:
+def _is_marked_dead_by_all(
+    simulation: MembershipSimulation, victim: str
+) -> bool:
     others = len(simulation.nodes)
     return simulation.believers(victim, (MemberState.DEAD,)) == others
 
 
-def _is_split_known(simulation: Play) -> bool:
+def _is_split_known(simulation: MembershipSimulation) -> bool:
     sides = list(simulation.net.split.values())
     return all(
         len(node.members.owner_candidates(simulation.now))
@@ -178,7 +180,7 @@
     """Measure the time until the terms of one node reach all nodes."""
     points = []
     for size in SIZES:
-        simulation = Play(size, domains=7)
+        simulation = MembershipSimulation(size, domains=7)
         simulation.run(WARM_UP_S)
         simulation.versions[next(iter(simulation.nodes))] = 1
         points.append(
--- a/tests/benchmarks/capacity_peers.py
+++ b/tests/benchmarks/capacity_peers.py
@@ -37,20 +37,23 @@
     network = Network()
     for number in range(vm_count):
         network.add(number)
-    startup_s = network.until_all_hear_all()
+    startup_s = network.run_until_all_discovered()
     network.run(6)  # past the extra heartbeats to just started VMs
     network.reset_counts()
-    before = {vm.name: vm.peers.traffic.sent_messages for vm in network.up()}
+    before = {
+        vm.name: vm.peers.traffic.sent_messages for vm in network.running_vms()
+    }
     _admit_requests(network, seconds)
     total = vm_count * seconds
     max_messages = max(
-        vm.peers.traffic.sent_messages - before[vm.name] for vm in network.up()
+        vm.peers.traffic.sent_messages - before[vm.name]
+        for vm in network.running_vms()
     )
     return PeerCost(
         vm_count,
         network.messages / total,
         network.size / total,
-        network.crossing / total,
+        network.cross_domain_bytes / total,
         network.seconds / total,
         max_messages / seconds,
         startup_s,
@@ -61,7 +64,7 @@
     rounds = int(seconds / ADMIT_PERIOD_S)
     for round_number in range(rounds):
         now = network.clock.monotonic()
-        for number, vm in enumerate(network.up()):
+        for number, vm in enumerate(network.running_vms()):
             name = f'workspace-{(number + round_number) % WORKSPACES}'
             vm.spend(name, 1000, now)
         network.run(ADMIT_PERIOD_S)
--- a/tests/direct/cluster.py
+++ b/tests/direct/cluster.py
@@ -17,7 +17,7 @@
 )
 from bramleybend.setting_parsers import HostPort
 from tests.utils.platform_store import PlatformStore
-from tests.utils.raw_runner import Behaviour, RawRunner, answers
+from tests.utils.raw_runner import Behaviour, RawRunner, answer_at_once
 from tests.utils.waiting import wait_until
 
 ENGINE, PLAIN = 'engine-service', 'plain-service'
@@ -92,7 +92,7 @@
         self.store.put('keyed.op', 'config', declared)
 
     async def add_runner(
-        self, name: str, service: str, behave: Behaviour = answers
+        self, name: str, service: str, behave: Behaviour = answer_at_once
     ) -> RawRunner:
         """Start a runner and register it."""
         runner = RawRunner(f'127.{_SUBNET}.9.1', name, behave)
--- a/tests/direct/test_allotments_after_restart.py
+++ b/tests/direct/test_allotments_after_restart.py
@@ -28,7 +28,7 @@
     strong = STRONG if count > STRONG + 1 else 0
     for number in range(count):
         network.add(number, capacity=3 if number < strong else 1)
-    network.until_all_hear_all()
+    network.run_until_all_discovered()
     network.run(1)
     return Demand(
         network,
@@ -92,7 +92,7 @@
     demand.restart([count - 1], down_s=0.5, within_s=0)
     demand.run(2 * HEARTBEAT_INTERVAL_S)
     demand.refused.clear()
-    starter = demand.network.up()[-1]
+    starter = demand.network.running_vms()[-1]
     assert starter.name == f'entry-{count - 1}'
     assert demand.is_admitted_by(starter)
     demand.run(3)
@@ -164,10 +164,10 @@
     starters = {f'entry-{number}' for number in numbers}
     assert {name for _, name in demand.refused} <= starters
     demand.network.cut = set()
-    demand.network.until_all_hear_all()
+    demand.network.run_until_all_discovered()
     demand.run(2 * HEARTBEAT_INTERVAL_S)
     demand.refused.clear()
-    assert all(demand.is_admitted_by(vm) for vm in demand.network.up())
+    assert all(demand.is_admitted_by(vm) for vm in demand.network.running_vms())
     demand.run(3)
     assert not demand.refused
 
@@ -182,12 +182,12 @@
     demand.run(2)
     restarted = range(15)
     demand.restart(restarted, down_s=1, within_s=0.3)
-    demand.network.until_all_hear_all(2)
+    demand.network.run_until_all_discovered(2)
     demand.run(2 * HEARTBEAT_INTERVAL_S)
     names = {f'entry-{number}' for number in restarted}
     assert {name for _, name in demand.refused} <= names
     demand.refused.clear()
-    assert all(demand.is_admitted_by(vm) for vm in demand.network.up())
+    assert all(demand.is_admitted_by(vm) for vm in demand.network.running_vms())
     demand.run(3)
     assert not demand.refused
 
@@ -205,6 +205,6 @@
     late = [moment - started for moment, _ in demand.refused]
     assert all(since <= STARTUP_HOLD_S + 2 for since in late)
     now = demand.network.clock.monotonic()
-    for vm in demand.network.up():
+    for vm in demand.network.running_vms():
         vm.allotments.admit('busy', demand.allowance, 0, now)
         assert vm.debt('busy') <= demand.allowance.burst * 0.1
--- a/tests/direct/test_answer_guarantees.py
+++ b/tests/direct/test_answer_guarantees.py
@@ -7,11 +7,11 @@
 from tests.direct.cluster import ENGINE, PLAIN, Cluster, running_cluster
 from tests.utils.raw_runner import (
     Behaviour,
-    Seen,
-    answers,
+    ReceivedRequest,
+    answer_at_once,
     chunk,
     event,
-    streams,
+    stream_three_events,
 )
 
 NOT_RUN = (
@@ -20,27 +20,27 @@
 )
 
 
-async def refuses_unrun(seen: Seen) -> None:
+async def refuses_unrun(seen: ReceivedRequest) -> None:
     """Refuse the request without running it."""
     seen.writer.write(NOT_RUN)
 
 
-async def answers_misdirected(seen: Seen) -> None:
+async def answers_misdirected(seen: ReceivedRequest) -> None:
     """Answer 421: another runner was meant."""
     seen.writer.write(b'HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n')
 
 
-async def drops_connection(seen: Seen) -> None:
+async def drops_connection(seen: ReceivedRequest) -> None:
     """Run the request and drop the connection."""
     seen.writer.transport.abort()
 
 
-async def fails(seen: Seen) -> None:
+async def fails(seen: ReceivedRequest) -> None:
     """Answer that the run failed."""
     seen.writer.write(seen.answer('500 Internal Server Error', b'bad'))
 
 
-async def unproven(seen: Seen) -> None:
+async def unproven(seen: ReceivedRequest) -> None:
     """Answer 200, but without a proof."""
     seen.writer.write(
         f'HTTP/1.1 200 OK\r\nX-Bramleybend-Attempt-Id: {seen.attempt}\r\n'
@@ -48,14 +48,14 @@
     )
 
 
-async def truncates_body(seen: Seen) -> None:
+async def truncates_body(seen: ReceivedRequest) -> None:
     """Close the connection in the middle of the body."""
     seen.writer.write(seen.answer(body=b'x' * 100)[:-50])
     await seen.writer.drain()
     seen.writer.close()
 
 
-async def sends_garbage(seen: Seen) -> None:
+async def sends_garbage(seen: ReceivedRequest) -> None:
     """Send bytes that are not HTTP."""
     seen.writer.write(b'\x00\x01garbage\r\n\r\n')
 
@@ -65,7 +65,7 @@
 ) -> None:
     """Add a runner that misbehaves and one that doesn't."""
     await cluster.add_runner('bad', service, first)
-    await cluster.add_runner('good', service, answers)
+    await cluster.add_runner('good', service, answer_at_once)
     await cluster.wait_for_runners(service, 2)
 
 
@@ -126,10 +126,10 @@
 
     The other runners have left, and the one that remains fails by chance.
     """
-    failed: list[Seen] = []
+    failed: list[ReceivedRequest] = []
 
-    async def fails_first(seen: Seen) -> None:
-        await (answers(seen) if failed else fails(seen))
+    async def fails_first(seen: ReceivedRequest) -> None:
+        await (answer_at_once(seen) if failed else fails(seen))
         failed.append(seen)
 
     async with running_cluster() as cluster:
@@ -184,7 +184,7 @@
     caller's request was sent. The echoed id identifies it.
     """
 
-    async def answers_twice(seen: Seen) -> None:
+    async def answers_twice(seen: ReceivedRequest) -> None:
         seen.writer.write(seen.answer(body=f'for {seen.attempt}'.encode()))
         if seen.attempt == 'a0':
             await seen.writer.drain()
@@ -205,7 +205,7 @@
 async def test_an_answer_of_an_earlier_request_is_passed_over() -> None:
     """A late answer to an earlier request is skipped; the booking runs once."""
 
-    async def late_first(seen: Seen) -> None:
+    async def late_first(seen: ReceivedRequest) -> None:
         late = seen.answer(body=b'of another', attempt='older')
         seen.writer.write(late + seen.answer(body=b'ours'))
 
@@ -220,7 +220,7 @@
 async def test_an_answer_without_length_ends_with_its_connection() -> None:
     """The caller gets the whole answer after a close, and 502 after a reset."""
 
-    async def closes(seen: Seen) -> None:
+    async def closes(seen: ReceivedRequest) -> None:
         head = seen.answer().replace(b'Content-Length: 4\r\n', b'')
         seen.writer.write(head)
         await seen.writer.drain()
@@ -237,10 +237,10 @@
         assert answer.status == 502
 
 
-async def breaks_off(seen: Seen) -> None:
+async def breaks_off(seen: ReceivedRequest) -> None:
     """Drop the connection in the middle of the second event."""
     if seen.headers.get('last-event-id'):
-        await streams(seen)
+        await stream_three_events(seen)
         return
     seen.writer.write(seen.stream_head() + chunk(event(1) + event(2)[:9]))
     await seen.writer.drain()
@@ -269,7 +269,7 @@
     last event and sends all of them.
     """
 
-    async def starts_over(seen: Seen) -> None:
+    async def starts_over(seen: ReceivedRequest) -> None:
         if not seen.headers.get('last-event-id'):
             await breaks_off(seen)
             return
@@ -305,7 +305,7 @@
 async def test_a_stream_without_an_event_is_answered_as_a_failure() -> None:
     """The caller gets 502 instead of the head of a stream without events."""
 
-    async def head_only(seen: Seen) -> None:
+    async def head_only(seen: ReceivedRequest) -> None:
         seen.writer.write(seen.stream_head())
         await seen.writer.drain()
         seen.writer.transport.abort()
--- a/tests/direct/test_callers.py
+++ b/tests/direct/test_callers.py
@@ -14,16 +14,16 @@
     route,
     running_cluster,
 )
-from tests.utils.raw_runner import Seen, answers, chunk, event
+from tests.utils.raw_runner import ReceivedRequest, answer_at_once, chunk, event
 from tests.utils.waiting import wait_until
 
 
-async def hangs(seen: Seen) -> None:
+async def hangs(seen: ReceivedRequest) -> None:
     """Accept the request and send nothing until the caller disconnects."""
-    await seen.left.wait()
+    await seen.closed.wait()
 
 
-async def streams_on(seen: Seen) -> None:
+async def streams_on(seen: ReceivedRequest) -> None:
     """Stream many events."""
     seen.writer.write(seen.stream_head())
     for number in range(1, 1000):
@@ -55,7 +55,7 @@
         await wait_until(lambda: bool(runner.seen), 'the run')
         await asyncio.sleep(0.05)
         caller.close()
-        await asyncio.wait_for(runner.seen[0].left.wait(), 0.3)
+        await asyncio.wait_for(runner.seen[0].closed.wait(), 0.3)
 
 
 async def test_a_caller_that_leaves_the_queue_is_never_run() -> None:
@@ -93,7 +93,7 @@
     """
     done = asyncio.Event()
 
-    async def books(seen: Seen) -> None:
+    async def books(seen: ReceivedRequest) -> None:
         await asyncio.sleep(0.3)
         seen.writer.write(seen.answer())
         done.set()
@@ -106,7 +106,7 @@
         await wait_until(lambda: bool(runner.seen), 'the run')
         caller.close()
         await asyncio.wait_for(done.wait(), 1)
-        assert not runner.seen[0].left.is_set()
+        assert not runner.seen[0].closed.is_set()
 
 
 async def test_half_a_request_is_answered_when_its_time_is_up() -> None:
@@ -267,10 +267,10 @@
     }
     gate = asyncio.Event()
 
-    async def behave(seen: Seen) -> None:
+    async def behave(seen: ReceivedRequest) -> None:
         if gate.is_set():
             await asyncio.sleep(1)
-        await answers(seen)
+        await answer_at_once(seen)
 
     async with running_cluster(allotment_slack=4000) as cluster:
         runner = await cluster.add_runner('r1', PLAIN, behave)
@@ -309,9 +309,9 @@
     caller has left.
     """
 
-    async def holds(seen: Seen) -> None:
+    async def holds(seen: ReceivedRequest) -> None:
         seen.writer.write(seen.stream_head() + chunk(event(1)))
-        await seen.left.wait()
+        await seen.closed.wait()
 
     async with running_cluster() as cluster:
         declared = manifest(2)
--- a/tests/direct/test_cluster.py
+++ b/tests/direct/test_cluster.py
@@ -12,11 +12,16 @@
     manifest,
     running_cluster,
 )
-from tests.utils.raw_runner import Seen, chunk, event, streams
+from tests.utils.raw_runner import (
+    ReceivedRequest,
+    chunk,
+    event,
+    stream_three_events,
+)
 from tests.utils.waiting import wait_until
 
 
-async def brief(seen: Seen) -> None:
+async def brief(seen: ReceivedRequest) -> None:
     """Stream two events within 100 ms."""
     seen.writer.write(seen.stream_head() + chunk(event(1)))
     await asyncio.sleep(0.1)
@@ -50,7 +55,7 @@
     running: Counter[str] = Counter()
     max_running: Counter[str] = Counter()
 
-    async def counted(seen: Seen) -> None:
+    async def counted(seen: ReceivedRequest) -> None:
         name = seen.headers['x-bramleybend-expect-instance']
         running[name] += 1
         max_running[name] = max(max_running[name], running[name])
@@ -82,9 +87,9 @@
     """
     gate = asyncio.Event()
 
-    async def behave(seen: Seen) -> None:
+    async def behave(seen: ReceivedRequest) -> None:
         await gate.wait()
-        await streams(seen)
+        await stream_three_events(seen)
 
     async with running_cluster() as cluster:
         runner = await cluster.add_runner('r1', ENGINE, behave)
@@ -110,7 +115,7 @@
     answer grants the slot itself.
     """
     async with running_cluster(vms=3) as cluster:
-        await cluster.add_runner('r1', ENGINE, streams)
+        await cluster.add_runner('r1', ENGINE, stream_three_events)
         await cluster.wait_for_runners(ENGINE)
         await wait_until_settled(cluster)
         owner = owner_of(cluster, ENGINE)
@@ -132,12 +137,12 @@
     requests at the other VM.
     """
 
-    async def until_left(seen: Seen) -> None:
+    async def until_left(seen: ReceivedRequest) -> None:
         if seen.attempt.startswith('held'):
             seen.writer.write(seen.stream_head() + chunk(event(1)))
-            await seen.left.wait()
+            await seen.closed.wait()
         else:
-            await streams(seen)
+            await stream_three_events(seen)
 
     async with running_cluster(vms=2) as cluster:
         runner = await cluster.add_runner('r1', ENGINE, until_left)
@@ -244,7 +249,7 @@
     connections with `Connection: close`, and then ends.
     """
 
-    async def long(seen: Seen) -> None:
+    async def long(seen: ReceivedRequest) -> None:
         seen.writer.write(seen.stream_head())
         for number in range(1, 11):
             seen.writer.write(chunk(event(number)))
--- a/tests/direct/test_containment.py
+++ b/tests/direct/test_containment.py
@@ -15,7 +15,11 @@
 from bramleybend.direct.replies import RawRequest
 from bramleybend.events import EventLog
 from tests.direct.cluster import ENGINE, PLAIN, Cluster, running_cluster
-from tests.utils.raw_runner import Seen, answers, streams
+from tests.utils.raw_runner import (
+    ReceivedRequest,
+    answer_at_once,
+    stream_three_events,
+)
 from tests.utils.waiting import wait_until
 
 POISON, INNOCENT = b'poison', b'innocent'
@@ -23,12 +27,12 @@
 HEARTBEAT_WAIT_S = 0.25  # until other VMs have received a heartbeat
 
 
-async def crashes(seen: Seen) -> None:
+async def crashes(seen: ReceivedRequest) -> None:
     """Drop the connection on poisonous content; answer everything else."""
     if seen.body == POISON:
         seen.writer.transport.abort()
         return
-    await answers(seen)
+    await answer_at_once(seen)
 
 
 def runner(number: int) -> RunnerEntry:
@@ -96,12 +100,12 @@
     """
     crash_counts: Counter[bytes] = Counter()
 
-    async def crashes_twice(seen: Seen) -> None:
+    async def crashes_twice(seen: ReceivedRequest) -> None:
         crash_counts[seen.body] += 1
         if crash_counts[seen.body] <= REFUSAL_CRASHES - 1:
             seen.writer.transport.abort()
             return
-        await answers(seen)
+        await answer_at_once(seen)
 
     async with running_cluster() as cluster:
         for number in range(4):
@@ -127,7 +131,7 @@
 
     async with running_cluster() as cluster:
 
-        async def behave(seen: Seen) -> None:
+        async def behave(seen: ReceivedRequest) -> None:
             name = seen.headers['x-bramleybend-expect-instance']
             if seen.body == POISON:
                 runs_beside.append(running[name])
@@ -135,7 +139,7 @@
                 return
             running[name] += 1
             await gate.wait()
-            await streams(seen)
+            await stream_three_events(seen)
             running[name] -= 1
 
         for number in range(3):
--- a/tests/direct/test_endless_answers.py
+++ b/tests/direct/test_endless_answers.py
@@ -37,7 +37,7 @@
     PROCESSOR_S,
     READ,
 )
-from tests.utils.raw_runner import Behaviour, Seen, chunk, event
+from tests.utils.raw_runner import Behaviour, ReceivedRequest, chunk, event
 from tests.utils.waiting import wait_until
 
 NOT_RUN: Final = b'X-Bramleybend-Not-Executed: 1\r\n\r\n'
@@ -129,10 +129,10 @@
 def sends(case: str, pause_s: float = 0) -> Behaviour:
     """Answer with endless bytes until the caller disconnects."""
 
-    async def behave(seen: Seen) -> None:
+    async def behave(seen: ReceivedRequest) -> None:
         start, repeated = _bytes_of(case, seen)
         seen.writer.write(start)
-        while not seen.left.is_set():
+        while not seen.closed.is_set():
             seen.writer.write(repeated)
             await seen.writer.drain()
             await asyncio.sleep(pause_s)
@@ -140,7 +140,7 @@
     return behave
 
 
-def _bytes_of(case: str, seen: Seen) -> tuple[bytes, bytes]:
+def _bytes_of(case: str, seen: ReceivedRequest) -> tuple[bytes, bytes]:
     if case in HEADS:
         return HEADS[case]
     if case == AFTER_ANSWER:
@@ -216,7 +216,7 @@
         expected = {AFTER_REFUSAL: 503, AFTER_ANSWER: 200}.get(case, 502)
         assert answer.status == expected or not answer.is_whole
         bad = cluster.runners['bad'].seen[0]
-        await wait_until(bad.left.is_set, 'the connection closed')
+        await wait_until(bad.closed.is_set, 'the connection closed')
 
 
 @pytest.mark.parametrize(
@@ -234,7 +234,7 @@
             answer = await cluster.call('/draft/x')
         assert answer.status >= 500 or not answer.is_whole
         bad = cluster.runners['bad'].seen[0]
-        await wait_until(bad.left.is_set, 'the connection closed')
+        await wait_until(bad.closed.is_set, 'the connection closed')
 
 
 async def test_a_runner_whose_answers_have_no_end_gets_less_work() -> None:
--- a/tests/direct/test_event_log.py
+++ b/tests/direct/test_event_log.py
@@ -11,8 +11,8 @@
 from bramleybend.direct.traffic import LARGE_BYTES
 from bramleybend.event_loop_monitor import MIN_REPORTED_DELAY_S
 from tests.direct.cluster import PLAIN, running_cluster
-from tests.utils.peer_network import started
-from tests.utils.raw_runner import Seen, answers
+from tests.utils.peer_network import start_network
+from tests.utils.raw_runner import ReceivedRequest, answer_at_once
 from tests.utils.waiting import wait_until
 
 POST: Final = b'POST /book/x HTTP/1.1\r\nHost: desk.example\r\n'
@@ -47,9 +47,9 @@
     caplog.set_level(logging.INFO)
     released = asyncio.Event()
 
-    async def behave(seen: Seen) -> None:
+    async def behave(seen: ReceivedRequest) -> None:
         await released.wait()
-        await answers(seen)
+        await answer_at_once(seen)
 
     async with running_cluster() as cluster:
         runner = await cluster.add_runner('r1', PLAIN, behave)
@@ -101,9 +101,9 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
-    started(9)
+    start_network(9)
     assert not _events(caplog, 'peer_burst')
-    started(84)
+    start_network(84)
     bursts = _events(caplog, 'peer_burst')
     assert bursts
     assert all(line['bytes'] >= LARGE_BYTES for line in bursts)
--- a/tests/direct/test_gone_vms.py
+++ b/tests/direct/test_gone_vms.py
@@ -10,7 +10,7 @@
     RELAYED_TIMEOUT_S,
 )
 from tests.direct.test_hubs import hubs_of, spend
-from tests.utils.peer_network import ALLOWANCE, Network, started
+from tests.utils.peer_network import ALLOWANCE, Network, start_network
 
 MAX_DEBT_AFTER_PAYBACK = 10_000  # units; a tenth of the burst
 
@@ -23,10 +23,12 @@
     network = Network()
     for number in range(30):
         network.add(number, capacity=3 if number < 9 else 1)
-    network.until_all_hear_all()
+    network.run_until_all_discovered()
     network.run(2)
-    hub = network.up()[0]
-    victim = next(vm for vm in network.up() if vm not in hubs_of(network))
+    hub = network.running_vms()[0]
+    victim = next(
+        vm for vm in network.running_vms() if vm not in hubs_of(network)
+    )
     victim.spend('first', 90_000, network.clock.monotonic())
     network.run(2)
     victim.is_up = False
@@ -38,7 +40,9 @@
     for _ in range(50):
         network.run(0.1)
         debts = {
-            vm.debt('first') for vm in network.up() if vm.name != victim.name
+            vm.debt('first')
+            for vm in network.running_vms()
+            if vm.name != victim.name
         }
         assert debts == {90_000}
 
@@ -53,12 +57,12 @@
 def keep_totals(count: int, seed: int) -> bool:
     """Restart half of the VMs; return whether the others' totals stay."""
     rng = Random(seed)
-    network = started(count, rng=Random(seed))
+    network = start_network(count, rng=Random(seed))
     network.run(2)
     spend(network, 1000)
     network.run(7)
     dead = rng.sample(range(count), count // 2)
-    vms = network.up()
+    vms = network.running_vms()
     survivors = [vm for number, vm in enumerate(vms) if number not in dead]
     for number in dead:
         vms[number].is_up = False
@@ -79,13 +83,13 @@
 def test_hubs_without_a_path_stay_silent_once_forgotten(count: int) -> None:
     """A third hub's digests must not make forgotten VMs look alive."""
     beyond = {'0': '1', '1': '0'}
-    network = started(count)
+    network = start_network(count)
     network.cut = {frozenset('01')}
     network.run(RELAYED_TIMEOUT_S + HEARTBEAT_INTERVAL_S)
     for _ in range(int(2 * MEMBER_TTL_S / 0.1)):
         network.run(0.1)
         now = network.clock.monotonic()
-        for vm in network.up():
+        for vm in network.running_vms():
             heard = {one.domain for one in vm.members.alive(now)}
             assert beyond.get(vm.members.own.domain) not in heard
 
@@ -95,9 +99,9 @@
 
     Otherwise it would reject a workspace that has paid back.
     """
-    network = started(9)
+    network = start_network(9)
     network.run(2)
-    victim, hub = network.up()[8], network.up()[0]
+    victim, hub = network.running_vms()[8], network.running_vms()[0]
     victim.spend('first', 100_000, network.clock.monotonic())
     network.run(1)
     admit_one(network)
@@ -116,47 +120,47 @@
 
 def admit_one(network: Network) -> None:
     """Let each VM admit a unit, which also accounts for what was paid back."""
-    for vm in network.up():
+    for vm in network.running_vms():
         vm.spend('first', 1, network.clock.monotonic())
 
 
 def test_domains_find_each_other_after_a_long_cut_without_seeds() -> None:
     """VMs that forgot each other in a partition meet again without seeds."""
-    network = started(30)
+    network = start_network(30)
     network.run(2)
-    for seed in network.up()[:3]:
+    for seed in network.running_vms()[:3]:
         seed.is_up = False
     network.run(2)
     network.cut = {frozenset('01'), frozenset('02')}
     network.run(MEMBER_TTL_S + 5)
     network.cut = set()
     network.run(60)
-    assert network.all_hear_all()
+    assert network.have_all_discovered()
 
 
 def test_totals_whose_news_was_lost_are_told_again() -> None:
     """A total that was lost with its heartbeats is repeated later."""
     lacking = []
     for seed in range(8):
-        network = started(30, rng=Random(seed))
+        network = start_network(30, rng=Random(seed))
         network.run(2)
         network.loss = 0.3
         spend(network, 1000)
         network.run(1)
         network.loss = 0
         network.run(12)
-        if {vm.debt('first') for vm in network.up()} != {30 * 1000}:
+        if {vm.debt('first') for vm in network.running_vms()} != {30 * 1000}:
             lacking.append(seed)
     assert not lacking
 
 
 def test_debt_that_was_paid_back_is_not_told_as_owed() -> None:
     """A VM that starts admits as much as the others."""
-    network = started(30)
+    network = start_network(30)
     network.run(2)
-    network.up()[5].spend('first', 100_000, network.clock.monotonic())
+    network.running_vms()[5].spend('first', 100_000, network.clock.monotonic())
     network.run(60)
-    old = network.up()[7]
+    old = network.running_vms()[7]
     starter = network.add(29, '2')
     network.run(0.5)
     now = network.clock.monotonic()
--- a/tests/direct/test_hub_traffic.py
+++ b/tests/direct/test_hub_traffic.py
@@ -54,8 +54,8 @@
     network = Links()
     for number in range(VMS):
         network.add(number)
-    network.until_all_hear_all()
-    for vm in network.up():
+    network.run_until_all_discovered()
+    for vm in network.running_vms():
         for workspace in range(WORKSPACES):
             vm.spend(f'w{workspace}', 1000, network.clock.monotonic())
     network.run(6)
@@ -64,7 +64,7 @@
 
 
 def _hubs(network: Network) -> list[Vm]:
-    vms = network.up()
+    vms = network.running_vms()
     first = vms[0].members
     return [vm for vm in vms if vm is vms[0] or first.is_hub(vm.name)][
         :MAX_HUBS_PER_DOMAIN
--- a/tests/direct/test_hubs.py
+++ b/tests/direct/test_hubs.py
@@ -10,7 +10,7 @@
     OWNER_MIN_AGE_S,
     RELAYED_TIMEOUT_S,
 )
-from tests.utils.peer_network import STEP_S, Network, Vm, started
+from tests.utils.peer_network import STEP_S, Network, Vm, start_network
 
 # A VM reports to its hub, the hub to the other hubs, and those to their VMs.
 # Each step waits for a heartbeat, and one of them may be lost.
@@ -21,7 +21,7 @@
 
 def hubs_of(network: Network) -> list[Vm]:
     """Return the VMs that all other VMs consider hubs."""
-    vms = network.up()
+    vms = network.running_vms()
     return [
         vm
         for vm in vms
@@ -31,7 +31,7 @@
 
 def spend(network: Network, units: float) -> None:
     """Let every VM admit units of one workspace."""
-    for vm in network.up():
+    for vm in network.running_vms():
         vm.spend('first', units, network.clock.monotonic())
 
 
@@ -40,7 +40,7 @@
     now = network.clock.monotonic()
     return sum(
         any(one.vm == name and one.ready for one in vm.members.alive(now))
-        for vm in network.up()
+        for vm in network.running_vms()
     )
 
 
@@ -50,7 +50,7 @@
     network = Network()
     for number in range(count):
         network.add(number)
-    assert network.until_all_hear_all() < 2
+    assert network.run_until_all_discovered() < 2
 
 
 @pytest.mark.parametrize('count', [6, 9, 12])
@@ -64,15 +64,15 @@
         network.run(1)
         network.loss = 0
         network.run(HEALED_S)
-        if not network.all_hear_all():
+        if not network.have_all_discovered():
             failed_seeds.append(seed)
     assert not failed_seeds
 
 
 def test_a_vm_that_gets_ready_while_it_is_introduced_is_known_to_all() -> None:
     """A VM that changes state while it is being introduced is still found."""
-    network = started(1)
-    first = network.up()[0]
+    network = start_network(1)
+    first = network.running_vms()[0]
     second = network.add(3)
     second.is_ready = False
     network.run(1)
@@ -84,12 +84,12 @@
     first.next_beat_at = third.next_beat_at + STEP_S
     second.next_beat_at = third.next_beat_at + STEP_S
     network.run(HEALED_S)
-    assert network.all_hear_all()
+    assert network.have_all_discovered()
 
 
 def test_up_to_three_vms_a_domain_all_are_hubs() -> None:
     """In small deployments all VMs send heartbeats to each other directly."""
-    network = started(9)
+    network = start_network(9)
     network.run(1)
     assert len(hubs_of(network)) == 9
     network.reset_counts()
@@ -104,7 +104,7 @@
     network = Network()
     for number in range(30):
         network.add(number, capacity=3 if number >= 24 else 1)
-    network.until_all_hear_all()
+    network.run_until_all_discovered()
     network.run(1)
     strong = {f'entry-{number}' for number in range(24, 30)}
     assert {vm.name for vm in hubs_of(network)} == strong
@@ -118,13 +118,13 @@
     network = Network()
     for number in range(30):
         network.add(number, capacity=3 if number >= 24 else 1)
-    network.until_all_hear_all()
+    network.run_until_all_discovered()
     network.run(1)
     network.vms['10.0.0.24'].is_up = False
     network.run(3)
     hubs = [vm for vm in hubs_of(network) if vm.address.startswith('10.0.')]
     assert len(hubs) == MIN_HUBS_PER_DOMAIN
-    assert network.all_hear_all()
+    assert network.have_all_discovered()
 
 
 @pytest.mark.parametrize('count', [9, 84])
@@ -134,15 +134,17 @@
     A VM that is no hub dies without a message. Its hubs miss its heartbeats and
     leave it out of their digests; older digests expire.
     """
-    network = started(count)
+    network = start_network(count)
     network.run(2)
     hubs = {vm.name for vm in hubs_of(network)}
     victim = next(
-        (vm for vm in network.up() if vm.name not in hubs), network.up()[0]
+        (vm for vm in network.running_vms() if vm.name not in hubs),
+        network.running_vms()[0],
     )
     victim.is_up = False
     assert (
-        network.until_all_hear_all() <= RELAYED_TIMEOUT_S + HEARTBEAT_INTERVAL_S
+        network.run_until_all_discovered()
+        <= RELAYED_TIMEOUT_S + HEARTBEAT_INTERVAL_S
     )
 
 
@@ -153,23 +155,23 @@
     hear nobody until they have chosen new hubs among the members that they
     knew.
     """
-    network = started(30)
+    network = start_network(30)
     network.run(2)
     for vm in hubs_of(network):
         if vm.address.startswith('10.1.'):
             vm.is_up = False
-    assert network.until_all_hear_all() <= 4
+    assert network.run_until_all_discovered() <= 4
 
 
 def test_domains_that_were_cut_off_find_each_other_again() -> None:
     """All VMs hear all again after a partition of ten seconds."""
-    network = started(30)
+    network = start_network(30)
     network.run(2)
     network.cut = {frozenset('01'), frozenset('02')}
     network.run(10)
-    assert not network.all_hear_all()
+    assert not network.have_all_discovered()
     network.cut = set()
-    assert network.until_all_hear_all() <= 3
+    assert network.run_until_all_discovered() <= 3
 
 
 @pytest.mark.parametrize('count', [3, 9])
@@ -179,22 +181,24 @@
     """A third hub that hears both must not make them appear alive."""
     # the domain that each domain cannot reach
     unreachable = {'0': '1', '1': '0'}
-    network = started(count)
+    network = start_network(count)
     network.cut = {frozenset('01')}
     network.run(RELAYED_TIMEOUT_S + HEARTBEAT_INTERVAL_S)
     for _ in range(100):
         network.run(0.1)
         now = network.clock.monotonic()
-        for vm in network.up():
+        for vm in network.running_vms():
             heard = {one.domain for one in vm.members.alive(now)}
             assert unreachable.get(vm.members.own.domain) not in heard
 
 
 def test_a_vm_that_stops_being_ready_is_soon_told_of() -> None:
     """Callers are no longer sent to a VM that has announced its stop."""
-    network = started(84)
+    network = start_network(84)
     network.run(1)
-    vm = next(one for one in network.up() if one not in hubs_of(network))
+    vm = next(
+        one for one in network.running_vms() if one not in hubs_of(network)
+    )
     vm.is_ready = False
     network.run(NEWS_S)
     assert not count_ready_views(network, vm.name)
@@ -206,11 +210,11 @@
     network = Network(loss=0.025)
     for number in range(84):
         network.add(number, capacity=3 if number >= 84 - strong else 1)
-    network.until_all_hear_all()
+    network.run_until_all_discovered()
     network.run(2)
     for _ in range(100):
         network.run(0.1)
-        assert network.all_hear_all()
+        assert network.have_all_discovered()
 
 
 def test_totals_of_allotments_reach_all_vms() -> None:
@@ -219,37 +223,37 @@
     Every VM admits 1,000 units at once; each then counts the units of all,
     through the hubs, and none of them twice.
     """
-    network = started(84, loss=0.02)
+    network = start_network(84, loss=0.02)
     network.run(1)
     spend(network, 10)
     network.run(NEWS_S)
     spend(network, 1000)
     network.run(NEWS_S)
-    debts = [vm.debt('first') for vm in network.up()]
+    debts = [vm.debt('first') for vm in network.running_vms()]
     assert min(debts) >= 84 * 1000
     assert max(debts) <= 84 * 1010
 
 
 def test_a_vm_that_starts_takes_over_what_was_spent() -> None:
     """A rolling restart must not give a workspace another burst."""
-    network = started(30)
+    network = start_network(30)
     network.run(1)
     spend(network, 1000)
     network.run(1)
     starter = network.add(29, '2')
     network.run(1)
     assert starter.debt('first') >= 29 * 1000
-    assert network.all_hear_all()
+    assert network.have_all_discovered()
 
 
 def test_a_vm_that_was_cut_off_learns_what_was_spent_meanwhile() -> None:
     """A workspace can't use its allotment twice at a VM that was suspended."""
-    network = started(30)
+    network = start_network(30)
     network.run(2)
     spend(network, 10)
     network.run(2)
     hubs = hubs_of(network)
-    vm = next(one for one in network.up() if one not in hubs)
+    vm = next(one for one in network.running_vms() if one not in hubs)
     vm.is_up = False
     network.run(5)
     spend(network, 1000)
@@ -257,5 +261,5 @@
     vm.is_up = True
     vm.next_beat_at = network.clock.monotonic()
     network.run(10)
-    assert network.all_hear_all()
+    assert network.have_all_discovered()
     assert vm.debt('first') >= 29 * 1000
--- a/tests/direct/test_left_callers.py
+++ b/tests/direct/test_left_callers.py
@@ -17,7 +17,13 @@
     Cluster,
     running_cluster,
 )
-from tests.utils.raw_runner import RawRunner, Seen, answers, chunk, event
+from tests.utils.raw_runner import (
+    RawRunner,
+    ReceivedRequest,
+    answer_at_once,
+    chunk,
+    event,
+)
 from tests.utils.waiting import wait_until
 
 # Work for a caller ends within this time after it has disconnected.
@@ -65,9 +71,9 @@
 ):
     """A queued booking is not sent over 0.5 s after its caller left."""
 
-    async def books(seen: Seen) -> None:
+    async def books(seen: ReceivedRequest) -> None:
         await asyncio.sleep(STOP_S + DELAY_S)
-        await answers(seen)
+        await answer_at_once(seen)
 
     async with running_cluster() as cluster:
         runner = await cluster.add_runner('r1', PLAIN, books)
@@ -89,9 +95,9 @@
 ):
     """No run starts if a grant and a disconnect are read in one loop turn."""
 
-    async def holds(seen: Seen) -> None:
+    async def holds(seen: ReceivedRequest) -> None:
         seen.writer.write(seen.stream_head() + chunk(event(1)))
-        await seen.left.wait()
+        await seen.closed.wait()
 
     async with running_cluster() as cluster:
         runner = await cluster.add_runner('r1', ENGINE, holds)
@@ -142,9 +148,9 @@
 async def test_a_caller_that_leaves_the_queue_uses_up_no_allotment() -> None:
     """Units are refunded for requests that never ran."""
 
-    async def books(seen: Seen) -> None:
+    async def books(seen: ReceivedRequest) -> None:
         await asyncio.sleep(STOP_S + DELAY_S)
-        await answers(seen)
+        await answer_at_once(seen)
 
     async with running_cluster() as cluster:
         runner = await cluster.add_runner('r1', PLAIN, books)
--- a/tests/direct/test_log_backup.py
+++ b/tests/direct/test_log_backup.py
@@ -23,7 +23,7 @@
     running_cluster,
 )
 from tests.utils.platform_store import PlatformStore
-from tests.utils.raw_runner import Seen, answers
+from tests.utils.raw_runner import ReceivedRequest, answer_at_once
 from tests.utils.waiting import wait_until
 
 # Well below the time for which the log is down in these tests.
@@ -154,9 +154,9 @@
     """
     gone = asyncio.Event()
 
-    async def leaves(seen: Seen) -> None:
+    async def leaves(seen: ReceivedRequest) -> None:
         if not gone.is_set():
-            await answers(seen)
+            await answer_at_once(seen)
             return
         seen.writer.write(seen.answer('421 Misdirected Request', b''))
 
--- a/tests/direct/test_long_answers.py
+++ b/tests/direct/test_long_answers.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from tests.direct.cluster import ENGINE, manifest, route, running_cluster
-from tests.utils.raw_runner import Seen, chunk, event
+from tests.utils.raw_runner import ReceivedRequest, chunk, event
 from tests.utils.waiting import wait_until
 
 PATIENCE_S = 2.0  # after which callers leave a silent stream
@@ -13,10 +13,10 @@
 )
 
 
-async def begins(seen: Seen) -> None:
+async def begins(seen: ReceivedRequest) -> None:
     """Send the first event at once, and no other."""
     seen.writer.write(seen.stream_head() + chunk(event(1)))
-    await seen.left.wait()
+    await seen.closed.wait()
 
 
 async def test_a_long_answer_begins_beside_other_work() -> None:
--- a/tests/direct/test_moved_runners.py
+++ b/tests/direct/test_moved_runners.py
@@ -14,7 +14,11 @@
 from bramleybend.events import EventLog
 from bramleybend.platform.runner_entry import decode_runner
 from tests.direct.cluster import ENGINE, PLAIN, Cluster, running_cluster
-from tests.utils.raw_runner import Seen, answers, streams
+from tests.utils.raw_runner import (
+    ReceivedRequest,
+    answer_at_once,
+    stream_three_events,
+)
 
 CALLS = 20
 ATTEMPT_TIMEOUT_S = 10
@@ -24,7 +28,7 @@
 }
 
 
-async def answers_misdirected(seen: Seen) -> None:
+async def answers_misdirected(seen: ReceivedRequest) -> None:
     """Answer 421: another process listens here than the one meant."""
     seen.writer.write(b'HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n')
 
@@ -58,7 +62,9 @@
             'left', service, answers_misdirected
         )
         for number in range(2):
-            behave = streams if service == ENGINE else answers
+            behave = (
+                stream_three_events if service == ENGINE else answer_at_once
+            )
             await cluster.add_runner(f'r{number}', service, behave)
         await cluster.wait_for_runners(service, 3)
         numbers = count()
--- a/tests/direct/test_request_path.py
+++ b/tests/direct/test_request_path.py
@@ -9,7 +9,13 @@
     manifest,
     running_cluster,
 )
-from tests.utils.raw_runner import Seen, answers, chunk, event, streams
+from tests.utils.raw_runner import (
+    ReceivedRequest,
+    answer_at_once,
+    chunk,
+    event,
+    stream_three_events,
+)
 from tests.utils.waiting import wait_until
 
 
@@ -34,7 +40,7 @@
 async def test_headers_that_only_the_system_may_set_are_dropped() -> None:
     """Callers can't set the workspace or reserve an engine's memory."""
     async with running_cluster() as cluster:
-        runner = await cluster.add_runner('r1', ENGINE, streams)
+        runner = await cluster.add_runner('r1', ENGINE, stream_three_events)
         await cluster.wait_for_runners(ENGINE)
         await cluster.call(
             '/draft/x',
@@ -55,7 +61,7 @@
     """The caller gets the first event before the runner sends the second."""
     go_on = asyncio.Event()
 
-    async def sends_in_two_steps(seen: Seen) -> None:
+    async def sends_in_two_steps(seen: ReceivedRequest) -> None:
         seen.writer.write(seen.stream_head() + chunk(event(1)))
         await go_on.wait()
         seen.writer.write(chunk(event(2)) + chunk(b''))
@@ -143,7 +149,7 @@
 async def test_a_manifest_that_cannot_be_read_leaves_the_last_one() -> None:
     """An invalid manifest is ignored as a whole."""
     async with running_cluster() as cluster:
-        await cluster.add_runner('r1', PLAIN, answers)
+        await cluster.add_runner('r1', PLAIN, answer_at_once)
         cluster.publish({'version': 9, 'routes': [{'host': 5}]})
         cluster.publish({'version': 'x'})
         await cluster.wait_for_runners(PLAIN)
--- a/tests/direct/test_runner_limits.py
+++ b/tests/direct/test_runner_limits.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.direct.cluster import ENGINE, PLAIN, Cluster, running_cluster
-from tests.utils.raw_runner import Seen
+from tests.utils.raw_runner import ReceivedRequest
 
 VMS = 3
 SETTLE_S = 1.0  # until all VMs know a limit after the first answer
@@ -23,7 +23,7 @@
     limit: str
     received_at: list[float] = field(default_factory=list)
 
-    async def behave(self, seen: Seen) -> None:
+    async def behave(self, seen: ReceivedRequest) -> None:
         """Answer one request at once."""
         self.received_at.append(asyncio.get_running_loop().time())
         seen.writer.write(seen.answer(limit=self.limit))
--- a/tests/direct/test_spending_reports.py
+++ b/tests/direct/test_spending_reports.py
@@ -47,7 +47,7 @@
     for number in range(VMS):
         network.add(number)
     network.run(SETTLE_S)
-    for vm in network.up():
+    for vm in network.running_vms():
         vm.spend('first', 1000, network.clock.monotonic())
     network.run(SETTLE_S)
     return network
@@ -62,7 +62,7 @@
 
 def non_hubs(network: Network) -> Iterator[Vm]:
     """Yield the VMs that are not hubs."""
-    for vm in network.up():
+    for vm in network.running_vms():
         if not vm.members.is_hub(vm.name):
             yield vm
 
--- a/tests/direct/test_unframed_answers.py
+++ b/tests/direct/test_unframed_answers.py
@@ -7,14 +7,20 @@
 import pytest
 
 from tests.direct.cluster import ENGINE, HOST, KEY, Cluster, running_cluster
-from tests.utils.raw_runner import Behaviour, Seen, chunk, event, streams
+from tests.utils.raw_runner import (
+    Behaviour,
+    ReceivedRequest,
+    chunk,
+    event,
+    stream_three_events,
+)
 
 CHUNKED = b'Transfer-Encoding: chunked\r\n'
 # bytes of the second event that are sent
 CUT_SIZES = (1, 5, 12, len(event(2)) - 1)
 
 
-def head_without_framing(seen: Seen) -> bytes:
+def head_without_framing(seen: ReceivedRequest) -> bytes:
     """Return the head of a stream that ends with its connection."""
     return seen.stream_head().replace(CHUNKED, b'')
 
@@ -22,9 +28,9 @@
 def ends_after(body: bytes, *, is_chunked: bool = False) -> Behaviour:
     """Stream a body, then end the answer in an orderly way."""
 
-    async def behave(seen: Seen) -> None:
+    async def behave(seen: ReceivedRequest) -> None:
         if seen.headers.get('last-event-id'):
-            await streams(seen)
+            await stream_three_events(seen)
             return
         if is_chunked:
             seen.writer.write(seen.stream_head() + chunk(body) + chunk(b''))
@@ -100,7 +106,7 @@
 ):
     """A runner may answer a streaming request with a single document."""
 
-    async def document(seen: Seen) -> None:
+    async def document(seen: ReceivedRequest) -> None:
         answer = seen.answer(body=b'{"text": "no events"}')
         typed = b'Content-Type: application/json\r\nContent-Length'
         seen.writer.write(answer.replace(b'Content-Length', typed))
@@ -118,7 +124,7 @@
 ) -> None:
     """To an HTTP/1.0 caller, an orderly close means a complete answer."""
 
-    async def behave(seen: Seen) -> None:
+    async def behave(seen: ReceivedRequest) -> None:
         seen.writer.write(seen.stream_head() + chunk(event(1)))
         if not is_cut:
             seen.writer.write(chunk(b''))
--- a/tests/failures/test_answers_whole.py
+++ b/tests/failures/test_answers_whole.py
@@ -17,7 +17,7 @@
 import pytest
 
 from bramleybend.answers import Outcome
-from tests.utils.callers import post
+from tests.utils.callers import send_request
 from tests.utils.cluster import Layout
 from tests.utils.engine import EngineConfig
 from tests.utils.engine_batch import RunState
@@ -25,13 +25,13 @@
 from tests.utils.ledger import Attempt, Record
 from tests.utils.load import Stream
 from tests.utils.scenario import (
-    LARGE_SCHOOL,
+    FULL_ACCESS_WORKSPACE,
     Scenario,
     assert_clean,
     scenario,
 )
 from tests.utils.waiting import wait_until
-from tests.utils.work import Work
+from tests.utils.work import CallerRequest
 
 LAYOUT = Layout(
     vms=3,
@@ -107,7 +107,7 @@
 
 async def _send_with_id(
     scene: Scenario,
-    work: Work,
+    work: CallerRequest,
     request_id: str,
     vm: EntryVm,
 ) -> Record:
@@ -115,7 +115,7 @@
     record = scene.ledger.open(work)
     attempt = Attempt(request_id, sends=1)
     record.attempts.append(attempt)
-    attempt.reading = await post(
+    attempt.reading = await send_request(
         request_id,
         work,
         vm.endpoint,
@@ -132,9 +132,11 @@
 ) -> None:
     """Each of the nine sends receives the same whole answer."""
     if profile == 'slot-claim':
-        work = scene.make.plain(LARGE_SCHOOL, profile)
+        work = scene.work_factory.plain(FULL_ACCESS_WORKSPACE, profile)
     else:
-        work = scene.make.engine(LARGE_SCHOOL, profile, 200, 40)
+        work = scene.work_factory.engine(
+            FULL_ACCESS_WORKSPACE, profile, 200, 40
+        )
     route = await scene.caller().route(profile, time.monotonic() + 5)
     request_id = f'{route.ticket}/{uuid.uuid4().hex}'
     records = await asyncio.gather(
@@ -145,7 +147,7 @@
         ),
     )
     assert {record.outcome for record in records} == {Outcome.DONE}
-    assert scene.cluster.runners.runs_of()[work.content] == 1
+    assert scene.cluster.runners.count_runs_by_content()[work.content] == 1
     assert_clean(scene.verdict())
 
 
@@ -153,8 +155,8 @@
     scene: Scenario,
 ) -> None:
     """A run whose caller has disconnected must not keep its slot."""
-    work = scene.make.engine(
-        LARGE_SCHOOL,
+    work = scene.work_factory.engine(
+        FULL_ACCESS_WORKSPACE,
         'syllabus-summary',
         100,
         4000,
@@ -162,7 +164,9 @@
     )
     sending = asyncio.create_task(scene.caller().send(work))
     await wait_until(
-        lambda: scene.cluster.runners.runs_of()[work.content] == 1,
+        lambda: (
+            scene.cluster.runners.count_runs_by_content()[work.content] == 1
+        ),
         'the run has begun',
     )
     sending.cancel()
@@ -174,7 +178,7 @@
     )
 
 
-def _state_of(scene: Scenario, work: Work) -> RunState | None:
+def _state_of(scene: Scenario, work: CallerRequest) -> RunState | None:
     for engine in scene.cluster.runners.engines:
         for run in engine.admitted:
             if run.prompt_hash == work.content:
@@ -189,22 +193,22 @@
 
     An id that was never sent before is rejected past its deadline.
     """
-    work = scene.make.plain(LARGE_SCHOOL, 'slot-claim')
+    work = scene.work_factory.plain(FULL_ACCESS_WORKSPACE, 'slot-claim')
     record = await scene.caller().send(work)
     assert record.outcome is Outcome.DONE
     request_id = record.attempts[0].request_id
     for vm in scene.cluster.vms:
-        late = await post(
+        late = await send_request(
             request_id,
             work,
             vm.endpoint,
             time.monotonic() - 1,
         )
         assert late.outcome is Outcome.DONE, (vm.name, late)
-    new_work = scene.make.plain(LARGE_SCHOOL, 'slot-claim')
+    new_work = scene.work_factory.plain(FULL_ACCESS_WORKSPACE, 'slot-claim')
     ticket = request_id.rpartition('/')[0]
     for vm in scene.cluster.vms:
-        refused = await post(
+        refused = await send_request(
             f'{ticket}/{uuid.uuid4().hex}',
             new_work,
             vm.endpoint,
--- a/tests/failures/test_brief_pause.py
+++ b/tests/failures/test_brief_pause.py
@@ -29,10 +29,12 @@
                 lambda: scene.count(Outcome.DONE) > 20,
                 'lookups are served before the pause',
             )
-            owner = scene.owner(SERVICE).scheduler
+            owner = scene.find_owner(SERVICE).scheduler
             owner.send_signal(signal.SIGSTOP)
             await asyncio.sleep(pause_s)
             owner.send_signal(signal.SIGCONT)
-            await scene.done_more(60, 'lookups are served after the pause')
+            await scene.wait_for_more_done(
+                60, 'lookups are served after the pause'
+            )
         assert not scene.count(Outcome.NOT_RUN), scene.verdict().reasons
         assert_clean(scene.verdict())
--- a/tests/failures/test_engine_orders.py
+++ b/tests/failures/test_engine_orders.py
@@ -18,7 +18,7 @@
 from bramleybend.answers import Outcome
 from tests.utils.cluster import ENGINE_SERVICE, EXAMPLE, Layout
 from tests.utils.engine import Engine, EngineConfig
-from tests.utils.engine_weights import most_at_once
+from tests.utils.engine_weights import max_concurrent_loads
 from tests.utils.entry_vm import EntryVm
 from tests.utils.eventlog import LoggedEvent, parse_events
 from tests.utils.load import Stream
@@ -74,14 +74,14 @@
 
 
 def _max_concurrent_loads(engines: Sequence[Engine]) -> int:
-    return most_at_once(
+    return max_concurrent_loads(
         [load for each in engines for load in each.weights.loads]
     )
 
 
 def _all_hold_version(engines: Sequence[Engine], version: str) -> bool:
     return all(
-        each.weights.version == version and not each.weights.loading
+        each.weights.version == version and not each.weights.is_loading
         for each in engines
     )
 
@@ -126,7 +126,7 @@
                     run
                     for run in engine.admitted
                     if run.started_at < load.ended_at
-                    and run.ended_at > load.began_at
+                    and run.ended_at > load.started_at
                 ], 'a run was under way while the engine loaded'
 
 
@@ -176,23 +176,23 @@
         )
         paused_issuer = _current_issuer(scene)
         successor = _other_vm(scene, paused_issuer)
-        paused_issuer.freeze()
+        paused_issuer.pause()
         scene.cluster.publish(_make_terms(role='decode'), 1)
         await wait_until(
             lambda: engine.weights.role == 'decode',
             'the successor orders the new role',
             30,
         )
-        successor.freeze()
+        successor.pause()
         paused_issuer.log_relay.cut(Cut.BOTH)
-        paused_issuer.thaw()
+        paused_issuer.resume()
         await wait_until(
             lambda: bool(engine.refused_orders),
             'the resumed issuer is refused',
             30,
         )
         assert engine.weights.role == 'decode'
-        successor.thaw()
+        successor.resume()
         await paused_issuer.log_relay.heal(drop=True)
         await wait_until(
             lambda: _order_claims(scene)[-1]['vm'] == paused_issuer.name,
@@ -221,7 +221,7 @@
         )
         paused_issuer = _current_issuer(scene)
         successor = _other_vm(scene, paused_issuer)
-        paused_issuer.freeze()
+        paused_issuer.pause()
         new_terms = _make_terms(role='decode', checks_fence=False)
         scene.cluster.publish(new_terms, 1)
         await wait_until(
@@ -229,16 +229,16 @@
             'the successor orders the new role',
             30,
         )
-        successor.freeze()
+        successor.pause()
         paused_issuer.log_relay.cut(Cut.BOTH)
-        paused_issuer.thaw()
+        paused_issuer.resume()
         resumed_at = time.monotonic()
         await wait_until(
             lambda: time.monotonic() > resumed_at + ISSUER_ROUNDS_S,
             'the resumed issuer has had time to order',
         )
         assert len(engine.orders) == 1, engine.orders
-        successor.thaw()
+        successor.resume()
         await paused_issuer.log_relay.heal(drop=True)
         await wait_until(
             lambda: _order_claims(scene)[-1]['vm'] == paused_issuer.name,
@@ -261,7 +261,7 @@
         engines = scene.cluster.runners.engines
         scene.cluster.publish(_make_terms('2', loads_at_once=1), 1)
         await wait_until(
-            lambda: any(each.weights.loading for each in engines),
+            lambda: any(each.weights.is_loading for each in engines),
             'an engine loads',
         )
         await _current_issuer(scene).kill()
--- a/tests/failures/test_entry_vm_killed.py
+++ b/tests/failures/test_entry_vm_killed.py
@@ -36,7 +36,9 @@
             '60 requests done before the kill',
         )
         await killed_vm.kill()
-        await scene.done_more(60, '60 more requests done after the kill')
+        await scene.wait_for_more_done(
+            60, '60 more requests done after the kill'
+        )
 
 
 async def test_each_caller_of_a_killed_vm_gets_one_true_answer(
@@ -62,7 +64,7 @@
             )
             await killed_vm.replace()
             await wait_until(killed_vm.is_ready, 'the new VM is ready')
-            await scene.done_more(
+            await scene.wait_for_more_done(
                 40, '40 more requests done after the replacement'
             )
         assert_clean(scene.verdict())
--- a/tests/failures/test_gateway_paused.py
+++ b/tests/failures/test_gateway_paused.py
@@ -7,18 +7,18 @@
 from pathlib import Path
 
 from bramleybend.answers import Outcome
-from tests.utils.callers import post
+from tests.utils.callers import send_request
 from tests.utils.cluster import Layout
 from tests.utils.entry_vm import EntryVm
 from tests.utils.ledger import Attempt
 from tests.utils.scenario import (
-    LARGE_SCHOOL,
+    FULL_ACCESS_WORKSPACE,
     Scenario,
     assert_clean,
     scenario,
 )
 from tests.utils.waiting import wait_until
-from tests.utils.work import Work
+from tests.utils.work import CallerRequest
 
 LAYOUT = Layout(vms=3, engines=(), plain_latencies_ms=(20, 30))
 LOG_SLOW_MS = 200
@@ -27,8 +27,10 @@
 PAUSE_S = 2.3
 
 
-def _make_claim(scene: Scenario) -> Work:
-    return scene.make.plain(LARGE_SCHOOL, 'slot-claim', deadline_s=9)
+def _make_claim(scene: Scenario) -> CallerRequest:
+    return scene.work_factory.plain(
+        FULL_ACCESS_WORKSPACE, 'slot-claim', deadline_s=9
+    )
 
 
 async def _pause_gateway_after_record(
@@ -78,7 +80,9 @@
         attempt = Attempt(f'{route.ticket}/{uuid.uuid4().hex}', sends=1)
         record.attempts.append(attempt)
         resending = asyncio.create_task(
-            post(attempt.request_id, record.work, other.endpoint, deadline),
+            send_request(
+                attempt.request_id, record.work, other.endpoint, deadline
+            ),
         )
         await _pause_gateway_after_record(scene, other, '"seal"')
         attempt.reading = await resending
--- a/tests/failures/test_hedge.py
+++ b/tests/failures/test_hedge.py
@@ -12,7 +12,7 @@
 from tests.utils.cluster import Layout
 from tests.utils.eventlog import parse_events
 from tests.utils.scenario import (
-    LARGE_SCHOOL,
+    FULL_ACCESS_WORKSPACE,
     Scenario,
     assert_clean,
     scenario,
@@ -26,7 +26,9 @@
 
 
 async def _send_read(scene: Scenario) -> float:
-    work = scene.make.plain(LARGE_SCHOOL, 'availability', deadline_s=5)
+    work = scene.work_factory.plain(
+        FULL_ACCESS_WORKSPACE, 'availability', deadline_s=5
+    )
     record = await scene.caller().send(work)
     assert record.outcome is Outcome.DONE, record.describe()
     return record.ended - record.started
@@ -41,7 +43,9 @@
             await _send_read(scene)
         scene.cluster.runners.plains[0].faults.slow_ms = STALL_MS
         slowest_s = max([await _send_read(scene) for _ in range(READS)])
-        claim = scene.make.plain(LARGE_SCHOOL, 'slot-claim', deadline_s=9)
+        claim = scene.work_factory.plain(
+            FULL_ACCESS_WORKSPACE, 'slot-claim', deadline_s=9
+        )
         await scene.caller().send(claim)
         events = parse_events(scene.cluster.event_lines())
         hedged = [each for each in events if each['event'] == 'hedged']
--- a/tests/failures/test_home_paused.py
+++ b/tests/failures/test_home_paused.py
@@ -14,20 +14,20 @@
 import pytest
 
 from bramleybend.answers import Outcome
-from tests.utils.callers import Caller, post
+from tests.utils.callers import Caller, send_request
 from tests.utils.cluster import Layout
 from tests.utils.engine import EngineConfig
 from tests.utils.entry_vm import EntryVm
 from tests.utils.http_client import BrokenCallError
-from tests.utils.ledger import Attempt, Reading, Record
+from tests.utils.ledger import Attempt, CallerAnswer, Record
 from tests.utils.scenario import (
-    LARGE_SCHOOL,
+    FULL_ACCESS_WORKSPACE,
     Scenario,
     assert_clean,
     scenario,
 )
 from tests.utils.waiting import wait_until
-from tests.utils.work import Work
+from tests.utils.work import CallerRequest
 
 LAYOUT = Layout(
     vms=3,
@@ -37,10 +37,14 @@
 REQUEST_COUNT = 12
 
 
-def _make_work(scene: Scenario, profile: str) -> Work:
+def _make_work(scene: Scenario, profile: str) -> CallerRequest:
     if profile == 'slot-claim':
-        return scene.make.plain(LARGE_SCHOOL, profile, deadline_s=9)
-    return scene.make.engine(LARGE_SCHOOL, profile, 100, 40, deadline_s=9)
+        return scene.work_factory.plain(
+            FULL_ACCESS_WORKSPACE, profile, deadline_s=9
+        )
+    return scene.work_factory.engine(
+        FULL_ACCESS_WORKSPACE, profile, 100, 40, deadline_s=9
+    )
 
 
 async def _send_to_home(
@@ -56,22 +60,22 @@
     attempt.sends += 1
     try:
         async with asyncio.timeout(3):
-            attempt.reading = await post(
+            attempt.reading = await send_request(
                 attempt.request_id,
                 record.work,
                 home.endpoint,
                 deadline,
             )
     except (BrokenCallError, TimeoutError) as exc:
-        attempt.broken.append(repr(exc))
+        attempt.broken_reasons.append(repr(exc))
 
 
-async def _resend_to(record: Record, other: EntryVm) -> Reading:
+async def _resend_to(record: Record, other: EntryVm) -> CallerAnswer:
     """Send the same id to a VM that is not its home."""
     attempt = record.attempts[0]
     attempt.sends += 1
     deadline = time.monotonic() + record.work.deadline_s
-    return await post(
+    return await send_request(
         attempt.request_id,
         record.work,
         other.endpoint,
@@ -98,10 +102,10 @@
             for record in records[: REQUEST_COUNT // 2]
         ]
         await wait_until(
-            lambda: bool(scene.cluster.runners.runs_of()),
+            lambda: bool(scene.cluster.runners.count_runs_by_content()),
             'the home has begun to dispatch',
         )
-        home.freeze()
+        home.pause()
         first_sends.extend(
             asyncio.create_task(_send_to_home(record, caller, home))
             for record in records[REQUEST_COUNT // 2 :]
@@ -113,7 +117,7 @@
         for record, reading in zip(records, final_readings, strict=True):
             record.attempts[0].reading = reading
             record.finish(reading)
-        home.thaw()
+        home.resume()
         await _wait_until_home_serves(scene, home)
         assert_clean(scene.verdict())
 
--- a/tests/failures/test_large_manifest.py
+++ b/tests/failures/test_large_manifest.py
@@ -25,7 +25,7 @@
 from bramleybend.platform.wire_names import MANIFEST_KEY, MANIFEST_TOPIC
 from tests.direct.cluster import HOST, manifest, route
 from tests.utils.platform_store import PlatformStore
-from tests.utils.relay import Cut, Link, Relay
+from tests.utils.relay import BandwidthLimit, Cut, Relay
 
 # The documented limit of the smallest deployments; that of large ones is three
 # seconds.
@@ -102,7 +102,7 @@
 
 @asynccontextmanager
 async def store_behind(
-    link: Link,
+    link: BandwidthLimit,
 ) -> AsyncIterator[tuple[PlatformStore, Relay]]:
     """Start a store behind a relay that models one VM's link."""
     store = PlatformStore('127.0.0.1')
@@ -124,7 +124,7 @@
 
 @asynccontextmanager
 async def serve_mirrors(
-    count: int, copy: FeedCopy, links: list[Link]
+    count: int, copy: FeedCopy, links: list[BandwidthLimit]
 ) -> AsyncIterator[tuple[list[Relay], int]]:
     """Serve one feed copy from `count` VMs behind the links, on one port."""
     port = next(_PORTS)
@@ -204,7 +204,10 @@
     store = PlatformStore('127.0.0.1')
     store.status = 503
     await store.server.start()
-    async with serve_mirrors(1, copy, [Link(SLOW_LINK)]) as (relays, port):
+    async with serve_mirrors(1, copy, [BandwidthLimit(SLOW_LINK)]) as (
+        relays,
+        port,
+    ):
         followers = [
             make_follower(
                 StoreClient('127.0.0.1', store.server.port, clock),
@@ -226,7 +229,7 @@
     over the rest. A limit of one second on the whole read made each read start
     again from nothing, so a read must go on as long as data arrives.
     """
-    async with store_behind(Link(SLOW_LINK / 2)) as (store, relay):
+    async with store_behind(BandwidthLimit(SLOW_LINK / 2)) as (store, relay):
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, large_manifest(2, added=3000))
         client = StoreClient(relay.host, relay.port, SystemClock())
         page = await client.fetch_newest(MANIFEST_TOPIC)
@@ -242,7 +245,7 @@
     a second later, so that the VM can ask another source.
     """
     clock = SystemClock()
-    async with store_behind(Link(SLOW_LINK / 2)) as (store, relay):
+    async with store_behind(BandwidthLimit(SLOW_LINK / 2)) as (store, relay):
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, large_manifest(2, added=3000))
         client = StoreClient(relay.host, relay.port, clock)
         reading = asyncio.create_task(client.fetch_newest(MANIFEST_TOPIC))
@@ -269,7 +272,7 @@
     clock = SystemClock()
     copy = FeedCopy()
     copy.apply(Page((make_record(1, large_manifest(2)),), 2, is_snapshot=True))
-    links = [Link(SLOW_LINK), Link(SLOW_LINK)]
+    links = [BandwidthLimit(SLOW_LINK), BandwidthLimit(SLOW_LINK)]
     async with store_behind(links[0]) as (store, store_relay):
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, manifest(1))
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, large_manifest(2))
@@ -298,7 +301,7 @@
     large = large_manifest(2, added=3000)
     copy = FeedCopy()
     copy.apply(Page((make_record(1, large),), 2, is_snapshot=True))
-    link = Link(SLOW_LINK / 2)
+    link = BandwidthLimit(SLOW_LINK / 2)
     async with store_behind(link) as (store, store_relay):
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, manifest(1))
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, large)
@@ -323,7 +326,7 @@
     clock = SystemClock()
     copy = FeedCopy()
     copy.apply(Page((make_record(1, large_manifest(2)),), 2, is_snapshot=True))
-    link = Link(SLOW_LINK)
+    link = BandwidthLimit(SLOW_LINK)
     async with store_behind(link) as (store, store_relay):
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, manifest(1))
         store.put(MANIFEST_TOPIC, MANIFEST_KEY, large_manifest(2))
--- a/tests/failures/test_log_link_cut.py
+++ b/tests/failures/test_log_link_cut.py
@@ -15,7 +15,7 @@
 from tests.utils.cluster import Layout
 from tests.utils.load import Stream
 from tests.utils.relay import Cut
-from tests.utils.scenario import LARGE_SCHOOL, assert_clean, scenario
+from tests.utils.scenario import FULL_ACCESS_WORKSPACE, assert_clean, scenario
 from tests.utils.waiting import wait_until
 
 LAYOUT = Layout(vms=3, engines=(), plain_latencies_ms=(20, 20))
@@ -33,13 +33,17 @@
         caller = scene.caller(home)
         await caller.route('slot-claim', time.monotonic() + 5)
         home.log_relay.cut(cut)
-        work = scene.make.plain(LARGE_SCHOOL, 'slot-claim', deadline_s=9)
+        work = scene.work_factory.plain(
+            FULL_ACCESS_WORKSPACE, 'slot-claim', deadline_s=9
+        )
         record = await caller.send(work)
         assert record.attempts[0].reading is not None, record.describe()
         assert record.attempts[0].reading.outcome is Outcome.NOT_RUN
         await home.log_relay.heal()
         next_record = await scene.caller(home).send(
-            scene.make.plain(LARGE_SCHOOL, 'slot-claim', deadline_s=9),
+            scene.work_factory.plain(
+                FULL_ACCESS_WORKSPACE, 'slot-claim', deadline_s=9
+            ),
         )
         assert next_record.outcome is Outcome.DONE, next_record.describe()
         assert_clean(scene.verdict())
--- a/tests/failures/test_log_outage.py
+++ b/tests/failures/test_log_outage.py
@@ -15,7 +15,7 @@
 from tests.utils.ledger import Record
 from tests.utils.load import Stream
 from tests.utils.scenario import (
-    LARGE_SCHOOL,
+    FULL_ACCESS_WORKSPACE,
     Scenario,
     assert_clean,
     scenario,
@@ -39,7 +39,9 @@
 
 
 async def _send_claim(scene: Scenario, deadline_s: float) -> Record:
-    work = scene.make.plain(LARGE_SCHOOL, 'slot-claim', deadline_s=deadline_s)
+    work = scene.work_factory.plain(
+        FULL_ACCESS_WORKSPACE, 'slot-claim', deadline_s=deadline_s
+    )
     return await scene.caller().send(work)
 
 
@@ -65,7 +67,7 @@
                 'the outage outlasts every kept lease and view',
                 OUTAGE_S + 1,
             )
-            await scene.done_more(
+            await scene.wait_for_more_done(
                 10,
                 'work that does not need the log is served late in the outage',
             )
--- a/tests/failures/test_one_process.py
+++ b/tests/failures/test_one_process.py
@@ -50,7 +50,7 @@
     async with scenario(LAYOUT, tmp_path) as scene:
         async with scene.load(LOAD):
             await _wait_until_done_more(scene, 10, 'served before')
-            scene.owner(SERVICE).scheduler.send_signal(number)
+            scene.find_owner(SERVICE).scheduler.send_signal(number)
             await _wait_until_done_more(scene, 15, 'served after')
         assert_clean(scene.verdict())
 
--- a/tests/failures/test_operators_at_work.py
+++ b/tests/failures/test_operators_at_work.py
@@ -22,7 +22,12 @@
 from tests.utils.cluster import EXAMPLE, Layout
 from tests.utils.engine import EngineConfig
 from tests.utils.load import Stream
-from tests.utils.scenario import LARGE_SCHOOL, Scenario, assert_clean, scenario
+from tests.utils.scenario import (
+    FULL_ACCESS_WORKSPACE,
+    Scenario,
+    assert_clean,
+    scenario,
+)
 from tests.utils.waiting import wait_until
 
 LAYOUT = Layout(
@@ -71,12 +76,14 @@
             )
             drained, _ = await run_ctl(scene, 'drain', leaving.name)
             codes = await leaving.exit_codes()
-            await scene.done_more(40, '40 more requests done after the drain')
+            await scene.wait_for_more_done(
+                40, '40 more requests done after the drain'
+            )
         status, listing = await run_ctl(scene, 'status')
         assert (published, waited, drained) == (ExitStatus.OK,) * 3
         assert wait_output == 'version 2 is in force on all 6 processes\n'
         assert codes == (0, 0)
-        assert not scene.cut_answers(), scene.cut_answers()[:5]
+        assert not scene.interrupted_sends(), scene.interrupted_sends()[:5]
         assert_clean(scene.verdict())
         # The VM list still has the drained VM, so the status reports no answer.
         assert status is ExitStatus.UNAVAILABLE
@@ -99,7 +106,7 @@
         dead, alive = scene.cluster.vms
         await dead.kill()
         entries = [dead.endpoint, alive.endpoint]
-        names = [LARGE_SCHOOL, 'booking-app', 'slot-claim']
+        names = [FULL_ACCESS_WORKSPACE, 'booking-app', 'slot-claim']
         outcome, text = await asyncio.to_thread(send, entries, names, body)
         rejected, why = await asyncio.to_thread(
             send, entries, [*names[:2], 'none'], body
--- a/tests/failures/test_operators_race.py
+++ b/tests/failures/test_operators_race.py
@@ -13,7 +13,11 @@
 from tests.utils.cluster import Layout
 from tests.utils.relay import Cut
 from tests.utils.scenario import Scenario, scenario
-from tests.utils.terms_changes import assert_void, in_force, with_profile
+from tests.utils.terms_changes import (
+    assert_profile_rejected,
+    is_profile_served,
+    with_profile,
+)
 from tests.utils.waiting import wait_until
 
 LAYOUT = Layout(vms=6, engines=(), plain_latencies_ms=(5,))
@@ -30,18 +34,18 @@
         cut_off_vm.log_relay.cut(Cut.BOTH)
         await _publish_twice(scene, FIRST_VERSION)
         await wait_until(
-            lambda: in_force(scene, 'winner'),
+            lambda: is_profile_served(scene, 'winner'),
             'the winner is in force at every VM',
             PUBLISH_TIMEOUT_S,
         )
-        await assert_void(scene, 'loser')
+        await assert_profile_rejected(scene, 'loser')
         await cut_off_vm.log_relay.heal()
         await cut_off_vm.replace()
         await wait_until(
-            lambda: in_force(scene, 'winner'),
+            lambda: is_profile_served(scene, 'winner'),
             'the winner is still in force after a VM came back',
         )
-        await assert_void(scene, 'loser')
+        await assert_profile_rejected(scene, 'loser')
 
 
 async def _publish_twice(scene: Scenario, base: int) -> None:
--- a/tests/failures/test_paused_processes.py
+++ b/tests/failures/test_paused_processes.py
@@ -47,10 +47,12 @@
     """Guards against a paused process that is considered lost."""
     async with scenario(LAYOUT, tmp_path) as scene:
         async with scene.load(LOAD):
-            await scene.done_more(20, 'the load is served')
+            await scene.wait_for_more_done(20, 'the load is served')
             await _pause_processes_in_turn(scene, Random(seed))
-            await scene.done_more(20, 'the load is served after the pauses')
-        assert not scene.cut_answers(), scene.cut_answers()[:5]
+            await scene.wait_for_more_done(
+                20, 'the load is served after the pauses'
+            )
+        assert not scene.interrupted_sends(), scene.interrupted_sends()[:5]
         assert_clean(scene.verdict())
         assert scene.verdict().is_clean, scene.verdict().reasons
 
@@ -62,11 +64,11 @@
     async with scenario(LAYOUT, tmp_path) as scene:
         schedulers = [vm.scheduler for vm in scene.cluster.vms]
         async with scene.load(LOAD):
-            await scene.done_more(20, 'the load is served')
+            await scene.wait_for_more_done(20, 'the load is served')
             for scheduler in schedulers:
                 scheduler.send_signal(signal.SIGSTOP)
             await asyncio.sleep(LONGEST_DEADLINE_S)
             for scheduler in schedulers:
                 scheduler.send_signal(signal.SIGCONT)
-            await scene.done_more(20, 'the load is served again')
+            await scene.wait_for_more_done(20, 'the load is served again')
         assert_clean(scene.verdict())
--- a/tests/failures/test_planned_stop.py
+++ b/tests/failures/test_planned_stop.py
@@ -38,8 +38,10 @@
                 '60 requests done before the stop',
             )
             codes = await stopping_vm.stop()
-            await scene.done_more(40, '40 more requests done after the stop')
-        assert not scene.cut_answers(), scene.cut_answers()[:5]
+            await scene.wait_for_more_done(
+                40, '40 more requests done after the stop'
+            )
+        assert not scene.interrupted_sends(), scene.interrupted_sends()[:5]
         assert codes == (0, 0)
         assert_clean(scene.verdict())
         assert scene.verdict().is_clean, scene.verdict().reasons
--- a/tests/failures/test_poison_request.py
+++ b/tests/failures/test_poison_request.py
@@ -17,13 +17,13 @@
 from tests.utils.engine_batch import RunState
 from tests.utils.load import Stream
 from tests.utils.scenario import (
-    LARGE_SCHOOL,
+    FULL_ACCESS_WORKSPACE,
     Scenario,
     assert_clean,
     scenario,
 )
 from tests.utils.waiting import wait_until
-from tests.utils.work import Work
+from tests.utils.work import CallerRequest
 
 LAYOUT = Layout(
     vms=3,
@@ -38,9 +38,9 @@
 MAX_CRASHES = 4
 
 
-def _make_poison(scene: Scenario, profile: str) -> Work:
-    return scene.make.engine(
-        LARGE_SCHOOL,
+def _make_poison(scene: Scenario, profile: str) -> CallerRequest:
+    return scene.work_factory.engine(
+        FULL_ACCESS_WORKSPACE,
         profile,
         100,
         20,
@@ -49,7 +49,7 @@
     )
 
 
-def _count_crashes(scene: Scenario, poison: Work) -> int:
+def _count_crashes(scene: Scenario, poison: CallerRequest) -> int:
     """Return the number of runs that crashed their engine.
 
     A run that its engine admitted and stopped for a higher tier before it
@@ -62,7 +62,9 @@
     )
 
 
-async def _send_poison_until_rejected(scene: Scenario, poison: Work) -> None:
+async def _send_poison_until_rejected(
+    scene: Scenario, poison: CallerRequest
+) -> None:
     for _ in range(MAX_SENDS):
         record = await scene.caller().send(poison)
         if record.outcome is Outcome.REJECTED:
@@ -92,7 +94,7 @@
             await _send_poison_until_rejected(scene, poison)
             crashes = _count_crashes(scene, poison)
             assert 1 <= crashes <= MAX_CRASHES
-            await scene.done_more(
+            await scene.wait_for_more_done(
                 40, '40 other requests done after the poison was rejected'
             )
         assert _count_crashes(scene, poison) == crashes
@@ -127,12 +129,12 @@
 
 
 async def _freeze_owner_after_crash(
-    scene: Scenario, poison: Work, seconds: float
+    scene: Scenario, poison: CallerRequest, seconds: float
 ) -> None:
     await wait_until(
         lambda: _count_crashes(scene, poison) >= 1, 'the first crash'
     )
     owner = scene.cluster.vms[0]
-    owner.freeze()
+    owner.pause()
     await asyncio.sleep(seconds)
-    owner.thaw()
+    owner.resume()
--- a/tests/failures/test_runner_leaving.py
+++ b/tests/failures/test_runner_leaving.py
@@ -50,7 +50,7 @@
             scene.cluster.vm_list.mark_leaving(name)
         no_work_after = time.time() + lag_s + LEAVE_DELAY_S
         await wait_until(lambda: time.time() > no_work_after, 'a few seconds')
-        await scene.done_more(60, 'the load goes on without them')
+        await scene.wait_for_more_done(60, 'the load goes on without them')
     for each in leaving:
         assert _last_work_at(each.standin) < no_work_after, each.vm.name
 
@@ -81,12 +81,12 @@
             scene.cluster.by_name[name] for name in LEAVING_RUNNERS.values()
         ]
         async with scene.load(LOAD):
-            await scene.done_more(30, 'the load is served')
+            await scene.wait_for_more_done(30, 'the load is served')
             scene.cluster.vm_list.faults.down = True
             for each in leaving:
                 each.standin.faults.down = True
             refused_from = time.time()
-            await scene.done_more(120, 'the load goes on without them')
+            await scene.wait_for_more_done(120, 'the load goes on without them')
         for each in leaving:
             assert _last_work_at(each.standin) < refused_from
         assert_clean(scene.verdict())
@@ -100,7 +100,7 @@
     async with scenario(LAYOUT, tmp_path) as scene:
         old_runner = scene.cluster.by_name[LEAVING_RUNNERS[PLAIN_SERVICE]]
         async with scene.load(LOAD):
-            await scene.done_more(20, 'the load is served')
+            await scene.wait_for_more_done(20, 'the load is served')
             scene.cluster.vm_list.mark_leaving(old_runner.vm.name)
             no_work_after = time.time() + LEAVE_DELAY_S
             await wait_until(
--- a/tests/failures/test_shortage.py
+++ b/tests/failures/test_shortage.py
@@ -124,7 +124,7 @@
                 lambda: scene.count(Outcome.DONE) >= 10,
                 'requests are served before the pause',
             )
-            owner = scene.owner(ENGINE_SERVICE).scheduler
+            owner = scene.find_owner(ENGINE_SERVICE).scheduler
             owner.send_signal(signal.SIGSTOP)
             await asyncio.sleep(pause_s)
             owner.send_signal(signal.SIGCONT)
--- a/tests/failures/test_terms_kept.py
+++ b/tests/failures/test_terms_kept.py
@@ -17,9 +17,9 @@
 from tests.utils.entry_vm import EntryVm
 from tests.utils.scenario import Scenario, scenario
 from tests.utils.terms_changes import (
-    ask_under,
-    assert_void,
-    in_force,
+    assert_profile_rejected,
+    is_profile_served,
+    send_with_profile,
     with_profile,
 )
 from tests.utils.waiting import wait_until
@@ -41,7 +41,7 @@
 async def _publish_winner(scene: Scenario) -> None:
     scene.cluster.publish(with_profile('winner'), FIRST_VERSION)
     await wait_until(
-        lambda: in_force(scene, 'winner'),
+        lambda: is_profile_served(scene, 'winner'),
         'the publish is in force at every VM',
         PUBLISH_TIMEOUT_S,
     )
@@ -56,7 +56,7 @@
         for vm in scene.cluster.vms[:2]:
             await vm.replace()
         await wait_until(
-            lambda: in_force(scene, 'winner'),
+            lambda: is_profile_served(scene, 'winner'),
             'replaced VMs serve under the same terms',
         )
 
@@ -72,7 +72,7 @@
             await vm.replace()
             await wait_until(vm.is_ready, f'{vm.name} is ready again')
         await wait_until(
-            lambda: in_force(scene, 'winner'),
+            lambda: is_profile_served(scene, 'winner'),
             'every new VM serves under the same terms',
         )
 
@@ -84,7 +84,7 @@
     async with scenario(SHORT_STALENESS_LAYOUT, tmp_path) as scene:
         await _publish_winner(scene)
         paused_vm = scene.cluster.vms[0]
-        paused_vm.freeze()
+        paused_vm.pause()
         scene.cluster.publish(with_profile('successor'), SECOND_VERSION)
         running_vms = scene.cluster.vms[1:]
         await wait_until(
@@ -96,14 +96,14 @@
         # The gateway resumes first, so it can't have heard of the change yet.
         paused_vm.gateway.send_signal(signal.SIGCONT)
         for _ in range(REQUESTS_AFTER_RESUME):
-            reading = await ask_under(paused_vm, 'winner')
+            reading = await send_with_profile(paused_vm, 'winner')
             assert reading is None or reading.outcome is not Outcome.DONE
-        paused_vm.thaw()
+        paused_vm.resume()
         await wait_until(
-            lambda: in_force(scene, 'successor'),
+            lambda: is_profile_served(scene, 'successor'),
             'the resumed VM serves under the new terms',
         )
-        await assert_void(scene, 'winner')
+        await assert_profile_rejected(scene, 'winner')
 
 
 async def _all_serve(vms: Sequence[EntryVm], profile: str) -> bool:
@@ -111,7 +111,7 @@
 
 
 async def _serves(vm: EntryVm, profile: str) -> bool:
-    reading = await ask_under(vm, profile)
+    reading = await send_with_profile(vm, profile)
     return reading is not None and reading.outcome is Outcome.DONE
 
 
--- a/tests/failures/test_two_failures.py
+++ b/tests/failures/test_two_failures.py
@@ -30,11 +30,13 @@
     """A resend is settled although the log answers only sometimes."""
     async with scenario(LAYOUT, tmp_path) as scene:
         async with scene.load(LOAD):
-            await scene.done_more(40, 'the load is served')
+            await scene.wait_for_more_done(40, 'the load is served')
             scene.cluster.log.faults.lose_replies = 0.3
-            await scene.done_more(20, 'the load is served over lost replies')
+            await scene.wait_for_more_done(
+                20, 'the load is served over lost replies'
+            )
             await scene.cluster.vms[0].kill()
-            await scene.done_more(40, 'the others serve on')
+            await scene.wait_for_more_done(40, 'the others serve on')
         assert_clean(scene.verdict())
 
 
@@ -42,13 +44,17 @@
     """Runs that it could not journal are reported as `unknown`."""
     async with scenario(LAYOUT, tmp_path) as scene:
         async with scene.load(LOAD):
-            await scene.done_more(40, 'the load is served')
+            await scene.wait_for_more_done(40, 'the load is served')
             scene.cluster.log.faults.down = True
-            await scene.done_more(20, 'the load is served without the log')
+            await scene.wait_for_more_done(
+                20, 'the load is served without the log'
+            )
             await scene.cluster.vms[0].kill()
-            await scene.done_more(20, 'the others serve on without the log')
+            await scene.wait_for_more_done(
+                20, 'the others serve on without the log'
+            )
             scene.cluster.log.faults.down = False
-            await scene.done_more(40, 'all is served again')
+            await scene.wait_for_more_done(40, 'all is served again')
         assert_clean(scene.verdict())
 
 
@@ -57,11 +63,11 @@
     async with scenario(LAYOUT, tmp_path) as scene:
         frozen_vm = scene.cluster.vms[0]
         async with scene.load(LOAD):
-            await scene.done_more(40, 'the load is served')
+            await scene.wait_for_more_done(40, 'the load is served')
             scene.cluster.runners.engines[0].faults.slowdown = 5
-            frozen_vm.freeze()
-            await scene.done_more(60, 'the others serve on')
-            frozen_vm.thaw()
+            frozen_vm.pause()
+            await scene.wait_for_more_done(60, 'the others serve on')
+            frozen_vm.resume()
             await wait_until(frozen_vm.is_ready, 'the resumed VM is ready')
-            await scene.done_more(20, 'all serve again')
+            await scene.wait_for_more_done(20, 'all serve again')
         assert_clean(scene.verdict())
--- a/tests/soak/vms.py
+++ b/tests/soak/vms.py
@@ -8,7 +8,7 @@
 from bramleybend.clock import Clock
 from tests.soak.ledger import Ledger
 from tests.utils.processes import Process
-from tests.utils.relay import Cut, Link, Relay
+from tests.utils.relay import BandwidthLimit, Cut, Relay
 
 BYTES_PER_MBIT: Final = 1e6 / 8
 STOP_TIMEOUT_S: Final = 10.0
@@ -39,7 +39,7 @@
         self._start_count = 0
         self._process: Process | None = None
         self._fault_lock = asyncio.Lock()  # one process fault at a time
-        link = Link(ledger.contract.link_mbps * BYTES_PER_MBIT)
+        link = BandwidthLimit(ledger.contract.link_mbps * BYTES_PER_MBIT)
         self.relay = Relay(self.host, PORT + 9, *store, [link])
 
     @property
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -12,7 +12,7 @@
 from tests.soak.ledger import Ledger, RunnerRequest
 from tests.soak.vms import SoakVm
 from tests.utils.platform_store import PlatformStore
-from tests.utils.raw_runner import RawRunner, Seen, chunk, event
+from tests.utils.raw_runner import RawRunner, ReceivedRequest, chunk, event
 
 KEY_COUNT: Final = 8
 LARGE_CHANGE_ROUTES: Final = 1500
@@ -69,7 +69,7 @@
         """Start a runner under a new name."""
         name = f'runner-{next(self._names)}'
 
-        async def handle_request(seen: Seen) -> None:
+        async def handle_request(seen: ReceivedRequest) -> None:
             await self._handle_request(name, service, seen)
 
         runner = RawRunner(self._host, name, handle_request)
@@ -152,7 +152,7 @@
         self.store.put('keyed.servers', name, entry)
 
     async def _handle_request(
-        self, name: str, service: str, seen: Seen
+        self, name: str, service: str, seen: ReceivedRequest
     ) -> None:
         workspace = seen.headers.get(WORKSPACE_HEADER, '')
         now = self._clock.monotonic()
@@ -160,7 +160,7 @@
             RunnerRequest(seen.attempt, name, workspace, now)
         )
         if name in self.muted_runners:
-            await seen.left.wait()
+            await seen.closed.wait()
             return
         if service == PLAIN:
             await asyncio.sleep(EVENT_INTERVAL_S)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -17,7 +17,7 @@
 from bramleybend.answers import Outcome
 from tests.utils.cluster import Cluster, Layout
 from tests.utils.http_client import Reply, call
-from tests.utils.scenario import LARGE_SCHOOL
+from tests.utils.scenario import FULL_ACCESS_WORKSPACE
 
 pytestmark = [
     pytest.mark.xdist_group('bad_input'),
@@ -66,7 +66,7 @@
     deadline = datetime.now(UTC) + timedelta(seconds=LIMIT_S)
     headers = {
         'Bramleybend-Request-Id': f'{await _get_ticket(gateway)}/one',
-        'Bramleybend-Workspace': LARGE_SCHOOL,
+        'Bramleybend-Workspace': FULL_ACCESS_WORKSPACE,
         'Bramleybend-Service': 'booking-app',
         'Bramleybend-Profile': 'availability',
         'Bramleybend-Deadline': deadline.isoformat(),
@@ -161,7 +161,7 @@
         f'http://{gateway}/v1/requests',
         {
             'Bramleybend-Request-Id': f'{ticket}/two',
-            'Bramleybend-Workspace': LARGE_SCHOOL,
+            'Bramleybend-Workspace': FULL_ACCESS_WORKSPACE,
             'Bramleybend-Service': 'booking-app',
             'Bramleybend-Profile': 'availability',
             'Bramleybend-Deadline': deadline.isoformat(),
--- a/tests/test_home.py
+++ b/tests/test_home.py
@@ -15,7 +15,7 @@
 from bramleybend.state.id_table import IdTable
 from bramleybend.state.tickets import Ticket, parse_request_id
 from tests.utils.cluster import EXAMPLE, PLAIN_SERVICE
-from tests.utils.scenario import LARGE_SCHOOL
+from tests.utils.scenario import FULL_ACCESS_WORKSPACE
 
 CLOCK = SystemClock()
 TIME_LEFT_S = 1
@@ -57,7 +57,7 @@
     deadline = CLOCK.monotonic() + TIME_LEFT_S
     req = CallerRequest(
         request_id,
-        LARGE_SCHOOL,
+        FULL_ACCESS_WORKSPACE,
         PLAIN_SERVICE,
         'slot-claim',
         deadline,
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -15,7 +15,7 @@
     MAX_UPDATES,
 )
 from bramleybend.state.membership import Membership
-from tests.utils.membership_play import Play
+from tests.utils.membership_simulation import MembershipSimulation
 
 SIZES = [6, 50, 350]
 NOTICED_STATES = (MemberState.SUSPECT, MemberState.DEAD)
@@ -69,7 +69,7 @@
     the timeout each node ranks owners without the VM. Until then requests to
     the VM's shards time out and go to the fallback.
     """
-    play = Play(size)
+    play = MembershipSimulation(size)
     play.run(20)
     victim = next(iter(play.nodes))
     play.kill(victim)
@@ -93,7 +93,7 @@
     suspect learns of the suspicion by the next probes and refutes it before
     the timeout, so no shard changes its owner.
     """
-    play = Play(size)
+    play = MembershipSimulation(size)
     play.run(5)
     play.net.loss = 0.05
 
@@ -104,7 +104,7 @@
 
 @pytest.mark.parametrize('size', SIZES)
 def test_messages_stay_bounded_and_few(size: int) -> None:
-    play = Play(size)
+    play = MembershipSimulation(size)
     play.run(20)
     play.net.split = {addr: idx % 2 for idx, addr in enumerate(play.nodes)}
     play.run(10)
@@ -115,7 +115,8 @@
     # has four probes, three probes of suspects and three of listed addresses,
     # each with a reply, and three indirect probes for each that fails.
     assert (
-        max(node.largest for node in play.nodes.values()) <= MAX_MESSAGE_RECORDS
+        max(node.max_records for node in play.nodes.values())
+        <= MAX_MESSAGE_RECORDS
     )
     sent = sum(node.messages for node in play.nodes.values())
     assert sent / len(play.nodes) / play.now < 30
@@ -123,7 +124,7 @@
 
 @pytest.mark.parametrize('size', SIZES)
 def test_a_quiet_node_costs_the_same_at_any_size(size: int) -> None:
-    play = Play(size)
+    play = MembershipSimulation(size)
     play.run(20)
     before = sum(node.messages for node in play.nodes.values())
     play.run(20)
@@ -140,7 +141,7 @@
     the old incarnation's record. Otherwise requests under the old tickets
     would be forwarded to the new VM. It learns the members from the replies.
     """
-    play = Play(size)
+    play = MembershipSimulation(size)
     play.run(20)
     victim = next(iter(play.nodes))
     play.kill(victim)
@@ -196,7 +197,7 @@
     expired. It restarts them, so that it declares no other node dead, and
     raises its heartbeat to be a member again, with the same incarnation.
     """
-    play = Play(size)
+    play = MembershipSimulation(size)
     play.run(10)
     frozen = next(iter(play.nodes.values()))
     play.freeze(frozen.address, 60)
@@ -222,7 +223,7 @@
     Its direct probes of the peer fail, but its helpers reach the peer, so no
     node is suspected. Requests that time out go to the fallback.
     """
-    play = Play(size)
+    play = MembershipSimulation(size)
     first, second, *_ = play.nodes
     play.net.cut = {(first, second)}
 
@@ -245,7 +246,7 @@
     addresses. When the partition heals, each VM learns that it was declared
     dead and refutes that, and both regions rank the same owners again.
     """
-    play = Play(size, domains=2)
+    play = MembershipSimulation(size, domains=2)
     play.run(10)
     play.net.split = {addr: idx % 2 for idx, addr in enumerate(play.nodes)}
 
@@ -268,7 +269,7 @@
     Each VM is killed and another starts at its address. No other VM may be
     declared dead, and all views must agree soon after the last restart.
     """
-    play = Play(350, domains=7)
+    play = MembershipSimulation(350, domains=7)
     play.run(5)
     first = list(play.nodes)
 
--- a/tests/utils/allotment_demand.py
+++ b/tests/utils/allotment_demand.py
@@ -81,7 +81,7 @@
         return allotted + self.tolerance.units(rate, burst)
 
     def _send(self) -> None:
-        up = self.network.up()
+        up = self.network.running_vms()
         if not up:
             self._unsent_units = min(
                 self._unsent_units, self.per_s * MAX_BACKLOG_S
@@ -109,4 +109,4 @@
 
     def _running_vms(self, numbers: Iterable[int]) -> list[Vm]:
         names = {f'entry-{number}' for number in numbers}
-        return [vm for vm in self.network.up() if vm.name in names]
+        return [vm for vm in self.network.running_vms() if vm.name in names]
--- a/tests/utils/callers.py
+++ b/tests/utils/callers.py
@@ -11,8 +11,8 @@
 
 from bramleybend.answers import Outcome
 from tests.utils.http_client import BrokenCallError, Exchange, call, exchange
-from tests.utils.ledger import Attempt, Ledger, Reading, Record
-from tests.utils.work import Work
+from tests.utils.ledger import Attempt, CallerAnswer, Ledger, Record
+from tests.utils.work import CallerRequest
 
 ADDRESS_TIMEOUT_S: Final = 2
 RETRY_PAUSE_S: Final = 0.1
@@ -49,7 +49,7 @@
         self._caches_route = keeps_route
         self._routes: dict[str, Route] = {}  # by profile
 
-    async def send(self, work: Work) -> Record:
+    async def send(self, work: CallerRequest) -> Record:
         """Send and retry until a final answer or the deadline."""
         record = self._ledger.open(work)
         deadline = record.started + work.deadline_s
@@ -63,7 +63,9 @@
                 record.finish(readings[-1])
         return record
 
-    async def send_under(self, attempt: Attempt, work: Work) -> Reading:
+    async def send_under(
+        self, attempt: Attempt, work: CallerRequest
+    ) -> CallerAnswer:
         """Send under one request id until an answer is complete."""
         deadline = time.monotonic() + work.deadline_s
         route = await self.route(work.profile, deadline)
@@ -119,10 +121,10 @@
     async def _send_attempt(
         self,
         attempt: Attempt,
-        work: Work,
+        work: CallerRequest,
         addresses: Sequence[str],
         deadline: float,
-    ) -> Reading:
+    ) -> CallerAnswer:
         while time.monotonic() < deadline:
             for address in addresses:
                 reading = await self._send_once(
@@ -143,24 +145,26 @@
     async def _send_once(
         self,
         attempt: Attempt,
-        work: Work,
+        work: CallerRequest,
         address: str,
         deadline: float,
-    ) -> Reading | None:
+    ) -> CallerAnswer | None:
         attempt.sends += 1
         try:
-            return await post(attempt.request_id, work, address, deadline)
+            return await send_request(
+                attempt.request_id, work, address, deadline
+            )
         except BrokenCallError as exc:
-            attempt.broken.append(f'{address} {exc}')
+            attempt.broken_reasons.append(f'{address} {exc}')
             return None
 
 
-async def post(
+async def send_request(
     request_id: str,
-    work: Work,
+    work: CallerRequest,
     address: str,
     deadline: float,
-) -> Reading:
+) -> CallerAnswer:
     """Send one request to one address and read the complete answer.
 
     `deadline` is a monotonic time.
@@ -181,14 +185,14 @@
         return await _read_body(conn, work)
 
 
-async def _read_body(conn: Exchange, work: Work) -> Reading:
+async def _read_body(conn: Exchange, work: CallerRequest) -> CallerAnswer:
     body = b''.join([chunk async for chunk in conn.chunks()])
     outcome_name = conn.headers.get(OUTCOME_HEADER)
     if outcome_name is None:
         raise BrokenCallError(f'status {conn.status} has no outcome header')
     outcome = Outcome(outcome_name)
     if outcome is Outcome.DONE:
-        return Reading(
+        return CallerAnswer(
             outcome,
             is_expected=work.is_complete(body),
             answered_at=time.monotonic(),
@@ -197,12 +201,12 @@
     retry_after = conn.headers.get(
         'retry-after', reply_fields.get('retry_after_s') or 0
     )
-    return Reading(
+    return CallerAnswer(
         outcome, False, reply_fields.get('reason', ''), float(retry_after)
     )
 
 
-async def _read_stream(conn: Exchange, work: Work) -> Reading:
+async def _read_stream(conn: Exchange, work: CallerRequest) -> CallerAnswer:
     text = ''
     first_token_at = float(0)
     event_name = ''
@@ -222,12 +226,12 @@
 
 def _stream_reading(
     reply_fields: dict[str, Any],
-    work: Work,
+    work: CallerRequest,
     text: str,
     first_token_at: float,
-) -> Reading:
+) -> CallerAnswer:
     outcome = Outcome(reply_fields['outcome'])
-    return Reading(
+    return CallerAnswer(
         outcome,
         outcome is Outcome.DONE and work.is_complete_text(text),
         reply_fields.get('reason') or '',
--- a/tests/utils/cluster.py
+++ b/tests/utils/cluster.py
@@ -68,7 +68,7 @@
     engines: list[Engine] = field(default_factory=list)
     plains: list[PlainService] = field(default_factory=list)
 
-    def runs_of(self) -> Counter[str]:
+    def count_runs_by_content(self) -> Counter[str]:
         """Count the runs of each content hash over all runners."""
         total: Counter[str] = Counter()
         for engine in self.engines:
@@ -181,7 +181,7 @@
         """Write a VM list with every VM and runner in the live state."""
         self.vm_list.put(
             [
-                *(vm.listed() for vm in self.vms),
+                *(vm.vm_list_entry() for vm in self.vms),
                 *(runner.vm for runner in self.by_name.values()),
             ],
         )
--- a/tests/utils/demo.py
+++ b/tests/utils/demo.py
@@ -67,8 +67,8 @@
             for index in range(CALLER_COUNT)
         ]
         await play(plan(declaration, MIXED, LOAD_S, SEED), callers)
-        verdict = ledger.judge(
-            cluster.runners.runs_of(),
+        verdict = ledger.check_answers(
+            cluster.runners.count_runs_by_content(),
             cluster.runners.run_ids(),
         )
         _print_report(ledger, verdict, cluster)
--- a/tests/utils/engine.py
+++ b/tests/utils/engine.py
@@ -170,7 +170,7 @@
                 {'error': 'run id seen already'},
                 HTTPStatus.CONFLICT,
             )
-        if self.weights.loading:
+        if self.weights.is_loading:
             return json_response(
                 {'error': 'loading'},
                 HTTPStatus.SERVICE_UNAVAILABLE,
--- a/tests/utils/engine_weights.py
+++ b/tests/utils/engine_weights.py
@@ -13,7 +13,7 @@
     `ended_at` is 0 while the load is in progress.
     """
 
-    began_at: float
+    started_at: float
     ended_at: float = 0
 
 
@@ -31,7 +31,7 @@
         self._task: asyncio.Task[None] | None = None
 
     @property
-    def loading(self) -> bool:
+    def is_loading(self) -> bool:
         """Whether a load is in progress."""
         return bool(self.loads) and not self.loads[-1].ended_at
 
@@ -42,7 +42,7 @@
             'version': self.version,
             'adapters': sorted(self.adapters),
             'role': self.role,
-            'loading': self.loading,
+            'loading': self.is_loading,
         }
 
     def execute_order(self, order: dict[str, Any], unloadable: str) -> None:
@@ -73,7 +73,7 @@
         unloadable: str,
         adapter: str = '',
     ) -> None:
-        if self.loading:
+        if self.is_loading:
             raise ValueError('loading already')
         load = Load(time.time())
         self.loads.append(load)
@@ -98,13 +98,13 @@
         load.ended_at = time.time()
 
 
-def most_at_once(loads: list[Load]) -> int:
+def max_concurrent_loads(loads: list[Load]) -> int:
     """Return the maximum number of loads that overlapped."""
     return max(
         (
             sum(
-                other.began_at <= load.began_at
-                and not 0 < other.ended_at <= load.began_at
+                other.started_at <= load.started_at
+                and not 0 < other.ended_at <= load.started_at
                 for other in loads
             )
             for load in loads
--- a/tests/utils/entry_vm.py
+++ b/tests/utils/entry_vm.py
@@ -64,7 +64,7 @@
         self.log_relay = log_relay
         self.list_relay = list_relay
         self.incarnation = 0
-        self.ended: list[Process] = []
+        self.past_processes: list[Process] = []
         self._run_dir = run_dir
         self._make_processes()
 
@@ -93,7 +93,7 @@
         """Whether at least one of the processes is running."""
         return any(process.is_running for process in self.processes)
 
-    def listed(self, state: VmState = VmState.LIVE) -> Vm:
+    def vm_list_entry(self, state: VmState = VmState.LIVE) -> Vm:
         """Return the VM's entry in the VM list."""
         return Vm(
             self.name,
@@ -112,16 +112,16 @@
     async def replace(self) -> None:
         """Start a new incarnation at the same address."""
         await self.kill()
-        self.ended.extend(self.processes)
+        self.past_processes.extend(self.processes)
         self.incarnation += 1
         self._make_processes()
         await self.start()
 
-    def freeze(self) -> None:
+    def pause(self) -> None:
         """Pause both processes with SIGSTOP, which they can't observe."""
         self.signal(signal.SIGSTOP)
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Resume both processes with SIGCONT."""
         self.signal(signal.SIGCONT)
 
--- a/tests/utils/ledger.py
+++ b/tests/utils/ledger.py
@@ -8,7 +8,7 @@
 
 from bramleybend.answers import Outcome
 from bramleybend.models import Idempotency, Tier
-from tests.utils.work import Work
+from tests.utils.work import CallerRequest
 
 NOT_RUN_OUTCOMES: Final = frozenset({Outcome.NOT_RUN, Outcome.REJECTED})
 AT_MOST_ONCE_RULES: Final = frozenset(
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True)
-class Reading:
+class CallerAnswer:
     """One answer that a caller received."""
 
     outcome: Outcome
@@ -33,8 +33,8 @@
 
     request_id: str
     sends: int = 0
-    broken: list[str] = field(default_factory=list)
-    reading: Reading | None = None
+    broken_reasons: list[str] = field(default_factory=list)
+    reading: CallerAnswer | None = None
     runs: int = 0  # number of recorded runs whose run id contains this id
 
     @property
@@ -47,10 +47,10 @@
 class Record:
     """One request from its first send to its final answer."""
 
-    work: Work
+    work: CallerRequest
     started: float = field(default_factory=time.monotonic)
     attempts: list[Attempt] = field(default_factory=list)
-    final: Reading | None = None
+    final: CallerAnswer | None = None
     ended: float = 0
     content_request_count: int = 1
     content_outcomes: set[Outcome] = field(default_factory=set)
@@ -68,7 +68,7 @@
         )
 
     @property
-    def readings(self) -> list[Reading]:
+    def readings(self) -> list[CallerAnswer]:
         """Return the answers to all attempts."""
         return [
             attempt.reading
@@ -85,7 +85,7 @@
         """
         self.attempts = [attempt for attempt in self.attempts if attempt.sends]
 
-    def finish(self, reading: Reading) -> None:
+    def finish(self, reading: CallerAnswer) -> None:
         """Set the final answer."""
         self.final = reading
         self.ended = time.monotonic()
@@ -130,7 +130,7 @@
         """Start empty."""
         self.records: list[Record] = []
 
-    def open(self, work: Work) -> Record:
+    def open(self, work: CallerRequest) -> Record:
         """Add and return the record of a new request."""
         record = Record(work)
         self.records.append(record)
@@ -144,7 +144,7 @@
         """Count the final outcomes."""
         return Counter(record.outcome for record in self.records)
 
-    def judge(
+    def check_answers(
         self,
         runs_of: Counter[str],
         run_ids: Sequence[str] = (),
--- a/tests/utils/load.py
+++ b/tests/utils/load.py
@@ -8,7 +8,7 @@
 from typing import Final
 
 from tests.utils.callers import Caller
-from tests.utils.work import Declaration, Work, WorkFactory
+from tests.utils.work import CallerRequest, Declaration, WorkFactory
 
 
 @dataclass(frozen=True)
@@ -38,7 +38,7 @@
     """One request and its send time, in seconds after the start."""
 
     at_s: float
-    work: Work
+    work: CallerRequest
 
 
 def plan(
@@ -65,7 +65,7 @@
     declaration: Declaration,
     stream: Stream,
     rng: Random,
-) -> Work:
+) -> CallerRequest:
     workspace = rng.choice(declaration.workspaces(stream.profile))
     if not stream.max_tokens[1]:
         return make.plain(
--- a/tests/utils/membership_play.py
+++ b/tests/utils/membership_simulation.py
@@ -56,7 +56,7 @@
     members: Membership
     running: bool = True
     messages: int = 0
-    largest: int = 0  # maximum number of records in a message
+    max_records: int = 0  # maximum number of records in a message
 
 
 def domain_of(index: int, domains: int) -> str:
@@ -64,7 +64,7 @@
     return f'domain-{index % domains}'
 
 
-class Play:
+class MembershipSimulation:
     """The simulation: nodes, network, VM list and event queue."""
 
     def __init__(self, size: int, seed: int = 1, domains: int = 3) -> None:
@@ -303,7 +303,7 @@
 
     def _count_message(self, node: Node, records: Sequence[Member]) -> None:
         node.messages += 1
-        node.largest = max(node.largest, len(records))
+        node.max_records = max(node.max_records, len(records))
         self.on_send(records)
 
     # ---- the VM list
--- a/tests/utils/peer_network.py
+++ b/tests/utils/peer_network.py
@@ -78,7 +78,7 @@
     cut: set[frozenset[str]] = field(default_factory=set)  # pairs of domains
     messages: int = 0
     size: int = 0  # bytes
-    crossing: int = 0  # bytes sent between domains
+    cross_domain_bytes: int = 0  # bytes sent between domains
     seconds: float = 0  # processor time
     _queue: deque[tuple[float, bytes, str, str]] = field(default_factory=deque)
 
@@ -98,24 +98,24 @@
             self._deliver()
             self._send_heartbeats()
 
-    def up(self) -> list[Vm]:
+    def running_vms(self) -> list[Vm]:
         """Return the running VMs."""
         return [vm for vm in self.vms.values() if vm.is_up]
 
-    def all_hear_all(self) -> bool:
+    def have_all_discovered(self) -> bool:
         """Whether each VM regards exactly the running VMs as alive."""
         now = self.clock.monotonic()
-        running = {vm.name for vm in self.up()}
+        running = {vm.name for vm in self.running_vms()}
         return all(
             {member.vm for member in vm.members.alive(now)}
             == running - {vm.name}
-            for vm in self.up()
+            for vm in self.running_vms()
         )
 
-    def until_all_hear_all(self, max_s: float = 10) -> float:
-        """Run until `all_hear_all`; return the virtual seconds it took."""
+    def run_until_all_discovered(self, max_s: float = 10) -> float:
+        """Run until `have_all_discovered`; return how many seconds it took."""
         started_at = self.clock.monotonic()
-        while not self.all_hear_all():
+        while not self.have_all_discovered():
             assert self.clock.monotonic() - started_at < max_s, (
                 'VMs have not discovered each other'
             )
@@ -124,7 +124,7 @@
 
     def reset_counts(self) -> None:
         """Set the traffic and processor time counters to 0."""
-        self.messages, self.size, self.crossing = 0, 0, 0
+        self.messages, self.size, self.cross_domain_bytes = 0, 0, 0
         self.seconds = 0
 
     def send(self, payload: bytes, sender: str, receiver: str) -> None:
@@ -133,7 +133,7 @@
         self.size += len(payload)
         domains = frozenset((_domain(sender), _domain(receiver)))
         if len(domains) > 1:
-            self.crossing += len(payload)
+            self.cross_domain_bytes += len(payload)
         if domains in self.cut or self.rng.random() < self.loss:
             return
         at = self.clock.monotonic() + DELAY_S
@@ -152,7 +152,7 @@
     def _send_heartbeats(self) -> None:
         started_at = process_time()
         now = self.clock.monotonic()
-        for vm in self.up():
+        for vm in self.running_vms():
             if vm.next_beat_at <= now:
                 vm.next_beat_at += HEARTBEAT_INTERVAL_S
                 vm.peers.send_round()
@@ -172,12 +172,12 @@
         """Do nothing; the network has no real socket to close."""
 
 
-def started(count: int, **options: Any) -> Network:
+def start_network(count: int, **options: Any) -> Network:
     """Start `count` VMs; return once all have discovered each other."""
     network = Network(**options)
     for number in range(count):
         network.add(number)
-    network.until_all_hear_all()
+    network.run_until_all_discovered()
     return network
 
 
--- a/tests/utils/raw_runner.py
+++ b/tests/utils/raw_runner.py
@@ -12,7 +12,7 @@
 
 
 @dataclass
-class Seen:
+class ReceivedRequest:
     """One request that the runner received, with its connection."""
 
     method: str
@@ -20,7 +20,7 @@
     headers: Mapping[str, str]
     body: bytes
     writer: asyncio.StreamWriter
-    left: asyncio.Event  # set once the connection has closed
+    closed: asyncio.Event  # set once the connection has closed
     connection: int
 
     @property
@@ -57,7 +57,7 @@
         ).encode()
 
 
-Behaviour = Callable[[Seen], Awaitable[None]]
+Behaviour = Callable[[ReceivedRequest], Awaitable[None]]
 
 
 def chunk(text: bytes) -> bytes:
@@ -70,12 +70,12 @@
     return f'id: {number}\ndata: piece {number}\n\n'.encode()
 
 
-async def answers(seen: Seen) -> None:
+async def answer_at_once(seen: ReceivedRequest) -> None:
     """Answer at once with status 200."""
     seen.writer.write(seen.answer())
 
 
-async def streams(seen: Seen) -> None:
+async def stream_three_events(seen: ReceivedRequest) -> None:
     """Stream events up to the third, after the caller's last event id."""
     first = int(seen.headers.get('last-event-id', '0')) + 1
     seen.writer.write(seen.stream_head())
@@ -90,8 +90,8 @@
 
     host: str
     name: str
-    behave: Behaviour = answers
-    seen: list[Seen] = field(default_factory=list)
+    behave: Behaviour = answer_at_once
+    seen: list[ReceivedRequest] = field(default_factory=list)
     connections: int = 0
     port: int = 0
     _server: asyncio.Server | None = None
@@ -156,7 +156,7 @@
             headers = {
                 key.decode(): text.decode() for key, text in head.headers
             }
-            seen = Seen(
+            seen = ReceivedRequest(
                 head.method.decode(),
                 head.target.decode(),
                 headers,
--- a/tests/utils/relay.py
+++ b/tests/utils/relay.py
@@ -18,7 +18,7 @@
     BOTH = TO_TARGET | FROM_TARGET
 
 
-class Link:
+class BandwidthLimit:
     """A link of limited bandwidth that several connections share."""
 
     def __init__(self, bytes_per_s: float) -> None:
@@ -47,7 +47,7 @@
         port: int,
         target_host: str,
         target_port: int,
-        links: Sequence[Link] = (),
+        links: Sequence[BandwidthLimit] = (),
     ) -> None:
         """Set both addresses; `start` listens.
 
--- a/tests/utils/scenario.py
+++ b/tests/utils/scenario.py
@@ -18,7 +18,7 @@
 from tests.utils.work import Declaration, WorkFactory
 
 CONNECTION_REFUSED = 'ConnectionRefusedError'
-LARGE_SCHOOL = 'walton-aero-club'  # may use every profile
+FULL_ACCESS_WORKSPACE = 'walton-aero-club'  # may use every profile
 
 
 class Scenario:
@@ -29,7 +29,7 @@
         self.cluster = cluster
         self.ledger = Ledger()
         self.declaration = Declaration.load(document)
-        self.make = WorkFactory(self.declaration)
+        self.work_factory = WorkFactory(self.declaration)
 
     def caller(self, first: EntryVm | None = None, **options: bool) -> Caller:
         """Return a caller that resolves addresses at `first` first."""
@@ -71,10 +71,14 @@
         )
         waits = []
         if self.cluster.runners.plains:
-            plain = self.make.plain(LARGE_SCHOOL, 'availability')
+            plain = self.work_factory.plain(
+                FULL_ACCESS_WORKSPACE, 'availability'
+            )
             waits.append(warm_up_caller.send(plain))
         if self.cluster.runners.engines:
-            bulk = self.make.engine(LARGE_SCHOOL, 'syllabus-summary', 10, 1)
+            bulk = self.work_factory.engine(
+                FULL_ACCESS_WORKSPACE, 'syllabus-summary', 10, 1
+            )
             waits.append(warm_up_caller.send(bulk))
         for record in await asyncio.gather(*waits):
             assert record.outcome is Outcome.DONE, record.describe()
@@ -87,12 +91,12 @@
             if profile in {'', record.work.profile}
         )
 
-    async def done_more(self, count: int, what: str) -> None:
+    async def wait_for_more_done(self, count: int, what: str) -> None:
         """Wait until more than `count` further requests are done."""
         goal = self.count(Outcome.DONE) + count
         await wait_until(lambda: self.count(Outcome.DONE) > goal, what)
 
-    def owner(self, service: str) -> EntryVm:
+    def find_owner(self, service: str) -> EntryVm:
         """Return the first VM whose log says that it owned a service's shard.
 
         Its scheduler may have lost the shard since.
@@ -111,10 +115,10 @@
             reason
             for record in self.ledger.records
             for attempt in record.attempts
-            for reason in attempt.broken
+            for reason in attempt.broken_reasons
         ]
 
-    def cut_answers(self) -> list[str]:
+    def interrupted_sends(self) -> list[str]:
         """Return the broken sends that the system interrupted.
 
         Refused connections are left out, as the VM never received those
@@ -131,7 +135,9 @@
     def verdict(self) -> Verdict:
         """Check all answers against the run records of the runners."""
         runners = self.cluster.runners
-        return self.ledger.judge(runners.runs_of(), runners.run_ids())
+        return self.ledger.check_answers(
+            runners.count_runs_by_content(), runners.run_ids()
+        )
 
     def _is_owned(self) -> bool:
         owned = {
--- a/tests/utils/terms_changes.py
+++ b/tests/utils/terms_changes.py
@@ -7,12 +7,12 @@
 import yaml
 
 from bramleybend.answers import Outcome
-from tests.utils.callers import post
+from tests.utils.callers import send_request
 from tests.utils.cluster import EXAMPLE
 from tests.utils.entry_vm import EntryVm
 from tests.utils.http_client import BrokenCallError, call_json
-from tests.utils.ledger import Reading
-from tests.utils.scenario import LARGE_SCHOOL, Scenario
+from tests.utils.ledger import CallerAnswer
+from tests.utils.scenario import FULL_ACCESS_WORKSPACE, Scenario
 from tests.utils.work import Declaration, WorkFactory
 
 
@@ -27,16 +27,16 @@
     return yaml.safe_dump(document)
 
 
-async def ask_under(vm: EntryVm, profile: str) -> Reading | None:
+async def send_with_profile(vm: EntryVm, profile: str) -> CallerAnswer | None:
     """Send one request of a profile to a VM, with a ticket of that VM.
 
     Returns None if the VM gave no ticket or the connection broke.
     """
     factory = WorkFactory(Declaration.load(with_profile(profile)))
-    work = factory.plain(LARGE_SCHOOL, profile)
+    work = factory.plain(FULL_ACCESS_WORKSPACE, profile)
     try:
         address_reply = await call_json('GET', f'{vm.url}/v1/address')
-        return await post(
+        return await send_request(
             f'{address_reply["ticket"]}/{work.key}',
             work,
             vm.endpoint,
@@ -46,10 +46,10 @@
         return None
 
 
-async def in_force(scene: Scenario, profile: str) -> bool:
+async def is_profile_served(scene: Scenario, profile: str) -> bool:
     """Whether every VM serves requests of the profile."""
     readings = await asyncio.gather(
-        *(ask_under(vm, profile) for vm in scene.cluster.vms),
+        *(send_with_profile(vm, profile) for vm in scene.cluster.vms),
     )
     return all(
         reading is not None and reading.outcome is Outcome.DONE
@@ -57,9 +57,9 @@
     )
 
 
-async def assert_void(scene: Scenario, profile: str) -> None:
+async def assert_profile_rejected(scene: Scenario, profile: str) -> None:
     """Assert that every VM rejects a profile that isn't in force."""
     for vm in scene.cluster.vms:
-        reading = await ask_under(vm, profile)
+        reading = await send_with_profile(vm, profile)
         assert reading is not None
         assert reading.outcome is Outcome.REJECTED, (vm.name, reading)
--- a/tests/utils/test_callers.py
+++ b/tests/utils/test_callers.py
@@ -19,13 +19,13 @@
     json_response,
 )
 from tests.utils.ledger import Ledger
-from tests.utils.work import Work
+from tests.utils.work import CallerRequest
 
 DONE_HEADERS = {'Bramleybend-Outcome': 'done'}
 
 
-def _plain_work(deadline_s: float = 5) -> Work:
-    return Work(
+def _plain_work(deadline_s: float = 5) -> CallerRequest:
+    return CallerRequest(
         'a-club',
         'booking-app',
         'slot-claim',
@@ -36,8 +36,8 @@
     )
 
 
-def _streamed_work() -> Work:
-    return Work(
+def _streamed_work() -> CallerRequest:
+    return CallerRequest(
         'a-club',
         'briefing-llm',
         'debrief',
@@ -95,7 +95,7 @@
 
 
 async def _stream_events(
-    work: Work, *final_events: str
+    work: CallerRequest, *final_events: str
 ) -> AsyncGenerator[bytes, None]:
     for index in range(work.max_tokens):
         token = {'index': index, 'text': token_text(work.content, index)}
@@ -104,7 +104,7 @@
         yield final_event.encode()
 
 
-def _stream_response(work: Work, *final_events: str) -> HttpResponse:
+def _stream_response(work: CallerRequest, *final_events: str) -> HttpResponse:
     return HttpResponse(
         headers={'Content-Type': 'text/event-stream'},
         stream=_stream_events(work, *final_events),
@@ -122,7 +122,7 @@
     record = await _caller(gateway, ledger).send(work)
     assert record.outcome is Outcome.DONE
     assert len(set(gateway.ids)) == 1
-    assert ledger.judge(Counter({work.content: 1})).is_clean
+    assert ledger.check_answers(Counter({work.content: 1})).is_clean
 
 
 async def test_a_request_not_run_comes_back_under_a_new_id(
@@ -140,7 +140,7 @@
     ledger = Ledger()
     await _caller(gateway, ledger).send(work)
     assert len(set(gateway.ids)) == 2
-    assert ledger.judge(Counter({work.content: 1})).sent == 1
+    assert ledger.check_answers(Counter({work.content: 1})).sent == 1
 
 
 async def test_a_return_that_is_never_sent_leaves_the_answer_before(
@@ -201,7 +201,7 @@
     gateway.script = [foreign]
     ledger = Ledger()
     await _caller(gateway, ledger).send(work)
-    assert len(ledger.judge(Counter({work.content: 2})).wrong) == 2
+    assert len(ledger.check_answers(Counter({work.content: 2})).wrong) == 2
 
     not_run = json_response(
         {'outcome': 'not_run', 'reason': '', 'retry_after_s': 9},
@@ -211,7 +211,7 @@
     gateway.script = [not_run]
     false_claim = Ledger()
     await _caller(gateway, false_claim).send(work)
-    assert len(false_claim.judge(Counter({work.content: 1})).wrong) == 1
+    assert len(false_claim.check_answers(Counter({work.content: 1})).wrong) == 1
 
 
 async def test_a_request_without_an_answer_is_lost(
@@ -221,4 +221,4 @@
     gateway.script = [None] * 100
     ledger = Ledger()
     await _caller(gateway, ledger).send(_plain_work(deadline_s=0.3))
-    assert ledger.judge(Counter()).lost == 1
+    assert ledger.check_answers(Counter()).lost == 1
--- a/tests/utils/work.py
+++ b/tests/utils/work.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True)
-class Work:
+class CallerRequest:
     """One request of a caller; retries send it under further request ids."""
 
     workspace: str
@@ -99,10 +99,12 @@
         """Use the tiers and services of `declaration`."""
         self._declaration = declaration
 
-    def plain(self, workspace: str, profile: str, **options: Any) -> Work:
+    def plain(
+        self, workspace: str, profile: str, **options: Any
+    ) -> CallerRequest:
         """Make a booking request for a plain service."""
         booking = {'slot': uuid.uuid4().hex, 'aircraft': 'AP-BHK'}
-        return Work(
+        return CallerRequest(
             **self._profile_fields(workspace, profile),
             body=json.dumps(booking).encode(),
             **options,
@@ -117,7 +119,7 @@
         is_streamed: bool = True,
         marker: str = '',
         **options: Any,
-    ) -> Work:
+    ) -> CallerRequest:
         """Make a completion request: a workspace's shared prefix, then new text.
 
         The prompt has about `prompt_tokens` tokens and contains `marker`.
@@ -128,7 +130,7 @@
             'max_tokens': max_tokens,
             'stream': is_streamed,
         }
-        return Work(
+        return CallerRequest(
             **self._profile_fields(workspace, profile),
             body=json.dumps(body).encode(),
             prompt=prompt,
