--- a/tests/utils/ledger.py
+++ b/tests/utils/ledger.py
@@ -241,7 +241,7 @@
 
 
 def _repeated_runs(record: Record, runs: int) -> list[str]:
-    """Find request request_counts that ran twice and content that ran too often."""
+    """Find request ids that ran twice and content that ran too often."""
     found = [
         f'a request id ran {attempt.runs} times, allowed is at most once'
         for attempt in record.attempts
