--- a/bramleybend/clients/engine_orders.py
+++ b/bramleybend/clients/engine_client.py
@@ -1,4 +1,7 @@
-"""Asks engines what they hold and orders them to hold something else."""
+"""Client of engines: reads their state and load, and sends them orders.
+
+Orders load a model or adapter, or change an engine's role.
+"""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -25,7 +28,7 @@
 
 
 class StateBody(BaseModel):
-    """`GET /v1/state`."""
+    """Response to `GET /v1/state`."""
 
     model: str
     version: str
@@ -35,7 +38,7 @@
 
 
 class LoadBody(BaseModel):
-    """`GET /v1/load`."""
+    """Response to `GET /v1/load`."""
 
     running: int
     waiting: int
@@ -43,44 +46,46 @@
 
 
 @dataclass(frozen=True)
-class ReportedWork:
-    """How much an engine ran, and how long ago it looked."""
+class EngineLoad:
+    """Number of an engine's runs, and the age of that count."""
 
     runs: int
     age_s: float
 
 
-class EngineOrders(Protocol):
-    """What an issuer asks of engines."""
+class EngineClient(Protocol):
+    """Calls to engines that the issuer of orders makes."""
 
-    async def state(self, vm: Vm) -> Result[EngineState, Problem]:
-        """Return what the engine holds now."""
+    async def fetch_state(self, vm: Vm) -> Result[EngineState, Problem]:
+        """Return the model, adapters and role that the engine now has."""
 
-    async def work(self, vm: Vm) -> Result[ReportedWork, Problem]:
-        """Return how much it runs; the report is late."""
+    async def fetch_load(self, vm: Vm) -> Result[EngineLoad, Problem]:
+        """Return the number of its runs, as of a moment ago."""
 
-    async def send(
+    async def send_order(
         self,
         vm: Vm,
         fence: int,
         order: Order,
     ) -> Result[None, Problem]:
-        """Give one order.
+        """Send one order.
 
-        `CONFLICT`: the engine has had an order with a higher fence.
-        `RUNNER_REFUSED`: it won't carry it out. Any other kind: it may have
-        taken the order or not; read its state.
+        `CONFLICT`: the engine has received an order with a higher fence.
+        `RUNNER_REFUSED`: the engine rejects the order. After any other error,
+        the engine may have accepted it; read its state to find out.
         """
 
 
-class HttpEngineOrders:
-    """Orders over HTTP; holds no state between calls."""
+class HttpEngineClient:
+    """Sends orders over HTTP; keeps no state between calls."""
 
-    async def state(self, vm: Vm) -> Result[EngineState, Problem]:
-        """Return what the engine holds now."""
-        answer = await _api(vm).call('GET', '/v1/state')
+    async def fetch_state(self, vm: Vm) -> Result[EngineState, Problem]:
+        """Return the model, adapters and role that the engine now has."""
+        call_result = await _engine_api(vm).call('GET', '/v1/state')
         return (
-            answer.and_then(lambda reply: _parsed(vm, reply, StateBody))
+            call_result.and_then(
+                lambda reply: _parse_report(vm, reply, StateBody)
+            )
         ).map(
             lambda body: EngineState(
                 body.model,
@@ -91,35 +96,37 @@
             ),
         )
 
-    async def work(self, vm: Vm) -> Result[ReportedWork, Problem]:
-        """Return how much it runs; the report is late."""
-        answer = await _api(vm).call('GET', '/v1/load')
+    async def fetch_load(self, vm: Vm) -> Result[EngineLoad, Problem]:
+        """Return the number of its runs, as of a moment ago."""
+        call_result = await _engine_api(vm).call('GET', '/v1/load')
         return (
-            answer.and_then(lambda reply: _parsed(vm, reply, LoadBody))
+            call_result.and_then(
+                lambda reply: _parse_report(vm, reply, LoadBody)
+            )
         ).map(
-            lambda body: ReportedWork(
+            lambda body: EngineLoad(
                 body.running + body.waiting,
                 body.age_ms / MILLISECONDS,
             ),
         )
 
-    async def send(
+    async def send_order(
         self,
         vm: Vm,
         fence: int,
         order: Order,
     ) -> Result[None, Problem]:
-        """Give one order; see `EngineOrders.send` for the kinds of problem."""
-        answer = await _api(vm).call(
+        """Send one order; see `EngineClient.send_order` for the errors."""
+        call_result = await _engine_api(vm).call(
             'POST',
             '/v1/orders',
             {'fence': fence, **order_fields(order)},
         )
-        return answer.and_then(lambda reply: _accepted(vm, reply))
+        return call_result.and_then(lambda reply: _check_accepted(vm, reply))
 
 
 def order_fields(order: Order) -> Mapping[str, str]:
-    """Return an order's kind and arguments as engines read them."""
+    """Return an order's kind and arguments in the engines' JSON format."""
     match order:
         case LoadModel(name, version):
             return {'kind': 'load_model', 'name': name, 'version': version}
@@ -129,24 +136,24 @@
             return {'kind': 'set_role', 'role': role.value}
 
 
-def _api(vm: Vm) -> HttpApi:
+def _engine_api(vm: Vm) -> HttpApi:
     return HttpApi(f'http://{vm.endpoint}', ENGINE_TIMEOUT_S)
 
 
-def _parsed(
+def _parse_report(
     vm: Vm,
     response: HttpResponse,
     body: type[Body],
 ) -> Result[Body, Problem]:
     if response.status != HTTPStatus.OK:
-        return Err(_broken(vm, f'answered {response.status}'))
+        return Err(_broken_problem(vm, f'answered {response.status}'))
     try:
         return Ok(body.model_validate_json(response.body))
     except ValidationError:
-        return Err(_broken(vm, 'sent a report with other fields'))
+        return Err(_broken_problem(vm, 'sent a report with other fields'))
 
 
-def _accepted(vm: Vm, response: HttpResponse) -> Result[None, Problem]:
+def _check_accepted(vm: Vm, response: HttpResponse) -> Result[None, Problem]:
     match response.status:
         case HTTPStatus.OK:
             return Ok(None)
@@ -166,12 +173,12 @@
                 'publish a model, version, adapters and role that it knows',
             ),
         )
-    return Err(_broken(vm, f'answered an order with {response.status}'))
+    return Err(_broken_problem(vm, f'answered an order with {response.status}'))
 
 
-def _broken(vm: Vm, fact: str) -> Problem:
+def _broken_problem(vm: Vm, description: str) -> Problem:
     return Problem(
         ErrorKind.RUNNER_BROKEN,
-        f'{vm.name} {fact}',
+        f'{vm.name} {description}',
         'check that the engine answers as docs/PLATFORM.md says',
     )
--- a/bramleybend/clients/http.py
+++ b/bramleybend/clients/http.py
@@ -1,8 +1,8 @@
-"""One HTTP exchange over a connection of its own, by h11.
+"""HTTP client that uses a new connection for each exchange, based on h11.
 
-The caller of an exchange must know whether a failed request may have had an
-effect. So connecting, sending and reading are separate steps: a failure to
-connect wrote nothing, any later one may have been acted on.
+Connecting, sending and reading are separate steps, so that a failure tells
+whether the request may have had an effect: a failure to connect sent nothing;
+after any later failure, the peer may have processed the request.
 """
 
 import asyncio
@@ -29,17 +29,17 @@
 DEFAULT_PORT: Final = 80
 CONNECT_TIMEOUT_S: Final = 1.0
 MAX_BODY: Final = 2**24  # bytes
-ANSWER_BOUNDS: Final = MessageBounds(message_bytes=MAX_BODY)
+RESPONSE_BOUNDS: Final = MessageBounds(message_bytes=MAX_BODY)
 # `TimeoutError` is an `OSError`.
-BROKEN: Final = (OSError, h11.ProtocolError, EOFError)
-CALL_FAILURES: Final = (*BROKEN, ProblemError)
+EXCHANGE_ERRORS: Final = (OSError, h11.ProtocolError, EOFError)
+CALL_ERRORS: Final = (*EXCHANGE_ERRORS, ProblemError)
 
 Headers: TypeAlias = Sequence[tuple[str, str]]
 
 
 @dataclass(frozen=True)
 class HttpResponse:
-    """A whole answer: status, headers in lower case, body."""
+    """A response: status, headers by name in lower case, and body."""
 
     status: int
     headers: Mapping[str, str]
@@ -47,24 +47,24 @@
 
     @property
     def framing(self) -> Framing:
-        """Tell what marks the end of the body."""
+        """How the end of the body is determined."""
         return framing_of(self.headers)
 
 
 class Exchange:
-    """Sends one request and reads its answer; owns its connection."""
+    """Sends one request and reads its response; owns the connection."""
 
     def __init__(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Take over an open connection."""
+        """Use an open connection."""
         self._reader = reader
         self._writer = writer
         self._http = h11.Connection(h11.CLIENT)
-        self._meter = MessageMeter(ANSWER_BOUNDS)
-        self._received = 0
+        self._meter = MessageMeter(RESPONSE_BOUNDS)
+        self._received_bytes = 0
 
     async def send(
         self,
@@ -92,8 +92,12 @@
         self._writer.write(b''.join(part for part in parts if part))
         await self._writer.drain()
 
-    async def head(self) -> HttpResponse:
-        """Read status and headers; the body is left to `chunks`."""
+    async def read_head(self) -> HttpResponse:
+        """Read status and headers; `iter_body` reads the body.
+
+        The result's body is empty. Raises `EOFError` if the peer closes the
+        connection first.
+        """
         event = await self._next_event()
         while isinstance(event, h11.InformationalResponse):
             self._meter.add_filler(head_bytes(event))
@@ -106,8 +110,8 @@
         }
         return HttpResponse(event.status_code, headers, b'')
 
-    async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body; raises if its framing shows that it was cut."""
+    async def iter_body(self) -> AsyncIterator[bytes]:
+        """Yield the parts of the body; raises if it is truncated."""
         event = await self._next_event()
         while isinstance(event, h11.Data):
             self._meter.add_content(len(event.data))
@@ -117,22 +121,22 @@
             raise EOFError('the connection ended within an answer')
 
     def close(self) -> None:
-        """Drop the connection, whatever state it is in."""
+        """Close the connection in any state of the exchange."""
         self._writer.close()
 
     async def _next_event(self) -> object:
         event = self._http.next_event()
         while event is h11.NEED_DATA:
-            self._meter.note_received(self._received)
-            came = await self._reader.read(READ_SIZE)
-            self._received += len(came)
-            self._http.receive_data(came)
+            self._meter.note_received(self._received_bytes)
+            received = await self._reader.read(READ_SIZE)
+            self._received_bytes += len(received)
+            self._http.receive_data(received)
             event = self._http.next_event()
         return event
 
 
 async def connect(host: str, port: int) -> Exchange:
-    """Open a connection; an `OSError` here means nothing was sent."""
+    """Open a connection; an `OSError` means that nothing was sent."""
     try:
         async with patience(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, port)
@@ -142,10 +146,10 @@
 
 
 class HttpApi:
-    """A JSON interface at a base URL, each call within a time limit."""
+    """Client of a JSON API on one host, with a timeout for each call."""
 
     def __init__(self, url: str, timeout_s: float) -> None:
-        """Name the interface; nothing is opened yet."""
+        """Set host and port from `url`; each call opens a connection."""
         parts = urlsplit(url)
         self._host = parts.hostname or ''
         self._port = parts.port or DEFAULT_PORT
@@ -156,31 +160,37 @@
         method: str,
         target: str,
         payload: object = None,
-        extra_s: float = 0,
+        extra_timeout_s: float = 0,
         *,
-        is_patient: bool = False,
+        is_stall_tolerant: bool = False,
     ) -> Result[HttpResponse, Problem]:
-        """Send and read whole.
+        """Send a request, with `payload` as JSON, and read the response.
 
-        `PEER_UNAVAILABLE` wrote nothing; `TIMEOUT` may have been acted on.
-        With `is_patient`, an answer that came while this process stood still
-        is taken; it may be as old as the pause, so not for news.
+        After `PEER_UNAVAILABLE` nothing was sent; after `TIMEOUT`, the peer
+        may have processed the request. `extra_timeout_s` extends the timeout.
+        With `is_stall_tolerant`, a response that arrived while this process
+        was suspended is accepted even if the timeout has passed. It may be as
+        old as the suspension, so calls that need current data don't set this.
         """
         try:
             exchange = await connect(self._host, self._port)
         except OSError as exc:
-            return Err(self._problem(ErrorKind.PEER_UNAVAILABLE, exc))
+            return Err(self._make_problem(ErrorKind.PEER_UNAVAILABLE, exc))
         body = b'' if payload is None else json.dumps(payload).encode()
         try:
-            asking = _asked(exchange, method, target, body)
-            limit_s = self._timeout_s + extra_s
-            return Ok(await _limited(limit_s, asking, is_patient=is_patient))
-        except CALL_FAILURES as exc:
-            return Err(self._problem(ErrorKind.TIMEOUT, exc))
+            exchanging = _send_and_read(exchange, method, target, body)
+            timeout_s = self._timeout_s + extra_timeout_s
+            return Ok(
+                await _with_timeout(
+                    timeout_s, exchanging, is_stall_tolerant=is_stall_tolerant
+                )
+            )
+        except CALL_ERRORS as exc:
+            return Err(self._make_problem(ErrorKind.TIMEOUT, exc))
         finally:
             exchange.close()
 
-    def _problem(self, kind: ErrorKind, exc: Exception) -> Problem:
+    def _make_problem(self, kind: ErrorKind, exc: Exception) -> Problem:
         return Problem(
             kind,
             f'{self._host}:{self._port} failed: {str(exc) or type(exc).__name__}',
@@ -188,31 +198,34 @@
         )
 
 
-async def _asked(
+async def _send_and_read(
     exchange: Exchange, method: str, target: str, body: bytes
 ) -> HttpResponse:
     await exchange.send(method, target, (), body)
-    return await read_whole(exchange)
+    return await read_response(exchange)
 
 
-async def _limited(
-    limit_s: float,
-    asking: Coroutine[Any, Any, HttpResponse],
+async def _with_timeout(
+    timeout_s: float,
+    exchanging: Coroutine[Any, Any, HttpResponse],
     *,
-    is_patient: bool,
+    is_stall_tolerant: bool,
 ) -> HttpResponse:
-    if is_patient:
-        return await within(limit_s, asking)
-    async with asyncio.timeout(limit_s):
-        return await asking
+    if is_stall_tolerant:
+        return await within(timeout_s, exchanging)
+    async with asyncio.timeout(timeout_s):
+        return await exchanging
+
 
+async def read_response(exchange: Exchange) -> HttpResponse:
+    """Read status, headers and body.
 
-async def read_whole(exchange: Exchange) -> HttpResponse:
-    """Read head and body, up to `MAX_BODY`."""
-    head = await exchange.head()
+    Raises `ProblemError` if the body is larger than `MAX_BODY` bytes.
+    """
+    head = await exchange.read_head()
     parts: list[bytes] = []
     size = 0
-    async for chunk in exchange.chunks():
+    async for chunk in exchange.iter_body():
         parts.append(chunk)
         size += len(chunk)
         if size > MAX_BODY:
@@ -227,7 +240,7 @@
 
 
 async def close_writer(writer: asyncio.StreamWriter) -> None:
-    """Close a connection that may be broken already."""
+    """Close a connection; errors of one that is broken are ignored."""
     writer.close()
     with suppress(OSError):
         await writer.wait_closed()
--- a/bramleybend/clients/runner.py
+++ b/bramleybend/clients/runner.py
@@ -1,8 +1,9 @@
-"""Runs one request on a runner: an engine or a plain service.
+"""Client of runners: sends, resumes and cancels runs.
 
-Each run carries a run id of our own. An engine that has admitted an id
-refuses it a second time, and resumes its stream from any event, so a broken
-connection never needs a second dispatch.
+A runner is an engine or a plain service. This system gives each run an id. An
+engine refuses an id that it has already admitted, and can resume the stream of
+a run from any event, so a run is not dispatched again after its connection
+breaks.
 """
 
 import asyncio
@@ -14,11 +15,11 @@
 from typing import Final
 
 from bramleybend.clients.http import (
-    BROKEN,
+    EXCHANGE_ERRORS,
     Exchange,
     HttpResponse,
     connect,
-    read_whole,
+    read_response,
 )
 from bramleybend.clients.message_bounds import (
     EVENT_BYTES,
@@ -28,13 +29,13 @@
 )
 from bramleybend.models import ServiceKind
 
-RUN_ID: Final = 'X-Run-Id'
-NOT_RUN_MARK: Final = 'x-not-run'
+RUN_ID_HEADER: Final = 'X-Run-Id'
+NOT_RUN_HEADER: Final = 'x-not-run'
 DONE_EVENT: Final = b'data: [DONE]'
 DATA_FIELD: Final = b'data: '
 EVENT_END: Final = b'\n\n'
 CANCEL_TIMEOUT_S: Final = 2.0
-REFUSALS: Final = frozenset(
+REFUSAL_STATUSES: Final = frozenset(
     (
         HTTPStatus.TOO_MANY_REQUESTS,
         HTTPStatus.SERVICE_UNAVAILABLE,
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True)
 class Usage:
-    """What an engine says a run cost, in tokens."""
+    """Token counts of a run, as its engine reports them."""
 
     prompt_tokens: int = 0
     cached_tokens: int = 0
@@ -53,7 +54,7 @@
 
 @dataclass(frozen=True)
 class RunnerAddress:
-    """Where a run goes and how it is spoken to."""
+    """Address of a runner, and its kind, which determines the protocol."""
 
     host: str
     port: int
@@ -61,8 +62,8 @@
 
 
 @dataclass(frozen=True)
-class RunBody:
-    """What is sent: the caller's bytes under our run id."""
+class RunRequest:
+    """A run's id and the body of its caller's request."""
 
     run_id: str
     body: bytes
@@ -71,14 +72,20 @@
 async def send_run(
     exchange: Exchange,
     kind: ServiceKind,
-    run: RunBody,
+    run: RunRequest,
 ) -> None:
-    """Send a run; from the first byte on it counts as dispatched."""
+    """Send a run, which counts as dispatched from its first byte on.
+
+    Errors of the connection are raised by the next read of the exchange.
+    """
     target = '/v1/completions' if kind is ServiceKind.ENGINE else '/call'
-    headers = ((RUN_ID, run.run_id), ('Content-Type', 'application/json'))
-    with suppress(*BROKEN):
-        # Part of the request may have been read, so a broken send is no
-        # proof that nothing ran; the next read of the exchange fails.
+    headers = (
+        (RUN_ID_HEADER, run.run_id),
+        ('Content-Type', 'application/json'),
+    )
+    with suppress(*EXCHANGE_ERRORS):
+        # The runner may have read enough of the request to run it, so a
+        # failed send doesn't prove that nothing ran.
         await exchange.send('POST', target, headers, run.body)
 
 
@@ -87,49 +94,52 @@
     run_id: str,
     start: int,
 ) -> Exchange:
-    """Ask an engine for a run's events from `start` on."""
+    """Request a run's events from number `start` on from its engine."""
     exchange = await connect(address.host, address.port)
     await exchange.send('GET', f'/v1/runs/{run_id}/events?from={start}')
     return exchange
 
 
 async def cancel_run(address: RunnerAddress, run_id: str) -> bool:
-    """Stop a run; true once the engine has said that it is over."""
+    """Cancel a run; return whether its engine confirmed that it ended.
+
+    Only engines can cancel runs.
+    """
     if address.kind is not ServiceKind.ENGINE:
         return False
-    with suppress(*BROKEN):
+    with suppress(*EXCHANGE_ERRORS):
         async with asyncio.timeout(CANCEL_TIMEOUT_S):
             exchange = await connect(address.host, address.port)
             try:
                 await exchange.send('POST', f'/v1/runs/{run_id}/cancel')
-                response = await read_whole(exchange)
+                response = await read_response(exchange)
             finally:
                 exchange.close()
             return response.status == HTTPStatus.OK
     return False
 
 
-def was_refused(head: HttpResponse, kind: ServiceKind) -> bool:
-    """Whether the runner says that nothing ran."""
-    if head.status not in REFUSALS:
+def is_refusal(head: HttpResponse, kind: ServiceKind) -> bool:
+    """Tell whether a response states that the request was not run."""
+    if head.status not in REFUSAL_STATUSES:
         return False
-    return kind is ServiceKind.ENGINE or NOT_RUN_MARK in head.headers
+    return kind is ServiceKind.ENGINE or NOT_RUN_HEADER in head.headers
 
 
-async def events_of(exchange: Exchange) -> AsyncIterator[bytes]:
-    """Yield whole server-sent events; a torn last one is never yielded.
+async def iter_events(exchange: Exchange) -> AsyncIterator[bytes]:
+    """Yield complete server-sent events, without a truncated last one.
 
-    Raises `MessageTooLongError` where an event, or the stream, has no end.
+    Raises `MessageTooLongError` if an event or the stream is too long.
     """
     meter = MessageMeter(USUAL_BOUNDS)
     pending = bytearray()
-    async for chunk in exchange.chunks():
-        searched = max(len(pending) - 1, 0)
+    async for chunk in exchange.iter_body():
+        search_start = max(len(pending) - 1, 0)
         pending += chunk
-        if pending.find(EVENT_END, searched) >= 0:
-            *whole, rest = bytes(pending).split(EVENT_END)
-            pending = bytearray(rest)
-            for event in whole:
+        if pending.find(EVENT_END, search_start) >= 0:
+            *events, remainder = bytes(pending).split(EVENT_END)
+            pending = bytearray(remainder)
+            for event in events:
                 meter.add_content(len(event))
                 yield event
         if len(pending) > EVENT_BYTES:
@@ -137,7 +147,7 @@
 
 
 def is_json(body: bytes) -> bool:
-    """Tell whether a body is one whole JSON text."""
+    """Tell whether a body is a complete JSON document."""
     try:
         json.loads(body)
     except ValueError:
@@ -145,8 +155,8 @@
     return True
 
 
-def usage_in(payload: bytes) -> Usage | None:
-    """Return the usage that an event or a body carries, if any."""
+def parse_usage(payload: bytes) -> Usage | None:
+    """Return the token counts in an event or body; `None` if absent."""
     if b'"usage"' not in payload:
         return None
     try:
--- a/bramleybend/decisions/routing.py
+++ b/bramleybend/decisions/routing.py
@@ -1,15 +1,15 @@
-"""Which shard of a service a gateway asks.
-
-Load pattern: prefixes shared by many requests, asked for by gateways that
-each hold a stale view of the shards.
-Without it: requests with one prefix are spread over all shards and each
-prefills it again; or all gateways send to the shard that looked idle last.
-
-Shards are ranked by rendezvous hash on the prefix, so that all gateways agree
-without talking. The first choice is left only when it looks overcommitted by
-`MOST_LOAD` times the mean; the next is the less loaded of two by random, as
-stale loads make the least loaded one a target for all. `MOST_LOAD` is the
-usual bound of bounded-load hashing, not tuned by a run here.
+"""Selection of the shard of a service that a gateway asks.
+
+Load pattern: prefixes shared by many requests, sent by gateways that each hold
+a stale view of the shards.
+Without it: requests with one prefix are spread over all shards, and each shard
+prefills it again; or all gateways send to the shard that last looked idle.
+
+Shards are ranked by a rendezvous hash of the prefix, so that all gateways agree
+without communication. The first choice is skipped only if its load exceeds the
+mean by a factor of `MAX_LOAD_RATIO`; the next is the less loaded of two random
+shards, since stale loads would make the least loaded shard the target of all
+gateways.
 """
 
 from collections.abc import Sequence
@@ -21,8 +21,8 @@
 from bramleybend.decisions.prefixes import routing_key
 from bramleybend.models import Ask
 
-MOST_LOAD = 1.25  # of the mean; the bound of bounded-load hashing
-STALE_S = 5.0  # older loads count as unknown
+MAX_LOAD_RATIO = 1.25  # of the mean; the usual bound of bounded-load hashing
+MAX_VIEW_AGE_S = 5.0  # older loads count as unknown
 
 
 def rank_shards(
@@ -30,31 +30,31 @@
     shards: Sequence[ShardView],
     rng: Random,
 ) -> list[int]:
-    """Order the shards to ask, best first."""
+    """Return the shards of a request's service to ask, best first."""
     views = [view for view in shards if view.service == ask.service]
     if not views:
         return []
     mean = sum(_load(view) for view in views) / len(views)
-    ranked = sorted(views, key=lambda view: _weight(ask, view), reverse=True)
+    ranked = sorted(views, key=lambda view: _score(ask, view), reverse=True)
     first = ranked[0]
-    most = max(mean, 1) * MOST_LOAD
-    if len(ranked) > 1 and _load(first) > most:
+    max_load = max(mean, 1) * MAX_LOAD_RATIO
+    if len(ranked) > 1 and _load(first) > max_load:
         ranked = _less_loaded_first(ranked[1:], rng) + [first]
     return [view.shard for view in ranked]
 
 
 def _less_loaded_first(views: list[ShardView], rng: Random) -> list[ShardView]:
-    pair = rng.sample(views, min(2, len(views)))
-    chosen = min(pair, key=_load)
+    sample = rng.sample(views, min(2, len(views)))
+    chosen = min(sample, key=_load)
     return [chosen] + [view for view in views if view is not chosen]
 
 
 def _load(view: ShardView) -> float:
-    if not 0 <= view.age_s <= STALE_S:
+    if not 0 <= view.age_s <= MAX_VIEW_AGE_S:
         return 1
     return (view.running + view.waiting) / max(view.limit, 1)
 
 
-def _weight(ask: Ask, view: ShardView) -> int:
+def _score(ask: Ask, view: ShardView) -> int:
     key = routing_key(ask.prefixes, ask.request_id)
     return xxh64_intdigest(f'{key}/{view.service}/{view.shard}'.encode())
--- a/bramleybend/direct/process.py
+++ b/bramleybend/direct/process.py
@@ -1,4 +1,4 @@
-"""One entry VM's program: all parts of the raw path, and how it stops."""
+"""The program of an entry VM: builds, starts and stops its components."""
 
 import asyncio
 import logging
@@ -11,61 +11,66 @@
 from bramleybend.clock import Clock
 from bramleybend.decisions.allotments import make_allotment_book
 from bramleybend.decisions.resends import ResendBudget, ResendTerms
+from bramleybend.direct.admission import AdmissionControl
 from bramleybend.direct.book import Book
 from bramleybend.direct.channels import RunnerChannels
 from bramleybend.direct.containment import Containment
-from bramleybend.direct.dialect import Dialect
 from bramleybend.direct.feed import Feed
+from bramleybend.direct.header_codec import HeaderCodec
 from bramleybend.direct.ingress import Ingress
-from bramleybend.direct.intake import Intake
-from bramleybend.direct.job import Parts
-from bramleybend.direct.listener import PeerListener, Tables
+from bramleybend.direct.job import Components
 from bramleybend.direct.members import Members, Self
 from bramleybend.direct.meters import Meters
 from bramleybend.direct.models import IngressLimits, RunnerEntry
+from bramleybend.direct.peer_message_handler import (
+    PeerMessageHandler,
+    SharedTables,
+)
 from bramleybend.direct.peers import Peers
 from bramleybend.direct.placing import Placer
 from bramleybend.direct.queues import make_queues
-from bramleybend.direct.service import DirectService
+from bramleybend.direct.request_handler import RequestHandler
 from bramleybend.direct.suspension import WatchedSleep
 from bramleybend.entry_settings import ENTRY, EntrySettings
 from bramleybend.events import EventLog
 from bramleybend.identity import make_identity
 from bramleybend.settings_parsing import FILE_FIELD, env_of, parse_program
 
-SWEEP_S: Final = 0.2
-# Callers keep an answer of the directory for up to three times its lifetime;
-# until then they come over kept connections, and are served.
-TAKE_NEW_S: Final = 2.6
-# New connections are still taken while callers may not have asked again.
-LISTEN_S: Final = 1.6
-STOP_POLL_S: Final = 0.05
-# Before the platform kills the process.
+SWEEP_EVERY_S: Final = 0.2
+# In a drain, requests are accepted for this long. Callers cache an answer of
+# the directory for up to three times its lifetime, and until then may send
+# requests on open connections.
+ACCEPT_REQUESTS_S: Final = 2.6
+# In a drain, new connections are accepted for this long, as callers may not
+# have asked the directory again.
+ACCEPT_CONNECTIONS_S: Final = 1.6
+DRAIN_POLL_S: Final = 0.05
+# A drain ends this long before the platform kills the process.
 KILL_MARGIN_S: Final = 0.5
-# Of the connections that a runner takes from all VMs; the rest is left to
-# VMs that come up and to connections that only one end has closed.
+# Share of the connections that a runner accepts from all VMs together. The rest
+# is left for VMs that start and for connections that only one end has closed.
 CONNECTION_SHARE: Final = 0.8
 
 logger = logging.getLogger(__name__)
 
 
 class EntryProcess:
-    """The composition; starts and stops its parts."""
+    """Builds the components of an entry VM; starts and stops them."""
 
     def __init__(
         self,
         cfg: EntrySettings,
         clock: Clock,
-        dialect: Dialect,
+        header_codec: HeaderCodec,
         rng: Random,
     ) -> None:
-        """Put the parts together."""
+        """Build the components; nothing is started yet."""
         self._cfg = cfg
         self._clock = clock
         self.identity = make_identity(cfg.vm, cfg.domain, cfg.address)
         self.events = EventLog(cfg.vm, self.identity.incarnation, clock, kept=0)
         self.book = Book(clock, self.events)
-        self.meters = Meters(self._readings())
+        self.meters = Meters(self._gauges())
         self.members = Members(
             Self(
                 cfg.vm,
@@ -97,70 +102,77 @@
         self._channels = RunnerChannels(
             clock, cfg.answer_bounds(), cfg.answer_memory()
         )
-        self._channels.most = self._most_connections
-        tables = Tables(
+        self._channels.max_connections = self._max_connections
+        tables = SharedTables(
             self.members,
             self.placer,
             self._queues,
             self._allotments,
             self._containment,
         )
-        self._listener = PeerListener(tables, self._state, clock)
+        self._message_handler = PeerMessageHandler(
+            tables, self._readiness, clock
+        )
         self.peers = Peers(
             self.members,
             self._queues.engines,
-            self._listener,
+            self._message_handler,
             cfg.peer_port,
             clock,
             self.events,
         )
         self.peers.add_seeds(cfg.seed_addresses())
         self.placer.send = self.peers.send
-        self._service = DirectService(self._parts(dialect, rng))
+        self._request_handler = RequestHandler(
+            self._make_components(header_codec, rng)
+        )
         self.ingress = Ingress(
-            self._service.handle, self._limits, clock, self._service.refused
+            self._request_handler.handle,
+            self._ingress_limits,
+            clock,
+            self._request_handler.record_unreadable,
         )
         self._tasks: list[asyncio.Task[None]] = []
-        self.stopping = asyncio.Event()
-        self.leaving = False
-        self.swept: Callable[[], None] = _nothing
-        self.book.listen(self._book_changed)
+        self.stop_requested = asyncio.Event()
+        self.is_leaving = False
+        self.on_sweep: Callable[[], None] = _ignore_sweep
+        self.book.add_listener(self._book_changed)
 
     def is_ready(self) -> bool:
-        """Tell whether callers should come here."""
-        return self.book.complete and not self.leaving
+        """Return whether this VM accepts callers."""
+        return self.book.is_complete and not self.is_leaving
 
-    def fronts(self) -> list[str]:
-        """Return the addresses that callers may use now."""
+    def front_addresses(self) -> list[str]:
+        """Return the addresses of all VMs that accept callers now."""
         others = self.members.serving(self._clock.monotonic())
-        fronts = [member.front for member in others]
+        addresses = [member.front for member in others]
         if self.is_ready():
-            fronts.append(self.members.own.front)
-        return sorted(fronts)
+            addresses.append(self.members.own.front)
+        return sorted(addresses)
 
     async def start(self) -> None:
-        """Listen and follow."""
+        """Bind the sockets and start the background tasks."""
         await self.peers.start(self._cfg.address)
         await self.ingress.start(self._cfg.front.host, self._cfg.front.port)
         self.spawn(self.peers.run())
-        self.spawn(self._sweep())
+        self.spawn(self._sweep_queues())
         self.spawn(self._queues.log.run())
         self.events.record('started', **self._cfg.shown())
 
-    def follow(self, feed: Feed) -> None:
-        """Follow a log of the platform, and tell the others of it."""
-        feed.turns.ranks_first = self.members.ranks_first
-        self._listener.feeds.append(feed)
+    def follow_feed(self, feed: Feed) -> None:
+        """Follow a log of the platform and report progress to other VMs."""
+        feed.store_schedule.ranks_first = self.members.ranks_first
+        self._message_handler.feeds.append(feed)
         self.spawn(feed.run())
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run a part until the process stops; its failure stops it."""
+        """Run a background task; if it ends, the process stops."""
         task = asyncio.create_task(work)
-        task.add_done_callback(self._part_ended)
+        task.add_done_callback(self._stop_on_task_end)
         self._tasks.append(task)
 
     def reload(self) -> None:
-        """Learn of further seeds; all else holds for a process's life."""
+        """Read new seeds from the settings; other settings don't change."""
         variables = {env_of(FILE_FIELD): self._cfg.settings}
         match parse_program(ENTRY, (), variables):
             case Ok(cfg):
@@ -170,42 +182,47 @@
                 self.events.record('reload_refused', why=str(problem))
 
     async def drain(self) -> None:
-        """Let callers go elsewhere, then end what is in flight."""
-        began = self._clock.monotonic()
-        self.events.record('stopping', in_flight=self.ingress.busy)
-        self.leaving = True
-        self.ingress.draining = True
+        """Withdraw from the directory, then wait for requests in flight."""
+        started_at = self._clock.monotonic()
+        self.events.record('stopping', in_flight=self.ingress.busy_count)
+        self.is_leaving = True
+        self.ingress.is_draining = True
         self.peers.beat()
-        await asyncio.sleep(LISTEN_S)
+        await asyncio.sleep(ACCEPT_CONNECTIONS_S)
         self.ingress.stop_listening()
-        await asyncio.sleep(max(TAKE_NEW_S - LISTEN_S, 0))
-        self._service.refusing = True
+        await asyncio.sleep(max(ACCEPT_REQUESTS_S - ACCEPT_CONNECTIONS_S, 0))
+        self._request_handler.is_shutting_down = True
         self.ingress.close_idle()
-        ends_at = began + self._cfg.drain_timeout_s - KILL_MARGIN_S
-        while self.ingress.busy and self._clock.monotonic() < ends_at:
-            await asyncio.sleep(STOP_POLL_S)
-        self.events.record('stopped', in_flight=self.ingress.busy)
+        drain_until = started_at + self._cfg.drain_timeout_s - KILL_MARGIN_S
+        while self.ingress.busy_count and self._clock.monotonic() < drain_until:
+            await asyncio.sleep(DRAIN_POLL_S)
+        self.events.record('stopped', in_flight=self.ingress.busy_count)
 
     async def close(self) -> None:
-        """Close everything as it stands."""
+        """Close connections and cancel tasks at once."""
         await self.ingress.stop()
         for task in self._tasks:
-            task.remove_done_callback(self._part_ended)
+            task.remove_done_callback(self._stop_on_task_end)
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self.peers.close()
-        self._channels.close()
+        self._channels.close_idle()
 
-    def _part_ended(self, task: 'asyncio.Task[None]') -> None:
-        """Stop the process rather than serve on with a part that died."""
+    def _stop_on_task_end(self, task: 'asyncio.Task[None]') -> None:
+        """Stop the process, which must not serve without one of its tasks."""
         if not task.cancelled():
-            logger.error('a part ended', exc_info=task.exception())
-            self.stopping.set()
+            logger.error(
+                'a background task ended; stopping the process',
+                exc_info=task.exception(),
+            )
+            self.stop_requested.set()
 
-    def _parts(self, dialect: Dialect, rng: Random) -> Parts:
-        return Parts(
+    def _make_components(
+        self, header_codec: HeaderCodec, rng: Random
+    ) -> Components:
+        return Components(
             self.book,
-            Intake(
+            AdmissionControl(
                 self.book,
                 self.members,
                 self._allotments,
@@ -217,7 +234,7 @@
             self._containment,
             self._queues.limits,
             self._channels,
-            dialect,
+            header_codec,
             ResendBudget(
                 ResendTerms(
                     self._cfg.resend_ratio,
@@ -226,45 +243,45 @@
                 )
             ),
             self.members.count,
-            self._event_tokens,
+            self._tokens_per_event,
             self._clock,
             self.events,
             self.meters,
         )
 
-    def _readings(self) -> dict[str, Callable[[], float]]:
+    def _gauges(self) -> dict[str, Callable[[], float]]:
         return {
-            'manifest_age_seconds': self.book.manifest_age,
-            'manifest_version': self.book.version,
+            'manifest_age_seconds': self.book.manifest_age_s,
+            'manifest_version': self.book.manifest_version,
             'runners': lambda: sum(map(len, self.book.runners.values())),
             'peers_alive': lambda: len(
                 self.members.alive(self._clock.monotonic())
             ),
-            'in_flight': lambda: self.ingress.busy,
+            'in_flight': lambda: self.ingress.busy_count,
             'peer_messages': lambda: self.peers.sent.messages,
             'peer_bytes': lambda: self.peers.sent.size,
         }
 
-    def _limits(self) -> IngressLimits:
+    def _ingress_limits(self) -> IngressLimits:
         manifest = self.book.manifest
         return manifest.limits if manifest else IngressLimits()
 
-    def _event_tokens(self, service: str) -> int:
+    def _tokens_per_event(self, service: str) -> int:
         manifest = self.book.manifest
         facts = manifest.services.get(service) if manifest else None
         return facts.event_tokens if facts else 1
 
-    def _most_connections(self, runner: RunnerEntry) -> float:
+    def _max_connections(self, runner: RunnerEntry) -> float:
         manifest = self.book.manifest
         facts = manifest.services.get(runner.service) if manifest else None
-        most = facts.max_connections if facts else 1
-        return max(most * CONNECTION_SHARE / self.members.count(), 1)
+        max_total = facts.max_connections if facts else 1
+        return max(max_total * CONNECTION_SHARE / self.members.count(), 1)
 
     def _may_own(self) -> bool:
         return self.is_ready()
 
-    def _state(self) -> tuple[bool, bool]:
-        return self.is_ready(), self.leaving
+    def _readiness(self) -> tuple[bool, bool]:
+        return self.is_ready(), self.is_leaving
 
     def _book_changed(self) -> None:
         self._queues.take_runners()
@@ -273,21 +290,21 @@
             for entries in self.book.runners.values()
             for entry in entries
         }
-        self._channels.keep_only(incarnations)
+        self._channels.close_all_except(incarnations)
         self._queues.limits.keep_only(incarnations)
 
-    async def _sweep(self) -> None:
+    async def _sweep_queues(self) -> None:
         loop = asyncio.get_running_loop()
         watched = WatchedSleep(self.events, self._clock, loop.time)
         while True:
-            if await watched.sleep(SWEEP_S):
-                for feed in self._listener.feeds:
+            if await watched.sleep(SWEEP_EVERY_S):
+                for feed in self._message_handler.feeds:
                     feed.wake()
             for _, queue in self._queues:
                 queue.sweep()
             self._queues.take_limits()
-            self.swept()
+            self.on_sweep()
 
 
-def _nothing() -> None:
-    """Do nothing until a listener is set."""
+def _ignore_sweep() -> None:
+    """Serve as the callback until another one is set."""
--- a/bramleybend/direct/relay.py
+++ b/bramleybend/direct/relay.py
@@ -1,4 +1,4 @@
-"""Passes one runner's stream of events on to a caller."""
+"""Relays a runner's event stream to a caller."""
 
 from contextlib import aclosing
 from http import HTTPStatus
@@ -10,93 +10,97 @@
     Attempt,
     BrokenStreamError,
     Failure,
-    Fate,
-    Sign,
+    FailureCause,
+    RunStatus,
 )
-from bramleybend.direct.dialect import Dialect
+from bramleybend.direct.header_codec import HeaderCodec
 from bramleybend.direct.job import Job
 from bramleybend.direct.placing import Placement, Placer
 from bramleybend.direct.replies import Reply
 from bramleybend.direct.responder import Responder
 from bramleybend.direct.sse import Event
 
-EVENT_STREAM: Final = 'text/event-stream'
+EVENT_STREAM_TYPE: Final = 'text/event-stream'
 
 
 class StreamRelay:
-    """Relays one run; a job whose run broke off gets another relay."""
+    """Relays one run; a job that is retried gets a new relay."""
 
     def __init__(
         self,
         job: Job,
         responder: Responder,
-        dialect: Dialect,
+        header_codec: HeaderCodec,
         placer: Placer,
-        placed: Placement,
+        placement: Placement,
         clock: Clock,
     ) -> None:
-        """Relay to a responder."""
+        """Create a relay to a responder."""
         self._job = job
         self._responder = responder
-        self._dialect = dialect
+        self._header_codec = header_codec
         self._placer = placer
-        self._placed = placed
+        self._placement = placement
         self._clock = clock
-        self.events = 0  # that came from the runner
+        self.event_count = 0  # received from the runner
 
     async def run(self, attempt: Attempt, head: Head) -> Failure | None:
-        """Relay to the end; `None` once the caller has its final answer."""
+        """Relay to the end; return `None` if the caller got a full answer."""
         self._job.framing = head.framing
         if _is_failure(head) or not _is_event_stream(head):
-            return await self._pass_whole(attempt, head)
+            return await self._relay_buffered(attempt, head)
         try:
-            async with aclosing(attempt.events(head)) as events:
+            async with aclosing(attempt.read_events(head)) as events:
                 async for event in events:
-                    await self._pass(head, event)
+                    await self._relay_event(head, event)
         except BrokenStreamError as exc:
             reason = f'the stream broke: {exc}'
-            return Failure(Fate.MAY_HAVE_RUN, reason, attempt.sign_of_end)
+            return Failure(RunStatus.MAY_HAVE_RUN, reason, attempt.cause_of_end)
         finally:
             self._job.cut_bytes = attempt.cut_bytes
-        attempt.finish()
-        if not self._responder.begun:
-            await self._begin(head)
-        await self._responder.end()
+        attempt.release_connection()
+        if not self._responder.has_begun:
+            await self._begin_answer(head)
+        await self._responder.end_stream()
         return None
 
-    async def _pass_whole(self, attempt: Attempt, head: Head) -> Failure | None:
-        """Pass on a failure of the runner's own, or one document, as it is."""
-        answer = await attempt.whole(head)
+    async def _relay_buffered(
+        self, attempt: Attempt, head: Head
+    ) -> Failure | None:
+        """Relay a runner's error answer, or a single document, unchanged."""
+        answer = await attempt.read_whole(head)
         if isinstance(answer, Failure):
             return answer
-        if self._responder.begun:
+        if self._responder.has_begun:
             reason = f'the runner answered {head.status}'
-            return Failure(Fate.MAY_HAVE_RUN, reason, Sign.NONE)
+            return Failure(RunStatus.MAY_HAVE_RUN, reason, FailureCause.NONE)
         if _is_failure(head):
-            self._job.failure_status = head.status
-        headers = self._dialect.caller_headers(head)
-        await self._responder.reply(Reply(head.status, headers, answer.body))
+            self._job.runner_error_status = head.status
+        headers = self._header_codec.caller_headers(head)
+        await self._responder.send_reply(
+            Reply(head.status, headers, answer.body)
+        )
         return None
 
-    async def _pass(self, head: Head, event: Event) -> None:
-        if not self.events:
-            self._placer.filled(self._placed)
+    async def _relay_event(self, head: Head, event: Event) -> None:
+        if not self.event_count:
+            self._placer.filled(self._placement)
             if self._job.first_event_at is None:
                 self._job.first_event_at = self._clock.monotonic()
-        self.events += 1
-        # The head waits for the first event: until then a failure can still
-        # be answered as what it is, or the request sent on.
-        if not self._responder.begun:
-            await self._begin(head)
+        self.event_count += 1
+        # The head is sent with the first event: until then a failure can still
+        # be answered with its own status, or the request can be retried.
+        if not self._responder.has_begun:
+            await self._begin_answer(head)
         self._job.last_event_at = self._clock.monotonic()
-        if is_repeat(event.number, self._job.last_event):
+        if is_repeat(event.event_id, self._job.last_event_id):
             return
-        await self._responder.part(event.raw)
-        self._job.last_event = event.number or self._job.last_event
+        await self._responder.send_chunk(event.raw)
+        self._job.last_event_id = event.event_id or self._job.last_event_id
 
-    async def _begin(self, head: Head) -> None:
-        headers = self._dialect.caller_headers(head)
-        await self._responder.stream(head.status, headers)
+    async def _begin_answer(self, head: Head) -> None:
+        headers = self._header_codec.caller_headers(head)
+        await self._responder.begin_stream(head.status, headers)
 
 
 def _is_failure(head: Head) -> bool:
@@ -105,11 +109,11 @@
 
 def _is_event_stream(head: Head) -> bool:
     stated = head.get('content-type')
-    return stated is None or stated.lower().startswith(EVENT_STREAM)
+    return stated is None or stated.lower().startswith(EVENT_STREAM_TYPE)
 
 
-def is_repeat(number: str, last: str) -> bool:
-    """Tell whether the caller has an event already."""
-    if not (number.isdecimal() and last.isdecimal()):
+def is_repeat(event_id: str, last_event_id: str) -> bool:
+    """Return whether the caller has already received an event."""
+    if not (event_id.isdecimal() and last_event_id.isdecimal()):
         return False
-    return int(number) <= int(last)
+    return int(event_id) <= int(last_event_id)
--- /dev/null
+++ b/bramleybend/direct/request_handler.py
@@ -0,0 +1,310 @@
+"""Handles a request of the raw path from its arrival to its answer."""
+
+import asyncio
+from functools import partial
+from http import HTTPStatus
+from typing import Final
+
+from bramleybend.direct.admission import Admission, manifest_wait_s
+from bramleybend.direct.attempt import Failure, WholeAnswer
+from bramleybend.direct.attempt_dispatcher import (
+    CALLER_LEFT,
+    REFUSED_RETRY_AFTER_S,
+    AttemptDispatcher,
+    timeout_failure,
+)
+from bramleybend.direct.job import Components, Job
+from bramleybend.direct.models import RequestFacts
+from bramleybend.direct.placing import NoSlot, Placement
+from bramleybend.direct.relay import StreamRelay
+from bramleybend.direct.replies import RawRequest, Reply, own_reply
+from bramleybend.direct.responder import Responder
+
+MS_PER_SECOND: Final = 1000
+MIN_SERVER_ERROR_STATUS: Final = 500  # a runner answered with a failure
+
+
+class RequestHandler:
+    """Admits requests, runs them on runners and answers their callers."""
+
+    def __init__(self, components: Components) -> None:
+        """Create a handler that uses the given components."""
+        self._components = components
+        self._dispatcher = AttemptDispatcher(components)
+        self._background_tasks: set[asyncio.Task[Reply]] = set()
+        self.is_shutting_down = False  # set during a planned stop
+
+    async def handle(self, req: RawRequest, responder: Responder) -> None:
+        """Admit and serve one request, or answer why it was rejected."""
+        if self.is_shutting_down:
+            await responder.send_reply(_shutdown_reply())
+            return
+        facts = self._components.header_codec.request_facts(req.headers)
+        await self._components.book.wait_until_complete(manifest_wait_s(facts))
+        admission = self._components.admission_control.admit(req, facts)
+        if isinstance(admission, Reply):
+            self._record_denied(facts.attempt_id, req.path, admission)
+            await responder.send_reply(admission)
+            return
+        job = self._make_job(req, facts, admission)
+        if self._components.containment.is_refused(job.fingerprint):
+            reply = self._dispatcher.quarantined_reply(job)
+            self._record_denied(facts.attempt_id, req.path, reply)
+            await responder.send_reply(reply)
+            return
+        try:
+            await self._serve(job, responder)
+        except asyncio.CancelledError:
+            self._record_caller_left(job)
+            raise
+
+    def record_unreadable(self, reply: Reply) -> None:
+        """Log and count a request that the ingress could not read."""
+        self._record_denied('', '', reply)
+
+    def _make_job(
+        self, req: RawRequest, facts: RequestFacts, admission: Admission
+    ) -> Job:
+        if admission.is_beyond_allotment:
+            self._components.events.record(
+                'beyond_allotment',
+                req=facts.attempt_id,
+                workspace=admission.workspace,
+                units=int(admission.units),
+            )
+        timeout_s = admission.route.timeout_s
+        if facts.patience_s is not None:
+            timeout_s = min(timeout_s, facts.patience_s)
+        self._components.resend_budget.requested(
+            admission.service,
+            self._components.vm_count(),
+            self._dispatcher.now(),
+        )
+        fingerprint = self._components.containment.fingerprint(req, facts)
+        answer_due_at = req.received_at + timeout_s
+        return Job(req, facts, admission, answer_due_at, fingerprint)
+
+    async def _serve(self, job: Job, responder: Responder) -> None:
+        if job.admission.route.streaming:
+            await self._serve_stream(job, responder)
+        else:
+            await self._serve_buffered(job, responder)
+
+    async def _serve_buffered(self, job: Job, responder: Responder) -> None:
+        if job.admission.route.may_repeat:
+            reply = await self._run_buffered(job)
+        else:
+            reply = await self._run_uncancelled(job)
+        self._record_answer(job, reply.status, reply.reason)
+        await responder.send_reply(reply)
+
+    async def _run_uncancelled(self, job: Job) -> Reply:
+        """Run a non-idempotent request to its end even if its caller leaves.
+
+        Cancelling it at a runner could leave it half done, and nobody could
+        tell whether it took effect. A request that is not at a runner yet is
+        cancelled.
+        """
+        task = asyncio.create_task(self._run_buffered(job))
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
+        try:
+            return await asyncio.shield(task)
+        except asyncio.CancelledError:
+            job.caller_left_at = self._dispatcher.now()
+            if not job.may_be_running:
+                task.cancel()
+            raise
+
+    async def _run_buffered(self, job: Job) -> Reply:
+        """Run the request on one runner after another until one answers it."""
+        while True:
+            placement = await self._acquire_slot(job)
+            if isinstance(placement, NoSlot):
+                return self._dispatcher.no_slot_reply(job, placement)
+            outcome = await self._try_buffered(job, placement)
+            if isinstance(outcome, Failure):
+                job.last_failure = outcome
+                if not self._dispatcher.take_retry(job, outcome):
+                    return self._dispatcher.failure_reply(job, outcome)
+            elif not self._should_rerun(job, outcome.head.status):
+                headers = self._components.header_codec.caller_headers(
+                    outcome.head
+                )
+                return Reply(outcome.head.status, headers, outcome.body)
+
+    async def _try_buffered(
+        self, job: Job, placement: Placement
+    ) -> WholeAnswer | Failure:
+        attempt = self._dispatcher.make_attempt(job, placement)
+        started_at = self._dispatcher.now()
+        outcome: WholeAnswer | Failure = CALLER_LEFT
+        try:
+            async with asyncio.timeout(self._dispatcher.remaining_s(job)):
+                head = await attempt.send(
+                    partial(
+                        self._dispatcher.make_outgoing, job, placement.runner
+                    ),
+                    job.next_event_due_at,
+                )
+                if isinstance(head, Failure):
+                    outcome = head
+                else:
+                    job.framing = head.framing
+                    outcome = await attempt.read_whole(head)
+        except TimeoutError:
+            outcome = timeout_failure(attempt)
+        finally:
+            attempt.drop_connection()
+            self._dispatcher.finish_attempt(job, placement, outcome, started_at)
+        return outcome
+
+    async def _serve_stream(self, job: Job, responder: Responder) -> None:
+        reply = await self._run_stream(job, responder)
+        passed_on = job.runner_error_status or HTTPStatus.OK
+        if reply is None:
+            self._record_answer(job, passed_on)
+            return
+        self._record_answer(job, reply.status, reply.reason)
+        if responder.has_begun:
+            # Part of the answer was already sent, so the connection is closed
+            # without the end of the message: the caller must not take it for
+            # complete.
+            responder.end_incomplete()
+        else:
+            await responder.send_reply(reply)
+
+    async def _run_stream(self, job: Job, responder: Responder) -> Reply | None:
+        """Relay the stream to its end; return an error reply if that fails."""
+        while True:
+            placement = await self._acquire_slot(job)
+            if isinstance(placement, NoSlot):
+                return self._dispatcher.no_slot_reply(job, placement)
+            failure = await self._try_stream(job, placement, responder)
+            if failure is None:
+                return None
+            job.last_failure = failure
+            if not self._dispatcher.take_retry(job, failure):
+                return self._dispatcher.failure_reply(job, failure)
+
+    async def _try_stream(
+        self, job: Job, placement: Placement, responder: Responder
+    ) -> Failure | None:
+        attempt = self._dispatcher.make_attempt(job, placement)
+        started_at = self._dispatcher.now()
+        relay = StreamRelay(
+            job,
+            responder,
+            self._components.header_codec,
+            self._components.placer,
+            placement,
+            self._components.clock,
+        )
+        outcome: Failure | None = CALLER_LEFT
+        try:
+            async with asyncio.timeout(self._dispatcher.remaining_s(job)):
+                head = await attempt.send(
+                    partial(
+                        self._dispatcher.make_outgoing, job, placement.runner
+                    ),
+                    job.next_event_due_at,
+                )
+                outcome = (
+                    head
+                    if isinstance(head, Failure)
+                    else await relay.run(attempt, head)
+                )
+        except TimeoutError:
+            outcome = timeout_failure(attempt)
+        finally:
+            attempt.drop_connection()
+            self._dispatcher.finish_attempt(
+                job, placement, outcome, started_at, relay.event_count
+            )
+        return outcome
+
+    async def _acquire_slot(self, job: Job) -> Placement | NoSlot:
+        try:
+            async with asyncio.timeout(
+                self._dispatcher.remaining_for_slot_s(job)
+            ):
+                return await self._dispatcher.acquire_slot(job)
+        except TimeoutError:
+            return NoSlot('no slot came free in time', REFUSED_RETRY_AFTER_S)
+
+    def _should_rerun(self, job: Job, status: int) -> bool:
+        if status < MIN_SERVER_ERROR_STATUS:
+            return False
+        job.runner_error_status = status
+        if not job.admission.route.may_repeat:
+            return False
+        return self._dispatcher.take_rerun(job)
+
+    def _record_denied(self, attempt_id: str, path: str, reply: Reply) -> None:
+        self._components.meters.count('denied', int(reply.status))
+        self._components.events.record(
+            'denied',
+            req=attempt_id,
+            status=int(reply.status),
+            path=path,
+            why=reply.reason,
+            **reply.inputs,
+        )
+
+    def _record_answer(self, job: Job, status: int, reason: str = '') -> None:
+        self._update_answer_meters(job, status)
+        failure = job.last_failure
+        first_at = job.first_event_at
+        self._components.events.record(
+            'answered',
+            req=job.facts.attempt_id,
+            route=job.admission.route.name,
+            workspace=job.admission.workspace,
+            tier=int(job.admission.tier),
+            work=int(job.facts.expected_work),
+            status=int(status),
+            runners=','.join(job.tried_runners),
+            why=failure.reason if failure else reason,
+            framing=job.framing,
+            cut_bytes=job.cut_bytes,
+            first_event_ms=''
+            if first_at is None
+            else int((first_at - job.req.received_at) * MS_PER_SECOND),
+            ms=self._dispatcher.ms_since(job.req.received_at),
+        )
+
+    def _record_caller_left(self, job: Job) -> None:
+        job.caller_left_at = self._dispatcher.now()
+        if not (job.possible_runs or job.may_be_running):
+            self._dispatcher.refund_allotment(job)
+        stage = 'placed' if job.tried_runners else 'queued'
+        self._components.meters.count(
+            'callers_left', job.admission.service, stage
+        )
+        self._components.events.record(
+            'caller_left',
+            req=job.facts.attempt_id,
+            stage=stage,
+            runners=','.join(job.tried_runners),
+            ms=self._dispatcher.ms_since(job.req.received_at),
+        )
+
+    def _update_answer_meters(self, job: Job, status: int) -> None:
+        meters = self._components.meters
+        service, tier = job.admission.service, int(job.admission.tier)
+        cause = job.last_failure.run_status if job.last_failure else 'none'
+        meters.count('answers', service, tier, int(status), cause)
+        elapsed_s = self._dispatcher.now() - job.req.received_at
+        meters.observe('answer_seconds', elapsed_s, service, tier)
+        if job.first_event_at is not None:
+            elapsed_s = job.first_event_at - job.req.received_at
+            meters.observe('first_event_seconds', elapsed_s, service, tier)
+
+
+def _shutdown_reply() -> Reply:
+    return own_reply(
+        HTTPStatus.SERVICE_UNAVAILABLE,
+        'this VM is stopping; nothing was run',
+        0,
+        must_close=True,
+    )
--- a/bramleybend/gateway/attempt.py
+++ b/bramleybend/gateway/attempt.py
@@ -1,8 +1,8 @@
-"""One dispatch of one run to one runner, and how it ended.
+"""One attempt: sends a run to one runner and reads the answer.
 
-What may follow depends on whether the runner can have seen the request.
-Before the first byte is written another runner may be tried; after that the
-only way on is to resume the same run on the same runner.
+The end of an attempt says whether the runner may have received the request.
+As long as no byte was written, the request can go to another runner. After
+the first byte, an attempt only resumes the same run on the same runner.
 """
 
 import asyncio
@@ -12,47 +12,52 @@
 from typing import Final
 
 from bramleybend.clients.framing import Framing
-from bramleybend.clients.http import BROKEN, Exchange, HttpResponse, connect
+from bramleybend.clients.http import (
+    EXCHANGE_ERRORS,
+    Exchange,
+    HttpResponse,
+    connect,
+)
 from bramleybend.clients.runner import (
     DONE_EVENT,
     EVENT_END,
-    RunBody,
     RunnerAddress,
+    RunRequest,
     Usage,
     cancel_run,
-    events_of,
     is_json,
+    is_refusal,
+    iter_events,
+    parse_usage,
     resume_run,
     send_run,
-    usage_in,
-    was_refused,
 )
 from bramleybend.gateway.run import Run
-from bramleybend.gateway.slots import Slot
+from bramleybend.gateway.slot import Slot
 from bramleybend.models import ServiceKind
 
-MAX_RESUMES: Final = 3  # in a row without a new event
-RESUME_PAUSE_S: Final = 0.1
+MAX_RESUMES_WITHOUT_EVENT: Final = 3  # consecutive
+RESUME_BACKOFF_S: Final = 0.1
 
 
-class End(StrEnum):
+class EndKind(StrEnum):
     """How an attempt ended."""
 
     WHOLE = 'whole'  # the answer is complete
-    NOT_SENT = 'not_sent'  # nothing reached the runner, or it said so
-    ANSWERED = 'answered'  # the runner ran it and answered with an error
-    TORN = 'torn'  # it ran, the rest of the answer is lost
-    UNHEARD = 'unheard'  # it was sent and nothing came back
-    STOPPED = 'stopped'  # we stopped it, and the runner said so
-    OVERTAKEN = 'overtaken'  # whole, after a second run had answered
-    TOO_LARGE = 'too_large'  # the answer outgrew what a home keeps
+    NOT_SENT = 'not_sent'  # no byte was sent, or the runner refused the run
+    ANSWERED = 'answered'  # the runner answered with an HTTP error status
+    TORN = 'torn'  # the answer broke off and could not be resumed
+    UNHEARD = 'unheard'  # the request was sent; no response arrived
+    STOPPED = 'stopped'  # cancelled by the gateway, confirmed by the runner
+    OVERTAKEN = 'overtaken'  # complete, but another run had answered first
+    TOO_LARGE = 'too_large'  # the answer exceeds `run.MAX_KEPT_BYTES`
 
 
 @dataclass(frozen=True)
 class AttemptEnd:
-    """An attempt's end, with what was learned on the way."""
+    """How an attempt ended, with its token usage and the runner's state."""
 
-    end: End
+    kind: EndKind
     usage: Usage = Usage()
     status: int = HTTPStatus.OK
     crashed: bool = False
@@ -70,7 +75,7 @@
         run_id: str,
         prompt_tokens: int,
     ) -> None:
-        """Prepare; nothing is sent before `proceed`."""
+        """Prepare the attempt; `run_id` names the run at the runner."""
         host, _, port = slot.endpoint.rpartition(':')
         self._address = RunnerAddress(host, int(port), kind)
         self._run = run
@@ -78,157 +83,161 @@
         self._run_id = run_id
         self._prompt_tokens = prompt_tokens
         self._usage = Usage()
-        self._received = 0
-        self._crashed = False
-        self.sent = False
+        self._received_events = 0
+        self._runner_crashed = False
+        self.was_sent = False
 
-    async def proceed(self) -> AttemptEnd:
-        """Dispatch and read to the end; never dispatches twice."""
+    async def run(self) -> AttemptEnd:
+        """Send the run once and read its answer to the end."""
         try:
             exchange = await connect(self._address.host, self._address.port)
         except OSError:
-            return AttemptEnd(End.NOT_SENT, unreachable=True)
-        if self._run.given_up:
-            # Cancelling reaches this task a step later than its connection;
-            # by then `not_run` is told, and nothing may be sent.
+            return AttemptEnd(EndKind.NOT_SENT, unreachable=True)
+        if self._run.is_given_up:
+            # The connection may open just before the cancellation reaches
+            # this task. The caller has been told `not_run` by then, so
+            # nothing may be sent.
             exchange.close()
-            return AttemptEnd(End.NOT_SENT)
-        # Set before the first byte: a stop that comes while it is being
-        # written must take the run for one that may have begun.
-        self.sent = True
-        self._run.note_sent()
+            return AttemptEnd(EndKind.NOT_SENT)
+        # Set before the first byte, so that a cancellation during the write
+        # treats the run as possibly started.
+        self.was_sent = True
+        self._run.record_send()
         try:
             await send_run(
                 exchange,
                 self._address.kind,
-                RunBody(self._run_id, self._run.req.body),
+                RunRequest(self._run_id, self._run.req.body),
             )
-            return await self._answer(exchange)
+            return await self._read_answer(exchange)
         finally:
             exchange.close()
 
-    async def stop(self) -> bool:
-        """Cancel the run at the runner; true once that is certain."""
+    async def cancel(self) -> bool:
+        """Cancel the run at the runner; return whether it confirmed."""
         return await cancel_run(self._address, self._run_id)
 
-    async def _answer(self, exchange: Exchange) -> AttemptEnd:
+    async def _read_answer(self, exchange: Exchange) -> AttemptEnd:
         try:
-            head = await exchange.head()
-        except BROKEN:
-            return await self._unheard()
-        if was_refused(head, self._address.kind):
-            self.sent = False
-            self._run.note_refused()
-            return AttemptEnd(End.NOT_SENT)
+            head = await exchange.read_head()
+        except EXCHANGE_ERRORS:
+            return await self._handle_no_response()
+        if is_refusal(head, self._address.kind):
+            self.was_sent = False
+            self._run.record_refusal()
+            return AttemptEnd(EndKind.NOT_SENT)
         self._run.content_type = head.headers.get('content-type', '')
-        if self._streams and head.status == HTTPStatus.OK:
-            return await self._stream(exchange)
-        return await self._body(exchange, head)
+        if self._is_streaming and head.status == HTTPStatus.OK:
+            return await self._read_stream(exchange)
+        return await self._read_body(exchange, head)
 
     @property
-    def _streams(self) -> bool:
+    def _is_streaming(self) -> bool:
         return self._run.req.stream and (
             self._address.kind is ServiceKind.ENGINE
         )
 
-    async def _body(self, exchange: Exchange, head: HttpResponse) -> AttemptEnd:
+    async def _read_body(
+        self, exchange: Exchange, head: HttpResponse
+    ) -> AttemptEnd:
         parts: list[bytes] = []
         try:
-            async for chunk in exchange.chunks():
+            async for chunk in exchange.iter_body():
                 parts.append(chunk)
-        except BROKEN:
-            return await self._broken(End.TORN)
+        except EXCHANGE_ERRORS:
+            return await self._make_broken_end(EndKind.TORN)
         body = b''.join(parts)
-        self._usage = usage_in(body) or Usage()
+        self._usage = parse_usage(body) or Usage()
         if head.status >= HTTPStatus.BAD_REQUEST:
-            return AttemptEnd(End.ANSWERED, self._usage, head.status)
+            return AttemptEnd(EndKind.ANSWERED, self._usage, head.status)
         if head.framing is Framing.CONNECTION and not is_json(body):
-            # A runner that crashes may close its connection in order.
-            return await self._broken(End.TORN)
-        if self._run.has_begun:
-            return AttemptEnd(End.OVERTAKEN, self._usage)
-        if not self._run.add(body):
-            return AttemptEnd(End.TOO_LARGE, self._usage)
-        return AttemptEnd(End.WHOLE, self._usage)
-
-    async def _stream(self, exchange: Exchange) -> AttemptEnd:
-        end = await self._events(exchange)
+            # The answer has no length, and a crashing runner may close its
+            # connection cleanly: only complete JSON counts as complete.
+            return await self._make_broken_end(EndKind.TORN)
+        if self._run.has_answer_data:
+            return AttemptEnd(EndKind.OVERTAKEN, self._usage)
+        if not self._run.add_chunk(body):
+            return AttemptEnd(EndKind.TOO_LARGE, self._usage)
+        return AttemptEnd(EndKind.WHOLE, self._usage)
+
+    async def _read_stream(self, exchange: Exchange) -> AttemptEnd:
+        end = await self._read_events(exchange)
         failures = 0
-        while end is None and failures < MAX_RESUMES:
+        while end is None and failures < MAX_RESUMES_WITHOUT_EVENT:
             failures += 1
-            before = self._received
-            await asyncio.sleep(RESUME_PAUSE_S * failures)
-            end = await self._resumed()
-            if self._received > before:
-                # A long answer over a poor link may be cut many times; only
-                # resumes that bring nothing show that the run is lost.
+            received_before = self._received_events
+            await asyncio.sleep(RESUME_BACKOFF_S * failures)
+            end = await self._resume_stream()
+            if self._received_events > received_before:
+                # A long answer over a poor link may break many times. Only
+                # consecutive resumes without a new event end the attempt.
                 failures = 0
-        return end or await self._broken(End.TORN)
+        return end or await self._make_broken_end(EndKind.TORN)
 
-    async def _resumed(self) -> AttemptEnd | None:
-        # The engine replays from the first event we lack, so the caller's
-        # answer has neither a gap nor an event twice.
+    async def _resume_stream(self) -> AttemptEnd | None:
+        # The engine replays from the first missing event, so the answer has
+        # no gap and no duplicate event.
         try:
             exchange = await resume_run(
                 self._address,
                 self._run_id,
-                self._received,
+                self._received_events,
             )
         except OSError:
-            self._crashed = True
+            self._runner_crashed = True
             return None
         try:
-            head = await exchange.head()
+            head = await exchange.read_head()
             if head.status != HTTPStatus.OK:
-                # An engine that no longer knows a run it had admitted has
-                # been restarted; by now it may look as well as ever.
-                self._crashed |= head.status == HTTPStatus.NOT_FOUND
+                # An engine that does not know a run it had admitted has
+                # restarted since, even if it accepts connections again.
+                self._runner_crashed |= head.status == HTTPStatus.NOT_FOUND
                 return None
-            return await self._events(exchange)
-        except BROKEN:
+            return await self._read_events(exchange)
+        except EXCHANGE_ERRORS:
             return None
         finally:
             exchange.close()
 
-    async def _events(self, exchange: Exchange) -> AttemptEnd | None:
+    async def _read_events(self, exchange: Exchange) -> AttemptEnd | None:
         try:
-            async for event in events_of(exchange):
-                self._received += 1
+            async for event in iter_events(exchange):
+                self._received_events += 1
                 if event == DONE_EVENT:
-                    return AttemptEnd(End.WHOLE, self._usage)
-                if not await self._take(event):
-                    return AttemptEnd(End.TOO_LARGE, self._usage)
-        except BROKEN:
+                    return AttemptEnd(EndKind.WHOLE, self._usage)
+                if not await self._add_event(event):
+                    return AttemptEnd(EndKind.TOO_LARGE, self._usage)
+        except EXCHANGE_ERRORS:
             return None
         return None
 
-    async def _take(self, event: bytes) -> bool:
-        usage = usage_in(event)
+    async def _add_event(self, event: bytes) -> bool:
+        usage = parse_usage(event)
         if usage is not None:
             self._usage = usage
-        first = not self._run.has_begun
-        fits = self._run.add(event + EVENT_END)
-        if first:
-            await self._slot.first_token(self._prompt_tokens)
+        is_first = not self._run.has_answer_data
+        fits = self._run.add_chunk(event + EVENT_END)
+        if is_first:
+            await self._slot.report_first_token(self._prompt_tokens)
         return fits
 
-    async def _unheard(self) -> AttemptEnd:
-        """Nothing came back: an engine may still tell what became of it."""
+    async def _handle_no_response(self) -> AttemptEnd:
+        """Resume a stream whose response never began, if its engine has it."""
         if self._address.kind is not ServiceKind.ENGINE:
-            return await self._broken(End.UNHEARD)
-        if self._streams:
-            end = await self._resumed()
+            return await self._make_broken_end(EndKind.UNHEARD)
+        if self._is_streaming:
+            end = await self._resume_stream()
             if end is not None:
                 return end
-        return await self._broken(End.UNHEARD)
+        return await self._make_broken_end(EndKind.UNHEARD)
 
-    async def _broken(self, end: End) -> AttemptEnd:
-        """Tell a crashed runner from a broken connection."""
-        if not self._crashed:
+    async def _make_broken_end(self, end: EndKind) -> AttemptEnd:
+        """Return an end of this kind; connect to see if the runner crashed."""
+        if not self._runner_crashed:
             try:
                 probe = await connect(self._address.host, self._address.port)
             except OSError:
-                self._crashed = True
+                self._runner_crashed = True
             else:
                 probe.close()
-        return AttemptEnd(end, self._usage, crashed=self._crashed)
+        return AttemptEnd(end, self._usage, crashed=self._runner_crashed)
--- a/bramleybend/gateway/hold_stream.py
+++ b/bramleybend/gateway/hold_stream.py
@@ -1,4 +1,4 @@
-"""The stream on which a gateway asks for a slot and holds it."""
+"""The gRPC stream on which a gateway asks an owner for a slot and holds it."""
 
 import asyncio
 from dataclasses import dataclass
@@ -9,19 +9,19 @@
 from bramleybend.state.member import Member
 from bramleybend.wire.bramleybend_pb2 import HoldReply, HoldRequest
 
-Hold: TypeAlias = grpc.aio.StreamStreamCall[HoldRequest, HoldReply]
+HoldCall: TypeAlias = grpc.aio.StreamStreamCall[HoldRequest, HoldReply]
 
 
 @dataclass(frozen=True)
-class Opened:
-    """A stream that its owner has answered."""
+class HoldStream:
+    """An open stream on which the owner has replied at least once."""
 
-    call: Hold
+    call: HoldCall
     owner: Member
 
 
-async def read_reply(call: Hold) -> HoldReply | None:
-    """Return the next reply; None once the stream is over or broken."""
+async def read_reply(call: HoldCall) -> HoldReply | None:
+    """Return the next reply; None if the stream has ended or failed."""
     try:
         reply = await call.read()
     except (grpc.aio.AioRpcError, asyncio.InvalidStateError):
@@ -29,10 +29,12 @@
     return reply if isinstance(reply, HoldReply) else None
 
 
-async def first_reply(call: Hold, first: HoldRequest) -> HoldReply | None:
-    """Send a stream's first message and return the reply to it."""
+async def send_and_read_reply(
+    call: HoldCall, first_message: HoldRequest
+) -> HoldReply | None:
+    """Send the stream's first message and return the reply to it, or None."""
     try:
-        await call.write(first)
+        await call.write(first_message)
     except (grpc.aio.AioRpcError, asyncio.InvalidStateError):
         return None
     return await read_reply(call)
--- a/bramleybend/gateway/job.py
+++ b/bramleybend/gateway/job.py
@@ -1,4 +1,4 @@
-"""A run with the terms it runs under, and what carries it."""
+"""A job: a run with its profile and service; and what dispatch needs."""
 
 from dataclasses import dataclass
 from random import Random
@@ -6,33 +6,34 @@
 
 from bramleybend.clock import Clock
 from bramleybend.events import EventLog
-from bramleybend.gateway.ask import ask_of
+from bramleybend.gateway.ask import make_ask
 from bramleybend.gateway.floor_round import FloorRounds
 from bramleybend.gateway.run import Run
-from bramleybend.gateway.slot_asker import SlotAsker
+from bramleybend.gateway.slot_client import SlotClient
 from bramleybend.gateway.view import ViewFollower
 from bramleybend.metrics import Metrics
 from bramleybend.models import Ask, Profile, Service, Tier
 
-# A caller stops listening at its deadline; what is told then reaches nobody.
-ANSWER_SHARE: Final = 0.05
+# A caller stops waiting at its deadline, so the answer is sent a little before:
+# by this share of the time left, at most by this many seconds.
+ANSWER_MARGIN_SHARE: Final = 0.05
 ANSWER_MARGIN_S: Final = 0.2
 
 
 @dataclass(frozen=True)
-class Deps:
-    """What a gateway's runs are carried with."""
+class DispatchDeps:
+    """The components that dispatch uses, shared by all jobs of a gateway."""
 
-    asker: SlotAsker
-    floors: FloorRounds
+    slot_client: SlotClient
+    floor_rounds: FloorRounds
     views: ViewFollower
     clock: Clock
     events: EventLog
     metrics: Metrics
     rng: Random
 
-    def note(self, job: 'Job', event: str, **fields: object) -> None:
-        """Record an event of one job."""
+    def record_event(self, job: 'Job', event: str, **fields: object) -> None:
+        """Record an event of one job with its id and tier."""
         self.events.record(
             event,
             job.request_id,
@@ -40,13 +41,15 @@
             **fields,
         )
 
-    def answer_by(self, job: 'Job') -> float:
-        """Return by when to tell a job that it was not run."""
-        margin_s = min(self.left_s(job) * ANSWER_SHARE, ANSWER_MARGIN_S)
+    def answer_deadline(self, job: 'Job') -> float:
+        """Return when a caller must be told at the latest that nothing ran."""
+        margin_s = min(
+            self.remaining_s(job) * ANSWER_MARGIN_SHARE, ANSWER_MARGIN_S
+        )
         return job.run.req.deadline - margin_s
 
-    def left_s(self, job: 'Job') -> float:
-        """Seconds to the job's deadline; 0 once it has passed."""
+    def remaining_s(self, job: 'Job') -> float:
+        """Seconds until the job's deadline; 0 after it."""
         return max(job.run.req.deadline - self.clock.monotonic(), 0)
 
 
@@ -60,14 +63,14 @@
 
     @property
     def request_id(self) -> str:
-        """The request's id."""
+        """The id of the caller's request."""
         return self.run.req.request_id
 
     @property
     def tier(self) -> Tier:
-        """The request's rank."""
+        """The tier of the profile."""
         return self.profile.tier
 
-    def ask(self) -> Ask:
-        """Return what an owner needs to decide about it."""
-        return ask_of(self.run.req, self.profile, self.service.kind)
+    def make_ask(self) -> Ask:
+        """Build the slot request for the owner."""
+        return make_ask(self.run.req, self.profile, self.service.kind)
--- a/bramleybend/gateway/lost_home.py
+++ b/bramleybend/gateway/lost_home.py
@@ -1,7 +1,7 @@
-"""Answers for homes that are gone, from their journals.
+"""Answers for requests whose home is lost, from the home's journal.
 
-No other VM ever takes over a home's right to run an id. What the journal
-proves is told; what it does not prove is told to be unknown.
+No other VM may dispatch the requests of a lost home. The caller is told the
+outcome that the journal proves, or `unknown` if it proves none.
 """
 
 import asyncio
@@ -29,26 +29,26 @@
 )
 from bramleybend.state.tickets import RequestId
 
-MAX_VIEWS: Final = 32
-READ_TRIES: Final = 2
-SETTLE_S: Final = 4.0
-# Of what is left to the deadline, so that the answer arrives before it.
+MAX_CACHED_JOURNALS: Final = 32
+READ_ATTEMPTS: Final = 2
+MAX_SETTLE_S: Final = 4.0
+# Subtracted from the time left, so that the answer arrives before the deadline.
 ANSWER_MARGIN_S: Final = 0.2
-LEAST_SETTLE_S: Final = 0.5
+MIN_SETTLE_S: Final = 0.5
 RETRY_AFTER: Final = timedelta(seconds=1)
-LOG_DOWN: Final = 'its home is gone and the log that would tell is down'
+LOG_DOWN_REASON: Final = 'its home is gone and the log that would tell is down'
 
 
 @dataclass(frozen=True)
-class LockedView:
-    """A journal as it was read here; one request reads on at a time."""
+class LockedJournal:
+    """A journal as far as it was read; one request at a time reads on."""
 
     view: JournalView = field(default_factory=JournalView)
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
 
 class LostHomes:
-    """Reads journals of gone homes, a few kept at a time."""
+    """Reads the journals of lost homes; caches those that were used last."""
 
     def __init__(
         self,
@@ -57,16 +57,18 @@
         clock: Clock,
         events: EventLog,
     ) -> None:
-        """Have read nothing yet."""
+        """Start with no journal read."""
         self._log = log
         self._clock = clock
         self._vm = vm
         self._events = events
-        self._views: OrderedDict[str, LockedView] = OrderedDict()
+        self._journals: OrderedDict[str, LockedJournal] = OrderedDict()
 
-    async def settle(self, request_id: RequestId, run: Run) -> None:
-        """Give a run the answer that the home's journal proves."""
-        answer = await self._fate_in_time(request_id, run)
+    async def finish_from_journal(
+        self, request_id: RequestId, run: Run
+    ) -> None:
+        """Finish the run with the answer that the home's journal proves."""
+        answer = await self._find_answer_in_time(request_id, run)
         self._events.record(
             'home_lost',
             str(request_id),
@@ -74,67 +76,74 @@
         )
         run.finish(answer)
 
-    async def _fate_in_time(self, request_id: RequestId, run: Run) -> Answer:
-        # A VM dies with many requests, and their callers all come at once. If
-        # the log hangs just then, each would wait for the reads of all that
-        # came before it, long past its deadline.
-        locked = self._view(request_id.ticket.incarnation)
+    async def _find_answer_in_time(
+        self, request_id: RequestId, run: Run
+    ) -> Answer:
+        # When a VM dies, all its callers ask at once, and their reads of its
+        # journal queue for the lock. If the log hangs, the last would wait far
+        # beyond its deadline, so the limit includes the wait for the lock.
+        journal = self._open_journal(request_id.ticket.incarnation)
         try:
-            async with asyncio.timeout(self._patience_s(run)), locked.lock:
-                return await self._fate(request_id, run, locked.view)
+            async with asyncio.timeout(self._time_limit_s(run)), journal.lock:
+                return await self._find_answer(request_id, run, journal.view)
         except TimeoutError:
-            return unknown(LOG_DOWN)
+            return unknown(LOG_DOWN_REASON)
 
-    def _patience_s(self, run: Run) -> float:
+    def _time_limit_s(self, run: Run) -> float:
         left_s = run.req.deadline - self._clock.monotonic() - ANSWER_MARGIN_S
-        return min(max(left_s, LEAST_SETTLE_S), SETTLE_S)
+        return min(max(left_s, MIN_SETTLE_S), MAX_SETTLE_S)
 
-    async def _fate(
+    async def _find_answer(
         self,
         request_id: RequestId,
         run: Run,
         view: JournalView,
     ) -> Answer:
-        if not await self._read(request_id, view):
-            return unknown(LOG_DOWN)
+        if not await self._read_to_tail(request_id, view):
+            return unknown(LOG_DOWN_REASON)
         if request_id.ticket.intent_first and not view.sealed:
-            # A home that is not dead after all reads this back before its
-            # next dispatch, and so runs nothing that is told `not_run` here.
+            # If the home is still alive, it reads the seal back before its
+            # next dispatch, and dispatches nothing reported as `not_run` here.
             await self._seal(request_id)
-            if not await self._read(request_id, view) or not view.sealed:
-                return unknown(LOG_DOWN)
+            if (
+                not await self._read_to_tail(request_id, view)
+                or not view.sealed
+            ):
+                return unknown(LOG_DOWN_REASON)
         match view.fate(request_id):
             case Ended(record):
-                return _ended(record, run)
+                return _repeat_outcome(record, run)
             case NotRun():
                 return not_run('its home was lost before it ran', RETRY_AFTER)
             case Unknown(reason):
                 return unknown(reason)
         raise AssertionError(request_id)
 
-    def _view(self, incarnation: str) -> LockedView:
-        view = self._views.pop(incarnation, None) or LockedView()
-        self._views[incarnation] = view
-        if len(self._views) > MAX_VIEWS:
-            self._views.popitem(last=False)
-        return view
-
-    async def _read(self, request_id: RequestId, view: JournalView) -> bool:
-        """Read the journal to its tail."""
+    def _open_journal(self, incarnation: str) -> LockedJournal:
+        journal = self._journals.pop(incarnation, None) or LockedJournal()
+        self._journals[incarnation] = journal
+        if len(self._journals) > MAX_CACHED_JOURNALS:
+            self._journals.popitem(last=False)
+        return journal
+
+    async def _read_to_tail(
+        self, request_id: RequestId, view: JournalView
+    ) -> bool:
+        """Read the journal to its end; false if the log gave an error."""
         stream = stream_of(request_id.ticket.incarnation)
         while True:
-            batch = await self._batch(stream, view.next_offset)
+            batch = await self._read_batch(stream, view.next_offset)
             if batch is None:
                 return False
             view.add(batch.records)
             if not batch.records:
                 return view.next_offset >= batch.next_offset
 
-    async def _batch(self, stream: str, start: int) -> LogBatch | None:
-        """Read once; a read that failed is made once more."""
-        # If this process stands still over a read, its reply is too old to
-        # count, and the log looks down.
-        for _ in range(READ_TRIES):
+    async def _read_batch(self, stream: str, start: int) -> LogBatch | None:
+        """Read the next records; None if `READ_ATTEMPTS` reads failed."""
+        # If this process is paused during a read, the read fails as if the
+        # log were down, since its reply is too old to use.
+        for _ in range(READ_ATTEMPTS):
             batch = (await self._log.read(stream, start)).ok()
             if batch is not None:
                 return batch
@@ -142,13 +151,13 @@
 
     async def _seal(self, request_id: RequestId) -> None:
         stream = stream_of(request_id.ticket.incarnation)
-        # Whether the reply came does not matter: the next read tells if the
-        # seal stands, and a second one changes nothing.
+        # The result of the append is ignored: the next read shows whether the
+        # seal was written, and a second seal changes nothing.
         await self._log.append(stream, (encode_seal(self._vm),))
 
 
-def _ended(record: OutcomeRecord, run: Run) -> Answer:
-    """Repeat a written outcome, with its body if that was kept."""
+def _repeat_outcome(record: OutcomeRecord, run: Run) -> Answer:
+    """Return the recorded outcome; add the recorded body to the run."""
     if record.outcome is not Outcome.DONE:
         status = HTTPStatus(record.status) if record.status else None
         return Answer(
@@ -160,5 +169,5 @@
     if record.answer is None:
         return unknown('it ran to its end, but the answer was lost')
     run.content_type = record.content_type
-    run.add(record.answer)
+    run.add_chunk(record.answer)
     return Answer(Outcome.DONE, 'whole')
--- a/bramleybend/scheduler/order_sender.py
+++ b/bramleybend/scheduler/order_sender.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from bramleybend.clients.engine_orders import EngineOrders, order_fields
+from bramleybend.clients.engine_client import EngineClient, order_fields
 from bramleybend.decisions.orders import EngineState, Order, SetRole
 from bramleybend.errors import ErrorKind, Problem
 from bramleybend.metrics import Metric
@@ -25,7 +25,7 @@
         key: ShardKey,
         sources: OrderSources,
         deps: OrderDeps,
-        engines: EngineOrders,
+        engines: EngineClient,
     ) -> None:
         """Start without a claim."""
         # Engines that have received the fence of the current claim.
@@ -78,7 +78,7 @@
             )
         kind = order_fields(order)['kind']
         self.record_event('order_sent', vm, kind=kind, fence=fence)
-        problem = (await self._engines.send(vm, fence, order)).err()
+        problem = (await self._engines.send_order(vm, fence, order)).err()
         outcome = problem.kind if problem else 'accepted'
         self._deps.metrics.count(Metric.ORDERS, kind=kind, outcome=outcome)
         if problem is not None:
--- a/bramleybend/wire/headers.py
+++ b/bramleybend/wire/headers.py
@@ -1,8 +1,8 @@
-"""Headers of messages: who speaks, and when in causal order.
+"""Headers of gRPC messages: the sender and its hybrid logical clock.
 
-A header carries the sender's hybrid stamp, and its receiver moves past it. So
-on the time line a grant stands after the ask it answers, also when the wall
-clocks of the two VMs differ.
+The receiver advances its own clock past the sender's timestamp. A timeline
+thus shows a grant after the request for the slot, even if the wall clocks of
+the two VMs differ.
 """
 
 from collections.abc import Callable
@@ -10,12 +10,12 @@
 from bramleybend.events import EventLog, parse_stamp
 from bramleybend.identity import Identity
 from bramleybend.wire.bramleybend_pb2 import Header
-from bramleybend.wire.channels import PROTOCOL
-from bramleybend.wire.check import Context, refuse_other_protocol
+from bramleybend.wire.channels import PROTOCOL_VERSION
+from bramleybend.wire.protocol_check import Context, reject_protocol_mismatch
 
 
 class Headers:
-    """Writes one process's headers and learns from those it gets."""
+    """Makes headers of a process's messages; processes received headers."""
 
     def __init__(
         self,
@@ -23,15 +23,15 @@
         events: EventLog,
         terms_version: Callable[[], int],
     ) -> None:
-        """Speak for one process."""
+        """Use the identity, clock and terms version of one process."""
         self._identity = identity
         self._events = events
         self._terms_version = terms_version
 
     def make(self) -> Header:
-        """Return a header for a message that is sent now."""
+        """Return a header for a message to send now."""
         return Header(
-            protocol=PROTOCOL,
+            protocol=PROTOCOL_VERSION,
             vm=self._identity.vm,
             incarnation=self._identity.incarnation,
             terms_version=self._terms_version(),
@@ -39,12 +39,12 @@
         )
 
     def observe(self, header: Header) -> None:
-        """Move this process's stamps past the sender's."""
-        seen = parse_stamp(header.hlc)
-        if seen is not None:
-            self._events.hybrid.observe(seen)
+        """Advance this process's clock past the sender's timestamp."""
+        sender_stamp = parse_stamp(header.hlc)
+        if sender_stamp is not None:
+            self._events.hybrid.observe(sender_stamp)
 
     async def accept(self, header: Header, context: Context) -> None:
-        """Take a request's header in; ends the call of another protocol."""
-        await refuse_other_protocol(header, context)
+        """Process a request's header; abort on a protocol mismatch."""
+        await reject_protocol_mismatch(header, context)
         self.observe(header)
--- a/tests/benchmarks/capacity_control.py
+++ b/tests/benchmarks/capacity_control.py
@@ -12,7 +12,7 @@
 
 import yaml
 
-from bramleybend.clients.http_vm_list import ListBody
+from bramleybend.clients.http_vm_list import VmListBody
 from bramleybend.clock import SystemClock
 from bramleybend.decisions.actions import RunnerInfo, RunReport, ShardView
 from bramleybend.decisions.owner import ShardPolicy, make_shard_policy
@@ -245,7 +245,7 @@
 
 
 def _taken_view(follower: ViewFollower, text: bytes) -> None:
-    follower._take(ViewReply.FromString(text), None, 0)
+    follower._apply_reply(ViewReply.FromString(text), None, 0)
 
 
 def _follower() -> ViewFollower:
@@ -282,7 +282,7 @@
         parse.append(
             (
                 nodes,
-                _spent(partial(ListBody.model_validate_json, text)),
+                _spent(partial(VmListBody.model_validate_json, text)),
             ),
         )
     yield Series('VM list: the body', 'nodes', 'KB', tuple(sizes), 350)
--- a/tests/decisions/test_failing.py
+++ b/tests/decisions/test_failure_share.py
@@ -1,9 +1,9 @@
-"""A runner that fails part of its runs gets little work while others can."""
+"""A runner that fails a share of its runs gets little work."""
 
 from random import Random
 
 from bramleybend.decisions.actions import Grant, RunnerInfo, RunReport
-from bramleybend.decisions.failing import FailureShare
+from bramleybend.decisions.failure_share import FailureShare
 from bramleybend.decisions.owner import make_shard_policy
 from bramleybend.decisions.switches import Switches
 from bramleybend.models import Ask, Service, ServiceKind, Tier
@@ -12,8 +12,8 @@
 STEP_S = 0.01
 
 
-def ask(number: int, now: float) -> Ask:
-    """Return a request of usual size."""
+def make_ask(number: int, now: float) -> Ask:
+    """Return a request of typical size."""
     return Ask(
         f'a{number}',
         's',
@@ -27,10 +27,10 @@
     )
 
 
-def play(requests_per_s: float, *, refuses: bool = False) -> dict[str, int]:
-    """Return what each of three runners got; `grey` fails half at once.
+def simulate(requests_per_s: float, *, refuses: bool = False) -> dict[str, int]:
+    """Return the starts of three runners, of which `grey` fails half.
 
-    With `refuses`, it turns them away unrun instead.
+    Its failed runs end at once; with `refuses`, it rejects them instead.
     """
     rng = Random(11)
     policy = make_shard_policy(
@@ -40,7 +40,7 @@
     )
     infos = [RunnerInfo(name, warm=True) for name in ('grey', 'b', 'c')]
     policy.runners(infos, 0)
-    got = {'grey': 0, 'b': 0, 'c': 0}
+    starts = {'grey': 0, 'b': 0, 'c': 0}
     ends: list[tuple[float, str, bool]] = []
     for step in range(int(12 / STEP_S)):
         now = step * STEP_S
@@ -57,40 +57,41 @@
             )
             actions.extend(policy.ended(end[1], report, now))
         if rng.random() < requests_per_s * STEP_S:
-            actions.extend(policy.ask(ask(step, now), now))
+            actions.extend(policy.ask(make_ask(step, now), now))
         actions.extend(policy.tick(now))
         for action in actions:
             if isinstance(action, Grant):
-                got[action.runner] += 1
+                starts[action.runner] += 1
                 fails = action.runner == 'grey' and rng.random() < 0.5
                 lasts = 0.002 if fails else RUN_S
                 ends.append((now + lasts, action.request_id, fails))
-    return got
+    return starts
 
 
 def test_a_runner_that_fails_half_gets_little_work() -> None:
-    """At half of the capacity the healthy ones take nearly all.
+    """At half of the capacity, the healthy runners get nearly all requests.
 
-    Without the share it got 111 of 209 requests here, as a run that fails at
-    once leaves it free; with it, 8 of 204.
+    Without the failure share the failing runner got 111 of 209 requests here,
+    since a run that fails at once leaves it free; with the failure share, 8 of
+    204.
     """
-    got = play(requests_per_s=18)
+    got = simulate(requests_per_s=18)
     assert got['grey'] < 0.12 * sum(got.values())
 
 
-def test_a_runner_that_turns_half_away_gets_little_work() -> None:
-    """A refusal in a millisecond leaves it free, so it would get the most."""
-    got = play(requests_per_s=18, refuses=True)
+def test_a_runner_that_rejects_half_gets_little_work() -> None:
+    """A runner that rejects within a millisecond is free and attracts work."""
+    got = simulate(requests_per_s=18, refuses=True)
     assert got['grey'] < 0.12 * sum(got.values())
 
 
 def test_a_runner_that_recovers_gets_work_again() -> None:
-    """The share fades, as only runs can show that it is well."""
+    """The share decays, since only runs can show that a runner recovered."""
     share = FailureShare()
     for _ in range(10):
-        share.note(0, failed=True)
+        share.record(0, failed=True)
     assert share.value(0) > 0.9
     assert share.value(12) < 0.15
     for _ in range(10):
-        share.note(12, failed=False)
+        share.record(12, failed=False)
     assert share.value(12) < 0.02
--- a/tests/decisions/test_owner.py
+++ b/tests/decisions/test_owner.py
@@ -1,4 +1,4 @@
-"""What one shard's owner decides, played through its whole interface."""
+"""Decisions of a shard's owner, through the whole interface of its policy."""
 
 from dataclasses import replace
 from math import inf, nan
@@ -39,12 +39,12 @@
 
 def make_policy(*runners: str) -> ShardPolicy:
     policy = make_shard_policy(SERVICE, Random(1))
-    # Listed long before the first ask, so that slow start is over.
+    # Listed long before the first slot request, so that slow start is over.
     policy.runners([RunnerInfo(name) for name in runners], -100)
     return policy
 
 
-def granted(actions: list[Action]) -> list[str]:
+def granted_ids(actions: list[Action]) -> list[str]:
     return [act.request_id for act in actions if isinstance(act, Grant)]
 
 
@@ -63,9 +63,9 @@
 def test_full_runner_starts_the_next_when_one_ends() -> None:
     policy = make_policy('engine-1')
     for name in ('a', 'b'):
-        assert granted(policy.ask(make_ask(name), 0)) == [name]
+        assert granted_ids(policy.ask(make_ask(name), 0)) == [name]
     assert not policy.ask(make_ask('c'), 0)
-    assert granted(policy.ended('a', DONE, 1)) == ['c']
+    assert granted_ids(policy.ended('a', DONE, 1)) == ['c']
 
 
 def test_higher_tier_starts_before_earlier_lower_tier() -> None:
@@ -73,14 +73,14 @@
     for name in ('a', 'b', 'c'):
         policy.ask(make_ask(name), 0)
     policy.ask(make_ask('booking', tier=Tier.CRITICAL), 1)
-    assert granted(policy.ended('a', DONE, 2)) == ['booking']
+    assert granted_ids(policy.ended('a', DONE, 2)) == ['booking']
 
 
 def test_withdrawn_request_frees_its_slot() -> None:
     policy = make_policy('engine-1')
     for name in ('a', 'b', 'c'):
         policy.ask(make_ask(name), 0)
-    assert granted(policy.withdraw('a', 1)) == ['c']
+    assert granted_ids(policy.withdraw('a', 1)) == ['c']
 
 
 def test_leaving_runner_gets_nothing_new() -> None:
@@ -100,7 +100,7 @@
     assert policy.ask(ask, 0) == [Grant('a', 'engine-2')]
 
 
-def test_no_live_runner_sheds_at_once_with_a_time_to_return() -> None:
+def test_request_without_live_runner_is_shed_with_retry_after() -> None:
     policy = make_policy()
     action = policy.ask(make_ask('a'), 0)[0]
     assert isinstance(action, Refuse)
@@ -127,7 +127,7 @@
         assert wake <= 5
         actions = policy.tick(wake)
         following = policy.next_wake(wake)
-        # Each wake leads to a later one, or the owner's task would spin.
+        # Each wake must lead to a later one, or the owner's task would spin.
         assert following is None or following > wake
         wake = following
     refused = actions[0]
@@ -142,7 +142,7 @@
     policy.ask(make_ask('draft', tier=Tier.HIGH), 0)
     policy.ask(make_ask('booking', tier=Tier.CRITICAL, deadline=1), 0)
     assert policy.tick(0.5) == []
-    assert granted(policy.withdraw('draft', 0.6)) == ['booking']
+    assert granted_ids(policy.withdraw('draft', 0.6)) == ['booking']
 
 
 def test_preemption_is_ordered_once_per_urgent_request() -> None:
@@ -170,11 +170,11 @@
     policy.ask(make_ask('booking', tier=Tier.CRITICAL, deadline=2.2), 0)
     assert policy.set_floor(Tier.CRITICAL, 2, 1) == 2
     assert [type(act) for act in policy.tick(1)] == [Preempt]
-    assert granted(policy.ended('a', DONE, 1.2)) == ['booking']
-    assert not granted(policy.ended('b', DONE, 1.4))
+    assert granted_ids(policy.ended('a', DONE, 1.2)) == ['booking']
+    assert not granted_ids(policy.ended('b', DONE, 1.4))
     wake = policy.next_wake(1.5)
     assert wake is not None
-    assert granted(policy.tick(3.1)) == ['c']
+    assert granted_ids(policy.tick(3.1)) == ['c']
 
 
 def test_suspect_runs_alone_and_one_at_a_time() -> None:
@@ -183,9 +183,9 @@
     policy.ask(make_ask('s1', suspect=True), 0)
     policy.ask(make_ask('s2', suspect=True), 0)
     assert not policy.ask(make_ask('b'), 0)
-    assert granted(policy.ended('a', DONE, 1)) == ['s1']
-    assert granted(policy.ended('s1', DONE, 2)) == ['s2']
-    assert granted(policy.ended('s2', DONE, 3)) == ['b']
+    assert granted_ids(policy.ended('a', DONE, 1)) == ['s1']
+    assert granted_ids(policy.ended('s1', DONE, 2)) == ['s2']
+    assert granted_ids(policy.ended('s2', DONE, 3)) == ['b']
 
 
 def test_adopted_run_fills_its_slot() -> None:
@@ -195,7 +195,7 @@
     assert not policy.ask(make_ask('c'), 0)
 
 
-def test_run_adopted_before_the_list_counts_when_the_list_comes() -> None:
+def test_run_adopted_before_the_runner_list_takes_a_slot() -> None:
     policy = make_shard_policy(SERVICE, Random(1))
     for name in ('a', 'b'):
         policy.adopt(make_ask(name), 'engine-1', 0)
@@ -204,15 +204,15 @@
 
 
 @pytest.mark.parametrize('cost', [-5, 0, nan, inf])
-def test_nonsense_cost_counts_as_the_prompt(cost: float) -> None:
+def test_invalid_cost_is_replaced_by_the_prompt_length(cost: float) -> None:
     policy = make_policy('engine-1')
-    assert granted(policy.ask(make_ask('a', cost=cost), 0)) == ['a']
+    assert granted_ids(policy.ask(make_ask('a', cost=cost), 0)) == ['a']
 
 
 @pytest.mark.parametrize('tier', [-3, 0, 99])
 def test_unknown_tier_is_clamped(tier: int) -> None:
     policy = make_policy('engine-1')
-    assert granted(policy.ask(make_ask('a', tier=tier), 0)) == ['a']
+    assert granted_ids(policy.ask(make_ask('a', tier=tier), 0)) == ['a']
 
 
 def test_clock_that_jumps_back_counts_as_standing_still() -> None:
@@ -222,19 +222,19 @@
     assert policy.load().running == 2
 
 
-def test_report_from_the_future_teaches_nothing() -> None:
+def test_report_longer_than_the_elapsed_time_is_ignored() -> None:
     policy = make_policy('engine-1')
     policy.ask(make_ask('a'), 0)
     report = replace(DONE, seconds=10_000)
     policy.ended('a', report, 1)
-    assert granted(policy.ask(make_ask('b', deadline=20), 2)) == ['b']
+    assert granted_ids(policy.ask(make_ask('b', deadline=20), 2)) == ['b']
 
 
-def test_crashed_runner_is_held_back_and_returns_slowly() -> None:
-    """A runner dies with two runs on it while the VM list still has it.
+def test_crashed_runner_gets_no_starts_and_then_ramps_up() -> None:
+    """Guards against starts on a crashed runner that the VM list still has.
 
-    Both gateways report the crash. Sent there at once, the next callers would
-    see theirs broken too; so nothing starts for a second, then one, then more.
+    A runner crashes with two runs, and both gateways report it. New runs there
+    would fail, too; so none starts for a second, then one, then more.
     """
     policy = make_policy('engine-1')
     for name in ('a', 'b', 'c', 'd'):
@@ -242,21 +242,24 @@
     crash = RunReport('failed', crashed=True)
     assert not policy.ended('a', crash, 1)
     assert not policy.ended('b', crash, 1.1)
-    assert granted(policy.tick(2.0)) == ['c']
-    assert granted(policy.tick(7.0)) == ['d']
+    assert granted_ids(policy.tick(2.0)) == ['c']
+    assert granted_ids(policy.tick(7.0)) == ['d']
 
 
 def test_runner_once_slow_is_tried_again_when_idle() -> None:
-    """A runner took 50 s for a short run, then recovered.
+    """Guards against a runner that is avoided permanently after a slow run.
 
-    By the estimate nothing ends there in time any more. Requests still start
-    when it is idle, or all callers would be refused for good.
+    A runner took 50 s for a short run, then recovered. By the estimate no run
+    ends there in time. Runs must still start while it is idle, or all callers
+    would be refused permanently.
     """
     policy = make_policy('engine-1')
     policy.ask(make_ask('slow', deadline=90), 0)
     policy.first_token('slow', 100, 0, 49)
     policy.ended('slow', replace(DONE, seconds=50), 50)
-    assert granted(policy.ask(make_ask('next', deadline=55), 51)) == ['next']
+    assert granted_ids(policy.ask(make_ask('next', deadline=55), 51)) == [
+        'next'
+    ]
 
 
 def test_plain_service_without_first_tokens_uses_all_its_slots() -> None:
@@ -265,7 +268,7 @@
     policy.runners([RunnerInfo('desk-1')], -100)
     for name in ('a', 'b'):
         ask = make_ask(name, prompt_tokens=9000, cost=9000)
-        assert granted(policy.ask(ask, 0)) == [name]
+        assert granted_ids(policy.ask(ask, 0)) == [name]
 
 
 def test_request_that_every_runner_failed_is_shed_at_once() -> None:
@@ -277,21 +280,21 @@
 
 
 def test_adopted_runs_do_not_close_their_runner_to_long_prompts() -> None:
-    """The previous owner is lost while a run streams.
+    """Guards against an adopted run that blocks long prompts until its end.
 
-    Its first token is past and will not be reported again; the next long
-    prompt must not wait for its end.
+    The previous owner was lost while the run streams. Its first token won't be
+    reported again.
     """
     policy = make_policy('engine-1')
     policy.adopt(make_ask('a', prompt_tokens=9000, cost=9000), 'engine-1', 0)
     ask = make_ask('b', prompt_tokens=9000, cost=9000)
-    assert granted(policy.ask(ask, 0)) == ['b']
+    assert granted_ids(policy.ask(ask, 0)) == ['b']
 
 
 def test_new_owner_starts_slowly() -> None:
-    """A new owner knows neither caches nor speeds, and a queue stands.
+    """A new owner knows neither caches nor paces, and a full queue waits.
 
-    It starts a quarter of the slots at once and the rest over five seconds.
+    It uses a quarter of the slots at once and the rest over five seconds.
     """
     service = replace(SERVICE, slots=8)
     policy = make_shard_policy(service, Random(1))
@@ -312,8 +315,8 @@
     assert not policy.ask(make_ask('a'), 20)
 
 
-def test_a_freed_slot_does_not_go_below_what_was_just_refused() -> None:
-    """Guards against a refused request that then can't be shed with proof."""
+def test_freed_slot_starts_nothing_below_a_refused_tier() -> None:
+    """Otherwise no shed permit can be had for the refused request."""
     policy = make_policy('engine-1')
     for name in ('a', 'b'):
         policy.ask(make_ask(name, cancellable=False), 0)
@@ -323,5 +326,5 @@
     assert [act.request_id for act in refused if isinstance(act, Refuse)] == [
         'high'
     ]
-    assert not granted(policy.ended('a', DONE, 2.1))
-    assert granted(policy.tick(2 + HOLD_S)) == ['bulk']
+    assert not granted_ids(policy.ended('a', DONE, 2.1))
+    assert granted_ids(policy.tick(2 + HOLD_S)) == ['bulk']
--- a/tests/test_endless_messages.py
+++ b/tests/test_endless_messages.py
@@ -1,4 +1,4 @@
-"""Peers of our own interface, and callers, whose bytes have no end."""
+"""Endless messages from peers and callers are rejected at a bounded cost."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -11,12 +11,12 @@
 import h11
 import pytest
 
-from bramleybend.clients.http import Exchange, read_whole
+from bramleybend.clients.http import Exchange, read_response
 from bramleybend.clients.message_bounds import MessageTooLongError
-from bramleybend.clients.runner import events_of
+from bramleybend.clients.runner import iter_events
 from bramleybend.errors import ProblemError
-from bramleybend.gateway.caller_connection import Connection
-from tests.direct.world import KEY, playing
+from bramleybend.gateway.caller_connection import CallerConnection
+from tests.direct.cluster import KEY, running_cluster
 from tests.utils.endless_bytes import (
     EVENTS,
     FRAMED,
@@ -31,7 +31,7 @@
 BODY: Final = (b'%bContent-Type: text/plain\r\n\r\n' % OK, b'body' * 4096)
 POST: Final = b'POST /book/x HTTP/1.1\r\nHost: desk.example\r\n'
 CHUNKED_POST: Final = b'%bTransfer-Encoding: chunked\r\n\r\n' % POST
-ENDLESS: Final = (
+ENDLESS_ERRORS: Final = (
     MessageTooLongError,
     ProblemError,
     h11.RemoteProtocolError,
@@ -47,14 +47,16 @@
 
 
 @asynccontextmanager
-async def fed(first: bytes, then: bytes) -> AsyncIterator[asyncio.StreamReader]:
-    """Yield a reader to which these bytes come without end."""
+async def endless_reader(
+    first: bytes, repeated: bytes
+) -> AsyncIterator[asyncio.StreamReader]:
+    """Yield a reader that gets `first` once, then `repeated` forever."""
     reader = asyncio.StreamReader()
 
     async def feed() -> None:
-        reader.feed_data(first or then)
+        reader.feed_data(first or repeated)
         while True:
-            reader.feed_data(then * (READ // len(then)))
+            reader.feed_data(repeated * (READ // len(repeated)))
             await asyncio.sleep(0)
 
     feeding = asyncio.create_task(feed())
@@ -62,82 +64,90 @@
     feeding.cancel()
 
 
-def writer() -> Mock:
-    """Return a writer to nowhere."""
-    made = Mock(drain=AsyncMock(), wait_closed=AsyncMock())
-    made.get_extra_info.return_value = ('127.0.0.1', 80)
-    return made
+def discarding_writer() -> Mock:
+    """Return a stream writer that discards what is written."""
+    mock_writer = Mock(drain=AsyncMock(), wait_closed=AsyncMock())
+    mock_writer.get_extra_info.return_value = ('127.0.0.1', 80)
+    return mock_writer
 
 
 @pytest.mark.parametrize('case', [*HEADS, *FRAMING, 'body'])
-async def test_an_answer_without_end_on_our_own_interface_is_left(
+async def test_an_endless_response_is_abandoned(
     case: str,
 ) -> None:
-    """A log, a list or a runner that sends for ever would hold a task."""
-    first, then = {**HEADS, **FRAMING, 'body': BODY}[case]
-    before = thread_time()
-    async with fed(first, then) as reader:
-        exchange = Exchange(reader, writer())
+    """Guards against a log, VM list or runner that never stops sending.
+
+    The task that reads its response would never end.
+    """
+    first, repeated = {**HEADS, **FRAMING, 'body': BODY}[case]
+    cpu_time_before = thread_time()
+    async with endless_reader(first, repeated) as reader:
+        exchange = Exchange(reader, discarding_writer())
         await exchange.send('GET', '/')
-        with pytest.raises(ENDLESS):
-            await read_whole(exchange)
-    assert thread_time() - before <= PROCESSOR_S
+        with pytest.raises(ENDLESS_ERRORS):
+            await read_response(exchange)
+    assert thread_time() - cpu_time_before <= PROCESSOR_S
 
 
 @pytest.mark.parametrize('case', EVENTS)
-async def test_events_without_end_on_our_own_interface_are_left(
+async def test_endless_events_are_abandoned(
     case: str,
 ) -> None:
-    """Searched from its start at each part, an event costs their square."""
-    first, then = EVENTS[case]
-    before = thread_time()
-    async with fed(FRAMED + chunk(first or then), chunk(then)) as reader:
-        exchange = Exchange(reader, writer())
+    """Guards against CPU time that grows with the square of an event's size.
+
+    It does if each part that arrives has the event searched from its start.
+    """
+    first, repeated = EVENTS[case]
+    cpu_time_before = thread_time()
+    async with endless_reader(
+        FRAMED + chunk(first or repeated), chunk(repeated)
+    ) as reader:
+        exchange = Exchange(reader, discarding_writer())
         await exchange.send('GET', '/')
-        await exchange.head()
+        await exchange.read_head()
         with pytest.raises(MessageTooLongError):
-            async for _ in events_of(exchange):
-                """Read on."""
-    assert thread_time() - before <= PROCESSOR_S
+            async for _ in iter_events(exchange):
+                """Discard the event."""
+    assert thread_time() - cpu_time_before <= PROCESSOR_S
 
 
 @pytest.mark.parametrize('case', REQUESTS)
 async def test_a_request_without_end_is_refused(case: str) -> None:
-    """A caller that sends for ever would take the processor from others."""
-    first, then = REQUESTS[case]
-    answered = AsyncMock()
-    before = thread_time()
-    async with fed(first, then) as reader:
-        out = writer()
-        conn = Connection(reader, out, answered, Mock())
-        rejected = Mock()
+    """Guards against a caller that takes the CPU time of all others."""
+    first, repeated = REQUESTS[case]
+    handler = AsyncMock()
+    cpu_time_before = thread_time()
+    async with endless_reader(first, repeated) as reader:
+        out = discarding_writer()
+        conn = CallerConnection(reader, out, handler, Mock())
+        on_rejected = Mock()
         async with asyncio.timeout(4):
-            await conn.serve(rejected)
-    assert thread_time() - before <= PROCESSOR_S
-    rejected.assert_called_once()
-    answered.assert_not_awaited()
+            await conn.serve(on_rejected)
+    assert thread_time() - cpu_time_before <= PROCESSOR_S
+    on_rejected.assert_called_once()
+    handler.assert_not_awaited()
 
 
 @pytest.mark.parametrize('case', REQUESTS)
 async def test_a_raw_request_without_end_is_refused(case: str) -> None:
-    """A caller that sends for ever would take the processor from others."""
-    first, then = REQUESTS[case]
+    """Guards against a caller that takes the CPU time of all others."""
+    first, repeated = REQUESTS[case]
     key = f'Authorization: Token {KEY}\r\n'.encode()
-    async with playing() as world:
+    async with running_cluster() as world:
         caller = await world.connect()
         caller.writer.write(first.replace(POST, POST + key))
-        sending = asyncio.create_task(_send_on(caller.writer, then))
+        sending = asyncio.create_task(_send_endlessly(caller.writer, repeated))
         answer = await caller.answer(2)
         assert answer.status in {400, 413, 431}
         async with asyncio.timeout(2):
             await sending
 
 
-async def _send_on(out: asyncio.StreamWriter, then: bytes) -> None:
-    """Send until the other side closes."""
+async def _send_endlessly(out: asyncio.StreamWriter, repeated: bytes) -> None:
+    """Send `repeated` again and again until the peer closes the connection."""
     try:
         while True:
-            out.write(then)
+            out.write(repeated)
             await out.drain()
             await asyncio.sleep(0)
     except ConnectionError:
--- a/tests/test_slot_search.py
+++ b/tests/test_slot_search.py
@@ -1,4 +1,4 @@
-"""When a request that gets no slot is told so."""
+"""When a request that gets no slot is answered."""
 
 import asyncio
 import time
@@ -13,9 +13,9 @@
 from bramleybend.answers import Answer, Outcome
 from bramleybend.clock import SystemClock
 from bramleybend.errors import Problem
-from bramleybend.gateway.job import Deps, Job
+from bramleybend.gateway.job import DispatchDeps, Job
+from bramleybend.gateway.slot import Slot
 from bramleybend.gateway.slot_search import SlotSearch
-from bramleybend.gateway.slots import Slot
 from bramleybend.metrics import make_metrics
 from bramleybend.models import Ask, Tier
 from bramleybend.wire.bramleybend_pb2 import AskMessage, Refused
@@ -26,7 +26,7 @@
 
 
 class _SilentOwner:
-    """Queues every request and decides nothing."""
+    """An owner that never decides; the ask is refused at its deadline."""
 
     async def acquire(
         self, ask: AskMessage, deadline: float
@@ -39,18 +39,18 @@
     return False
 
 
-def _deps(may_shed: MayShed = _never) -> Deps:
+def _deps(may_shed: MayShed = _never) -> DispatchDeps:
     deps = SimpleNamespace(
-        asker=_SilentOwner(),
-        floors=SimpleNamespace(may_shed=may_shed),
+        slot_client=_SilentOwner(),
+        floor_rounds=SimpleNamespace(may_shed=may_shed),
         views=SimpleNamespace(view=SimpleNamespace(shards=())),
         clock=CLOCK,
         metrics=make_metrics(None),
         rng=Random(1),
-        answer_by=lambda job: job.ask().deadline - MARGIN_S,
-        note=lambda *_args, **_fields: None,
+        answer_deadline=lambda job: job.make_ask().deadline - MARGIN_S,
+        record_event=lambda *_args, **_fields: None,
     )
-    return cast('Deps', deps)
+    return cast('DispatchDeps', deps)
 
 
 def _job(deadline: float) -> Job:
@@ -67,7 +67,7 @@
     )
     make_ask: Callable[[], Ask] = lambda: ask  # noqa: E731
     job = SimpleNamespace(
-        ask=make_ask,
+        make_ask=make_ask,
         tier=ask.tier,
         service=SimpleNamespace(name=ask.service, shards=1),
     )
@@ -78,7 +78,7 @@
 async def test_a_request_without_a_slot_is_told_before_its_deadline(
     deadline_s: float,
 ) -> None:
-    """Guards against an answer that comes when its caller has left."""
+    """Guards against an answer after the deadline, when the caller has left."""
     began = time.monotonic()
     job = _job(CLOCK.monotonic() + deadline_s)
     found = await SlotSearch(_deps()).find(job, [])
@@ -88,7 +88,7 @@
 
 
 async def test_a_silent_owner_does_not_delay_the_answer() -> None:
-    """Guards against a wait for proof that goes on past the deadline."""
+    """Guards against waiting for a permit to shed beyond the deadline."""
 
     async def ask_for_long(
         service: str, tier: Tier, shards: int, answer_by: float
