--- a/bramleybend/cli/entry_program.py
+++ b/bramleybend/cli/entry_program.py
@@ -1,4 +1,4 @@
-"""What `bramleybend-entry` does once its libraries are loaded."""
+"""The main program of `bramleybend-entry`, loaded by `entry_vm`."""
 
 import os
 import sys
@@ -6,15 +6,15 @@
 
 from bramleybend.cli.serving import Environment, serve, system_environment
 from bramleybend.entry_settings import ENTRY
-from bramleybend.platform.program import make_platform_process
-from bramleybend.status import ExitStatus
+from bramleybend.exit_status import ExitStatus
+from bramleybend.platform.platform_process import make_platform_process
 
 
 def main(args: Sequence[str], env: Environment) -> ExitStatus:
-    """Serve until told to stop; return what the shell gets."""
+    """Serve until a stop signal; return the exit status."""
     return serve(ENTRY, make_platform_process, args, env)
 
 
 def main_from_console() -> ExitStatus:
-    """Serve by the real arguments, variables and streams."""
+    """Serve with the arguments, variables and streams of this process."""
     return main(sys.argv[1:], system_environment(os.environ))
--- a/bramleybend/decisions/shard.py
+++ b/bramleybend/decisions/shard.py
@@ -6,13 +6,13 @@
 
 from bramleybend.decisions.decaying_sum import DecayingSum
 from bramleybend.decisions.drain_rate import DrainRate
-from bramleybend.decisions.overload import UNBOUNDED, Overload
+from bramleybend.decisions.overload import UNBOUNDED, OverloadBounds
 from bramleybend.decisions.pool import RunnerPool
 from bramleybend.decisions.runs import Run, Runner
-from bramleybend.decisions.switches import Switches
+from bramleybend.decisions.switches import PolicySwitches
 from bramleybend.decisions.tier_queue import WaitingEntry
 from bramleybend.decisions.waiting_queue import WaitingQueue
-from bramleybend.models import Ask, Tier
+from bramleybend.models import SlotRequest, Tier
 
 STARTS_HALF_LIFE_S = 2.0
 
@@ -30,8 +30,8 @@
     suspects: WaitingQueue
     drain_rate: DrainRate
     rng: Random
-    switches: Switches
-    overload: Overload = UNBOUNDED
+    switches: PolicySwitches
+    overload: OverloadBounds = UNBOUNDED
     runs: dict[str, Run] = field(default_factory=dict)
     # ID of the preempted run, by the ID of the request that waits for its slot.
     victims: dict[str, str] = field(default_factory=dict)
@@ -62,7 +62,7 @@
         per_s = self.recent_starts.value(now) * log(2) / STARTS_HALF_LIFE_S
         return per_s * self.overload.min_share
 
-    def queue_for(self, ask: Ask) -> WaitingQueue:
+    def queue_for(self, ask: SlotRequest) -> WaitingQueue:
         """Return the queue that a request belongs to."""
         return self.suspects if ask.suspect else self.queue
 
@@ -74,7 +74,7 @@
         self.victims.pop(request_id, None)
         return entry
 
-    def start(self, ask: Ask, runner: Runner, now: float) -> None:
+    def start(self, ask: SlotRequest, runner: Runner, now: float) -> None:
         """Record that a request runs on a runner."""
         entry = self.dequeue(ask.request_id)
         if entry is not None:
@@ -94,7 +94,7 @@
             runner.reserved_for = ask.request_id
         self.queue.charge(ask, ask.cost)
 
-    def adopt(self, ask: Ask, runner_name: str, now: float) -> None:
+    def adopt(self, ask: SlotRequest, runner_name: str, now: float) -> None:
         """Record a run in progress, on a runner that may not be listed yet.
 
         The run counts as streaming, since its first token may have been sent
--- a/bramleybend/direct/feed.py
+++ b/bramleybend/direct/feed.py
@@ -22,8 +22,8 @@
 from result import Err, Ok, Result
 
 from bramleybend.clock import Clock
-from bramleybend.direct.beat_messages import FeedNews
 from bramleybend.direct.feed_copy import FeedCopy, Page
+from bramleybend.direct.heartbeat_messages import FeedStatus
 from bramleybend.direct.peer_progress import (
     BEFORE_FIRST_OFFSET,
     PeerProgress,
@@ -44,10 +44,10 @@
 class FeedSource(Protocol):
     """A source from which logs can be read."""
 
-    async def newest(self, name: str) -> Result[Page, Problem]:
+    async def fetch_newest(self, name: str) -> Result[Page, Problem]:
         """Return the newest record of each key."""
 
-    async def changes(
+    async def fetch_changes(
         self, name: str, start: int, wait_s: float
     ) -> Result[Page, Problem]:
         """Return the records from an offset on.
@@ -109,21 +109,22 @@
         self.on_page(page)
         return True
 
-    def make_news(self) -> FeedNews:
+    def make_news(self) -> FeedStatus:
         """Return this VM's progress for a heartbeat."""
         age_s = self._clock.monotonic() - self.confirmed_at
-        return FeedNews(
+        return FeedStatus(
             self.settings.name,
             self._next_offset(),
             min(age_s, MAX_AGE_S),
             self.store_schedule.is_store_answering,
         )
 
-    def handle_news(self, vm: str, address: str, news: FeedNews) -> None:
+    def handle_news(self, vm: str, address: str, news: FeedStatus) -> None:
         """Handle the progress that another VM's heartbeat reports."""
         confirmed_at = self._clock.monotonic() - news.age_s
         self._peers.update(
-            vm, PeerProgress(address, news.end, confirmed_at, news.reads)
+            vm,
+            PeerProgress(address, news.end, confirmed_at, news.can_read_store),
         )
         own_end = self._next_offset()
         if news.end > own_end:
@@ -233,8 +234,10 @@
         self, source: FeedSource, wait_s: float
     ) -> Result[Page, Problem]:
         if self.copy.end is None:
-            return await source.newest(self.settings.name)
-        return await source.changes(self.settings.name, self.copy.end, wait_s)
+            return await source.fetch_newest(self.settings.name)
+        return await source.fetch_changes(
+            self.settings.name, self.copy.end, wait_s
+        )
 
     def _apply_page(self, page: Page, confirmed_at: float) -> None:
         if self.copy.end is not None and page.end < self.copy.end:
--- a/bramleybend/gateway/gateway_process.py
+++ b/bramleybend/gateway/gateway_process.py
@@ -10,7 +10,7 @@
 from bramleybend.clients.http_log import make_http_log
 from bramleybend.clock import Clock
 from bramleybend.control import ControlService
-from bramleybend.decisions.floor import ShedPermits
+from bramleybend.decisions.tier_floor import ShedPermits
 from bramleybend.events import EventLog
 from bramleybend.gateway.floor_round import FloorRounds, FloorRpc
 from bramleybend.gateway.forwarding import (
@@ -101,7 +101,7 @@
         )
         await self._grpc.start()
         self._start_task(self.views.follow())
-        self._start_task(LoopWatch(self.events, self._clock).work())
+        self._start_task(LoopWatch(self.events, self._clock).run())
         await self._http.start(self._cfg.address, self._cfg.http_port)
         self.events.record('started', vm=self._cfg.vm)
 
--- a/bramleybend/platform/headers.py
+++ b/bramleybend/platform/platform_dialect.py
@@ -2,16 +2,16 @@
 
 from typing import Final
 
-from bramleybend.clients.channel import Head, HeaderList
+from bramleybend.clients.channel import HeaderList, ResponseHead
 from bramleybend.direct.header_codec import (
     AnswerFacts,
-    HeaderCodec,
     ForwardingFacts,
+    HeaderCodec,
     first_header,
     hop_by_hop_names,
 )
-from bramleybend.direct.models import RequestFacts
-from bramleybend.platform.names import (
+from bramleybend.direct.models import RequestMetadata
+from bramleybend.platform.wire_names import (
     ATTEMPT_ID,
     AUTHORIZATION,
     EXPECT_RUNNER,
@@ -36,25 +36,23 @@
 class PlatformHeaderCodec:
     """Headers as the platform's documentation defines them."""
 
-    def request_facts(self, headers: HeaderList) -> RequestFacts:
+    def request_facts(self, headers: HeaderList) -> RequestMetadata:
         """Return what the headers state about a caller's request."""
         prompt_count, most_output = _parse_token_counts(
             _header_text(headers, TOKEN_COUNTS)
         )
         timeout_ms = _parse_number(_header_text(headers, TIMEOUT_MS))
         length_hint = _parse_number(_header_text(headers, LENGTH_HINT))
-        return RequestFacts(
+        return RequestMetadata(
             attempt_id=_header_text(headers, ATTEMPT_ID),
             key=_api_key(_header_text(headers, AUTHORIZATION)),
-            patience_s=None
-            if timeout_ms is None
-            else timeout_ms / MILLISECONDS,
+            timeout_s=None if timeout_ms is None else timeout_ms / MILLISECONDS,
             prompt_tokens=prompt_count,
             max_output_tokens=most_output,
             output_tokens_hint=None
             if length_hint is None
             else int(length_hint),
-            resume_after=_header_text(headers, LAST_EVENT_ID),
+            last_event_id=_header_text(headers, LAST_EVENT_ID),
         )
 
     def runner_headers(
@@ -76,7 +74,7 @@
             added.append((LAST_EVENT_ID, forwarding.resume_after))
         return kept + [(key.encode(), text.encode()) for key, text in added]
 
-    def answer_facts(self, head: Head) -> AnswerFacts:
+    def answer_facts(self, head: ResponseHead) -> AnswerFacts:
         """Return what the headers state about a runner's response."""
         is_marked = head.get(NOT_EXECUTED) is not None
         # A runner other than the one addressed received the request.
@@ -89,7 +87,7 @@
             None if is_misdirected else head.get(RUNNER_LIMIT) or '',
         )
 
-    def caller_headers(self, head: Head) -> list[tuple[bytes, bytes]]:
+    def caller_headers(self, head: ResponseHead) -> list[tuple[bytes, bytes]]:
         """Return the headers to send to a caller, without framing."""
         dropped = hop_by_hop_names(head.headers)
         return [
@@ -98,7 +96,7 @@
             if key.lower() not in dropped
         ]
 
-    def is_whole(self, head: Head) -> bool:
+    def is_whole(self, head: ResponseHead) -> bool:
         """Tell whether the body can be the one that the runner sent.
 
         Callers request bodies without a content encoding, so an encoded body
--- a/bramleybend/platform/store.py
+++ b/bramleybend/platform/store_client.py
@@ -19,9 +19,9 @@
 
 from bramleybend.clients.channel import (
     Channel,
-    Head,
     HeaderList,
-    Outgoing,
+    OutgoingRequest,
+    ResponseHead,
     connect,
 )
 from bramleybend.clients.message_bounds import MessageBounds
@@ -34,7 +34,7 @@
     MAX_INFLATED_BYTES,
     inflate,
 )
-from bramleybend.platform.records import (
+from bramleybend.platform.record_format import (
     UNPACK_ERRORS,
     pack_record,
     unpack_page,
@@ -94,9 +94,9 @@
         host = f'{address}:{port}'.encode()
         self._headers = [(b'Host', host), *headers]
         self._idle_channels: list[Channel] = []
-        self.calls = 0
+        self.call_count = 0
 
-    async def newest(self, topic: str) -> Result[Page, Problem]:
+    async def fetch_newest(self, topic: str) -> Result[Page, Problem]:
         """Return the newest record of each key.
 
         The store may change between two of its pages, so the result's `end`
@@ -117,9 +117,9 @@
             page = next_result.ok_value
             items.extend(page.items)
         records = tuple(_make_record(item) for item in items)
-        return Ok(Page(records, first_result.ok_value.end, whole=True))
+        return Ok(Page(records, first_result.ok_value.end, is_snapshot=True))
 
-    async def changes(
+    async def fetch_changes(
         self,
         topic: str,
         start: int,
@@ -138,13 +138,13 @@
             return response
         status, body = response.ok_value
         if status == HTTPStatus.GONE:
-            return await self.newest(topic)
+            return await self.fetch_newest(topic)
         try:
             return Ok(unpack_page(body, start))
         except UNPACK_ERRORS as exc:
             return Err(_decode_problem(exc))
 
-    async def put(
+    async def append_record(
         self, topic: str, key: str, content: bytes
     ) -> Result[None, Problem]:
         """Append a record; after an error, it may have been appended."""
@@ -180,10 +180,10 @@
         extra_timeout_s: float = 0,
         body: bytes = b'',
     ) -> Result[tuple[int, bytes], Problem]:
-        self.calls += 1
+        self.call_count += 1
         target = f'{path}?{urlencode(query)}'.encode()
         method = b'POST' if body else b'GET'
-        outgoing = Outgoing(method, target, self._headers, body)
+        outgoing = OutgoingRequest(method, target, self._headers, body)
         try:
             async with asyncio.timeout(
                 READ_TIMEOUT_S + extra_timeout_s
@@ -193,7 +193,7 @@
             return Err(self._no_response_problem(exc))
 
     async def _exchange(
-        self, outgoing: Outgoing, read_timeout: asyncio.Timeout
+        self, outgoing: OutgoingRequest, read_timeout: asyncio.Timeout
     ) -> Result[tuple[int, bytes], Problem]:
         channel = await self._acquire_channel()
         is_reusable = False
@@ -213,19 +213,19 @@
     async def _read_response(
         self,
         channel: Channel,
-        outgoing: Outgoing,
+        outgoing: OutgoingRequest,
         read_timeout: asyncio.Timeout,
-    ) -> tuple[Head, bytes]:
+    ) -> tuple[ResponseHead, bytes]:
         await channel.send(outgoing)
-        head = await channel.head()
+        head = await channel.read_head()
         body_deadline = _loop_time() + self._body_timeout_s
         on_growth = partial(_extend_timeout, read_timeout, body_deadline)
-        return head, await channel.body(MAX_INFLATED_BYTES, on_growth)
+        return head, await channel.read_body(MAX_INFLATED_BYTES, on_growth)
 
     async def _acquire_channel(self) -> Channel:
         while self._idle_channels:
             channel = self._idle_channels.pop()
-            if channel.usable:
+            if channel.is_usable:
                 return channel
             channel.abort()
         return await connect(
--- a/bramleybend/scheduler/view_service.py
+++ b/bramleybend/scheduler/view_service.py
@@ -54,7 +54,7 @@
         has_newer_terms = terms.version > request.known_version
         return ViewReply(
             version=terms.version,
-            offset=max(terms.offset, 0),
+            offset=max(terms.next_offset, 0),
             document=terms.document if has_newer_terms else '',
             members=[
                 make_member_record(each) for each in self._sources.members()
@@ -68,7 +68,7 @@
     async def _wait_for_newer_terms(self, wait_s: float) -> None:
         try:
             async with asyncio.timeout(wait_s):
-                await self._sources.terms.changed()
+                await self._sources.terms.wait_for_change()
         except TimeoutError:
             return
 
--- a/tests/decisions/engine_simulation.py
+++ b/tests/decisions/engine_simulation.py
@@ -21,9 +21,9 @@
     RunnerInfo,
     RunReport,
 )
-from bramleybend.decisions.owner import make_shard_policy
-from bramleybend.decisions.switches import Switches
-from bramleybend.models import Ask, Service, ServiceKind, Tier
+from bramleybend.decisions.shard_policy import make_shard_policy
+from bramleybend.decisions.switches import PolicySwitches
+from bramleybend.models import Service, ServiceKind, SlotRequest, Tier
 
 ENGINES: Final = 30
 SLOTS: Final = 8
@@ -94,7 +94,7 @@
     """One simulated request."""
 
     kind: RequestKind
-    ask: Ask
+    ask: SlotRequest
     prefill_left: int
     answer_tokens: int
     decoded_tokens: int = 0
@@ -117,7 +117,7 @@
     """Simulates callers, engines and one policy; collects tallies."""
 
     def __init__(
-        self, seed: int, switches: Switches, counts_from: float = 0
+        self, seed: int, switches: PolicySwitches, counts_from: float = 0
     ) -> None:
         """Start with idle engines; tallies leave out earlier requests."""
         self._rng = Random(seed)
@@ -142,7 +142,7 @@
         infos = [
             RunnerInfo(name, slots=SLOTS, warm=True) for name in self._engines
         ]
-        self._handle_actions(self._policy.runners(infos, 0))
+        self._handle_actions(self._policy.update_runners(infos, 0))
 
     def run(
         self, kinds: tuple[RequestKind, ...], burst: LoadBurst, end: float
@@ -171,7 +171,7 @@
         prompt = kind.prompt.sample(self._rng)
         answer = kind.events.sample(self._rng) * EVENT_TOKENS
         hint = max(answer * exp(self._rng.gauss(0, 0.5)), 1)
-        ask = Ask(
+        ask = SlotRequest(
             request_id=f'q{next(self._ids)}',
             service='lm',
             tier=kind.tier,
@@ -188,7 +188,7 @@
         run.is_counted = self._now >= self._counts_from
         self.tallies[kind].sent += run.is_counted
         self._runs[ask.request_id] = run
-        self._handle_actions(self._policy.ask(ask, self._now))
+        self._handle_actions(self._policy.request_slot(ask, self._now))
 
     def _handle_actions(self, actions: list[Action]) -> None:
         for action in actions:
@@ -263,7 +263,7 @@
             tally.late += run.is_counted
         name, tokens = run.ask.request_id, run.ask.prompt_tokens
         self._handle_actions(
-            self._policy.first_token(name, tokens, 0, self._now)
+            self._policy.record_first_token(name, tokens, 0, self._now)
         )
 
     def _end(self, run: Run) -> None:
@@ -275,4 +275,4 @@
         )
         name = run.ask.request_id
         self._runs.pop(name)
-        self._handle_actions(self._policy.ended(name, report, self._now))
+        self._handle_actions(self._policy.end_run(name, report, self._now))
--- a/tests/direct/cluster.py
+++ b/tests/direct/cluster.py
@@ -11,7 +11,10 @@
 
 from bramleybend.clock import Clock, SystemClock
 from bramleybend.entry_settings import EntrySettings
-from bramleybend.platform.program import PlatformProcess, make_platform_process
+from bramleybend.platform.platform_process import (
+    PlatformProcess,
+    make_platform_process,
+)
 from bramleybend.settings_types import HostPort
 from tests.utils.platform_store import PlatformStore
 from tests.utils.raw_runner import Behaviour, RawRunner, answers
@@ -121,7 +124,8 @@
         """Wait until each VM knows `count` runners of a service."""
         await wait_until(
             lambda: all(
-                len(vm.entry.book.runners.get(service, ())) == count
+                len(vm.entry.catalog.runners_by_service.get(service, ()))
+                == count
                 for vm in self.vms
             ),
             f'{count} runners of {service}',
@@ -213,7 +217,7 @@
         await self.writer.drain()
 
     async def answer(self, timeout_s: float = 8) -> RawAnswer:
-        """Read one answer; an incomplete one has `whole` unset."""
+        """Read one answer; an incomplete one has `is_whole` unset."""
         async with asyncio.timeout(timeout_s):
             head = (await self.reader.readuntil(b'\r\n\r\n')).decode()
             first, *lines = head.strip().split('\r\n')
--- a/tests/direct/test_allotments_after_restart.py
+++ b/tests/direct/test_allotments_after_restart.py
@@ -2,8 +2,12 @@
 
 import pytest
 
-from bramleybend.decisions.allotments import SETTLE_S, Allowance, Tolerance
-from bramleybend.direct.members import BEAT_S
+from bramleybend.decisions.allotments import (
+    STARTUP_HOLD_S,
+    Allowance,
+    Tolerance,
+)
+from bramleybend.direct.members import HEARTBEAT_INTERVAL_S
 from tests.utils.allotment_demand import Demand
 from tests.utils.peer_network import Network
 
@@ -52,7 +56,7 @@
     demand.run(3)
     demand.restart(range(count), down_s=1, within_s=within_s)
     demand.run(5)
-    assert demand.most_in_window() <= demand.tolerated()
+    assert demand.max_units_in_window() <= demand.max_tolerated_units()
 
 
 @pytest.mark.parametrize('count', [6, 9])
@@ -64,7 +68,7 @@
     demand.run(3)
     demand.restart(range(count), down_s=1, within_s=0.3)
     demand.run(5)
-    assert demand.most_in_window() <= demand.tolerated()
+    assert demand.max_units_in_window() <= demand.max_tolerated_units()
 
 
 def test_the_first_start_of_a_system_has_its_whole_burst() -> None:
@@ -86,11 +90,11 @@
     demand = demand_on(count, burst_s=6, times=0.5)
     demand.run(2)
     demand.restart([count - 1], down_s=0.5, within_s=0)
-    demand.run(2 * BEAT_S)
+    demand.run(2 * HEARTBEAT_INTERVAL_S)
     demand.refused.clear()
     starter = demand.network.up()[-1]
     assert starter.name == f'entry-{count - 1}'
-    assert demand.is_let_in_by(starter)
+    assert demand.is_admitted_by(starter)
     demand.run(3)
     assert not demand.refused
 
@@ -102,7 +106,10 @@
     added = [demand.network.add(number, 'added') for number in range(30, 42)]
     began = demand.network.clock.monotonic()
     demand.run(3)
-    assert all(moment - began <= 2 * BEAT_S for moment, _ in demand.refused)
+    assert all(
+        moment - began <= 2 * HEARTBEAT_INTERVAL_S
+        for moment, _ in demand.refused
+    )
     assert {name for _, name in demand.refused} <= {vm.name for vm in added}
 
 
@@ -119,7 +126,7 @@
     demand.run(1)
     if are_all_restarted:
         demand.restart(range(9), down_s=1, within_s=0.3)
-        demand.run(SETTLE_S + 3)
+        demand.run(STARTUP_HOLD_S + 3)
     demand.refused.clear()
     for number in range(9):
         before = len(demand.refused)
@@ -127,7 +134,7 @@
         started = demand.network.clock.monotonic()
         demand.run(1)
         late = [moment - started for moment, _ in demand.refused[before:]]
-        assert all(since <= 2 * BEAT_S for since in late)
+        assert all(since <= 2 * HEARTBEAT_INTERVAL_S for since in late)
 
 
 @pytest.mark.parametrize('count', [9, 69])
@@ -138,7 +145,7 @@
     for number in range(9):
         demand.restart([number], down_s=0.3, within_s=0)
         demand.run(0.5)
-    assert demand.most_in_window() <= demand.tolerated()
+    assert demand.max_units_in_window() <= demand.max_tolerated_units()
 
 
 def test_spending_assumed_after_a_start_is_not_reported() -> None:
@@ -153,14 +160,14 @@
     demand.network.cut = {frozenset('01'), frozenset('12')}
     numbers = [1, 4, 7]
     demand.restart(numbers, down_s=0.5, within_s=0)
-    demand.run(SETTLE_S + 0.2)
+    demand.run(STARTUP_HOLD_S + 0.2)
     starters = {f'entry-{number}' for number in numbers}
     assert {name for _, name in demand.refused} <= starters
     demand.network.cut = set()
     demand.network.until_all_hear_all()
-    demand.run(2 * BEAT_S)
+    demand.run(2 * HEARTBEAT_INTERVAL_S)
     demand.refused.clear()
-    assert all(demand.is_let_in_by(vm) for vm in demand.network.up())
+    assert all(demand.is_admitted_by(vm) for vm in demand.network.up())
     demand.run(3)
     assert not demand.refused
 
@@ -176,11 +183,11 @@
     restarted = range(15)
     demand.restart(restarted, down_s=1, within_s=0.3)
     demand.network.until_all_hear_all(2)
-    demand.run(2 * BEAT_S)
+    demand.run(2 * HEARTBEAT_INTERVAL_S)
     names = {f'entry-{number}' for number in restarted}
     assert {name for _, name in demand.refused} <= names
     demand.refused.clear()
-    assert all(demand.is_let_in_by(vm) for vm in demand.network.up())
+    assert all(demand.is_admitted_by(vm) for vm in demand.network.up())
     demand.run(3)
     assert not demand.refused
 
@@ -196,7 +203,7 @@
     started = demand.network.clock.monotonic()
     demand.run(10)
     late = [moment - started for moment, _ in demand.refused]
-    assert all(since <= SETTLE_S + 2 for since in late)
+    assert all(since <= STARTUP_HOLD_S + 2 for since in late)
     now = demand.network.clock.monotonic()
     for vm in demand.network.up():
         vm.allotments.admit('busy', demand.allowance, 0, now)
--- a/tests/direct/test_feeds.py
+++ b/tests/direct/test_feeds.py
@@ -8,22 +8,22 @@
 from result import Err, Ok, Result
 
 from bramleybend.clock import ManualClock, SystemClock
-from bramleybend.direct.book import Book
+from bramleybend.direct.catalog import Catalog
 from bramleybend.direct.feed import Feed, FeedSettings
 from bramleybend.direct.feed_copy import FeedCopy, KeyedRecord, Page
-from bramleybend.direct.members import Member, Members, Self
+from bramleybend.direct.members import Member, Members, OwnVm
 from bramleybend.direct.models import RunnerState
 from bramleybend.direct.runner_list import RunnerList
 from bramleybend.errors import Problem
 from bramleybend.events import EventLog
 from bramleybend.models import Repeat, Tier
 from bramleybend.platform.manifest import decode_manifest
-from bramleybend.platform.records import pack_page, unpack_page
+from bramleybend.platform.record_format import pack_page, unpack_page
 from bramleybend.platform.runner_entry import decode_runner
-from bramleybend.platform.store import StoreClient
+from bramleybend.platform.store_client import StoreClient
 from tests.direct.cluster import HOST, manifest, route
-from tests.utils.instants import START
 from tests.utils.platform_store import PlatformStore
+from tests.utils.start_times import START
 
 ENTRY = {
     'service': 'app',
@@ -54,8 +54,8 @@
         ]
     )
     found = decode_manifest(json.dumps(declared).encode()).unwrap()
-    long_route = found.route_of(HOST, '/a/b/c')
-    short_route = found.route_of(HOST, '/a/bc')
+    long_route = found.find_route(HOST, '/a/b/c')
+    short_route = found.find_route(HOST, '/a/bc')
     assert long_route is not None
     assert short_route is not None
     assert (long_route.repeat, short_route.repeat) == (
@@ -63,8 +63,8 @@
         Repeat.IDEMPOTENT,
     )
     assert long_route.tier is Tier.HIGH
-    assert found.route_of('other.example', '/a/b/c') is None
-    assert found.route_of(HOST, '/ab') is None
+    assert found.find_route('other.example', '/a/b/c') is None
+    assert found.find_route(HOST, '/ab') is None
 
 
 @pytest.mark.parametrize(
@@ -119,7 +119,7 @@
     written = page(record(7, 'a', 'x'), record(8, 'b'))
     read = unpack_page(pack_page(written), 7)
     assert read == written
-    assert read.records[1].gone
+    assert read.records[1].is_deleted
 
 
 def test_a_copy_tells_what_came_since_an_offset() -> None:
@@ -144,7 +144,7 @@
     reading = [
         name
         for name in names
-        if Members(Self(name, 'i', '10.0.0.1', '')).ranks_first(
+        if Members(OwnVm(name, 'i', '10.0.0.1', '')).is_among_first(
             'feed', {other: True for other in names if other != name}, 2
         )
     ]
@@ -153,27 +153,27 @@
 
 def test_a_silent_vm_owns_nothing() -> None:
     """Another VM becomes owner once a heartbeat was missed."""
-    members = Members(Self('entry-1', 'i', '10.0.0.1', ''))
+    members = Members(OwnVm('entry-1', 'i', '10.0.0.1', ''))
     for number in range(2, 7):
         name = f'entry-{number}'
-        members.heard(Member(name, 'i', '10.0.0.2', '', True, False, 100, 0))
-    owner = members.owner('service', 100.1, able=False)
+        members.update(Member(name, 'i', '10.0.0.2', '', True, False, 100, 0))
+    owner = members.owner('service', 100.1, can_own=False)
     assert owner is not None
-    assert members.owner('service', 102, able=True) is None
+    assert members.owner('service', 102, can_own=True) is None
 
 
 async def test_a_lapse_without_an_outage_counts_at_once() -> None:
     """A runner whose entry ends without an outage is gone at once."""
     clock = ManualClock(START)
-    book = Book(clock, EventLog('vm', 'i', clock, kept=0))
-    runners = RunnerList(book, decode_runner, EventLog('vm', 'i', clock, 0))
-    runners.take(page(record(0, 'r1', ENTRY), whole=True))
-    assert [one.name for one in book.runners['app']] == ['r1']
+    catalog = Catalog(clock, EventLog('vm', 'i', clock, kept=0))
+    runners = RunnerList(catalog, decode_runner, EventLog('vm', 'i', clock, 0))
+    runners.apply_page(page(record(0, 'r1', ENTRY), whole=True))
+    assert [one.name for one in catalog.runners_by_service['app']] == ['r1']
     clock.advance(0.7)
-    runners.confirmed(book.now())
+    runners.note_confirmed(catalog.now())
     clock.advance(0.7)
-    runners.take(page(record(1, 'r1')))
-    assert not book.runners.get('app')
+    runners.apply_page(page(record(1, 'r1')))
+    assert not catalog.runners_by_service.get('app')
 
 
 async def test_pages_are_put_together_and_read_on_from_the_first() -> None:
@@ -184,13 +184,13 @@
     for number in range(5):
         store.put('t', f'k{number}', number)
     client = StoreClient('127.0.0.1', store.server.port, SystemClock())
-    whole = (await client.newest('t')).unwrap()
+    whole = (await client.fetch_newest('t')).unwrap()
     assert [one.key for one in whole.records] == [
         f'k{number}' for number in range(5)
     ]
     assert whole.end == 5
     store.topic('t').first = 3
-    assert (await client.changes('t', 1, 0)).unwrap().whole
+    assert (await client.fetch_changes('t', 1, 0)).unwrap().is_snapshot
     client.close()
     await store.server.stop()
 
@@ -204,13 +204,13 @@
     store = PlatformStore('127.0.0.1')
     await store.server.start()
     client = StoreClient('127.0.0.1', store.server.port, SystemClock())
-    (await client.newest('t')).unwrap()
+    (await client.fetch_newest('t')).unwrap()
     store.silent = True
-    refused = await client.newest('t')
+    refused = await client.fetch_newest('t')
     assert isinstance(refused, Err)
     assert 'stays in force' in str(refused.err_value)
     store.silent = False
-    (await client.newest('t')).unwrap()
+    (await client.fetch_newest('t')).unwrap()
     client.close()
     await store.server.stop()
 
@@ -230,16 +230,16 @@
 class _IdleSource:
     """A log without records, whose reads last for their whole wait."""
 
-    async def newest(self, name: str) -> Result[Page, Problem]:
+    async def fetch_newest(self, name: str) -> Result[Page, Problem]:
         """Return an empty page."""
         return Ok(page(whole=True))
 
-    async def changes(
+    async def fetch_changes(
         self, name: str, start: int, wait_s: float
     ) -> Result[Page, Problem]:
         """Return no records after the wait."""
         await asyncio.sleep(wait_s)
-        return Ok(Page((), start, whole=False))
+        return Ok(Page((), start, is_snapshot=False))
 
 
 async def test_a_copy_is_no_older_than_its_long_poll() -> None:
--- a/tests/direct/test_log_backup.py
+++ b/tests/direct/test_log_backup.py
@@ -7,14 +7,14 @@
 
 from bramleybend.clock import SystemClock
 from bramleybend.direct.feed_copy import KeyedRecord, Page
-from bramleybend.platform.kept_pages import KeptPages
-from bramleybend.platform.names import (
-    KEPT_TOPIC,
+from bramleybend.platform.platform_process import make_platform_process
+from bramleybend.platform.snapshot_store import SnapshotStore
+from bramleybend.platform.store_client import StoreClient
+from bramleybend.platform.wire_names import (
     MANIFEST_TOPIC,
     RUNNER_TOPIC,
+    SNAPSHOT_TOPIC,
 )
-from bramleybend.platform.program import make_platform_process
-from bramleybend.platform.store import StoreClient
 from tests.direct.cluster import (
     PLAIN,
     Cluster,
@@ -35,7 +35,7 @@
 async def wait_until_saved(cluster: Cluster, count: int = 2) -> None:
     """Wait until the pages of `count` logs are saved."""
     await wait_until(
-        lambda: len(cluster.store.topic(KEPT_TOPIC).newest) == count,
+        lambda: len(cluster.store.topic(SNAPSHOT_TOPIC).newest) == count,
         'pages are kept',
     )
 
@@ -89,8 +89,8 @@
             for number in range(1400)
         ]
         cluster.publish(manifest(2, routes=[*manifest()['routes'], *added]))
-        book = cluster.vms[0].entry.book
-        await wait_until(lambda: book.manifest_version() == 2, 'the change')
+        catalog = cluster.vms[0].entry.catalog
+        await wait_until(lambda: catalog.manifest_version() == 2, 'the change')
         await asyncio.sleep(SOON_S * 2)
         cluster.store.silent_topics.add(MANIFEST_TOPIC)
         await lose_power(cluster)
@@ -111,15 +111,17 @@
     store = PlatformStore('127.0.0.1')
     await store.server.start()
     client = StoreClient('127.0.0.1', store.server.port, SystemClock())
-    pages = KeptPages(client)
-    small = Page((KeyedRecord(0, 'k', b'old'),), 1, whole=True)
+    pages = SnapshotStore(client)
+    small = Page((KeyedRecord(0, 'k', b'old'),), 1, is_snapshot=True)
     (await pages.save('log', small)).unwrap()
     loaded = (await pages.load('log')).unwrap()
     assert loaded is not None
     assert loaded.records[0].content == b'old'
     large_record = KeyedRecord(1, 'k', Random(1).randbytes(300_000))
     for _ in range(3):
-        refused = await pages.save('log', Page((large_record,), 2, whole=True))
+        refused = await pages.save(
+            'log', Page((large_record,), 2, is_snapshot=True)
+        )
         assert refused.is_err()
     assert (await pages.load('log')).unwrap() is None
     assert store.calls.count('/log-append') == 2
@@ -200,7 +202,7 @@
         await wait_until_saved(cluster)
         await asyncio.sleep(SOON_S)
         for name in (RUNNER_TOPIC, MANIFEST_TOPIC):
-            cluster.store.topic(KEPT_TOPIC).put(name, b'\x00')
+            cluster.store.topic(SNAPSHOT_TOPIC).put(name, b'\x00')
         cluster.store.silent_topics.add(RUNNER_TOPIC)
         await lose_power(cluster)
         await asyncio.sleep(SOON_S)
--- a/tests/direct/test_suspension.py
+++ b/tests/direct/test_suspension.py
@@ -5,7 +5,7 @@
 
 from bramleybend.clock import SystemClock
 from bramleybend.direct.suspension import SuspensionWatch
-from bramleybend.platform.names import MANIFEST_TOPIC
+from bramleybend.platform.wire_names import MANIFEST_TOPIC
 from tests.direct.cluster import ENGINE, PLAIN, manifest, running_cluster
 from tests.utils.waiting import wait_until
 
@@ -34,10 +34,10 @@
     """A suspension shows once, as a jump against a clock that stood still."""
     clock = SuspendableClock()
     watch = SuspensionWatch(clock, time.monotonic)
-    assert not watch.slept_s()
+    assert not watch.suspended_s()
     clock.slept_s = SUSPENDED_S
-    assert SUSPENDED_S - 0.1 < watch.slept_s() < SUSPENDED_S + 0.1
-    assert not watch.slept_s()
+    assert SUSPENDED_S - 0.1 < watch.suspended_s() < SUSPENDED_S + 0.1
+    assert not watch.suspended_s()
 
 
 async def test_a_vm_that_resumes_denies_nothing_by_an_old_manifest() -> None:
@@ -67,7 +67,7 @@
         async with asyncio.timeout(2):
             await cluster.wait_for_runners(PLAIN)
             await wait_until(
-                lambda: cluster.vms[0].entry.book.manifest_version() == 2,
+                lambda: cluster.vms[0].entry.catalog.manifest_version() == 2,
                 'the new manifest',
             )
         assert (await cluster.call('/book/x', key='new')).status == 200
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,7 +7,7 @@
 from typing import cast
 
 from bramleybend.clock import ManualClock
-from bramleybend.decisions.quarantine import CrashBook
+from bramleybend.decisions.quarantine import CrashRegistry
 from bramleybend.identity import Identity
 from bramleybend.models import RunnerState, Vm
 from bramleybend.scheduler.peer_transport import PeerTransport
@@ -56,11 +56,11 @@
     peer_heard_count: int = 0
     learn_count: int = 0
 
-    def heard_peer(self) -> None:
+    def record_peer_contact(self) -> None:
         """Count a message of a peer with the same terms."""
         self.peer_heard_count += 1
 
-    async def learn_from_peer(self) -> None:
+    async def adopt_from_peer(self) -> None:
         """Count a request to fetch a peer's newer terms."""
         self.learn_count += 1
 
@@ -92,7 +92,7 @@
     sources = PeerSources(
         IDENTITY,
         cast(TermsFollower, terms),
-        CrashBook(),
+        CrashRegistry(),
         lambda: vms,
         lambda: (),
     )
